--- a/bench/duties.py
+++ b/bench/duties.py
@@ -19,8 +19,9 @@
 from typing import Any
 
 from earlier import revision
-from harness import PLANE
 from test_duties import Watch, acted, duties
+
+from harness import PLANE
 from world import Catalogue, world
 
 SIZE = 5
--- a/bench/earlier.py
+++ b/bench/earlier.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-for part in ("tests/cluster", "tests"):  # the harness and the stand-ins
+for part in ("tests/support", "tools"):  # the harness and the stand-ins
     sys.path.insert(0, str(ROOT / part))
 
 
--- a/bench/logging_cost.py
+++ b/bench/logging_cost.py
@@ -20,9 +20,9 @@
 from typing import Any
 
 from earlier import ROOT, cpu_s, sources
-from world import Catalogue, world
 
-from topazbank.logs import LogConfig, start_log
+from sidecar_balancer.observability.logs import LogConfig, start_log
+from world import Catalogue, world
 
 _log = logging.getLogger(__name__)
 BEFORE = "51ec53d"  # the last version that logged plain text alone
--- a/bench/many.py
+++ b/bench/many.py
@@ -19,6 +19,7 @@
 from typing import Any
 
 from earlier import cpu_s, revision
+
 from harness import PLANE, Tier
 
 PATIENCE_S = 120.0
--- a/bench/peers.py
+++ b/bench/peers.py
@@ -1,4 +1,4 @@
-"""Convergence of the peer plane against its stated bounds (docs/peers.md), in the in-process network.
+"""Convergence of the peer plane against its stated bounds (docs/membership.md), in the in-process network.
 
 For N = 4, 16, 64 and loss 0, 10, 30 %: the time for a verdict to reach every live member, and for a killed
 member to be held dead by every other, p50 and p99 in protocol periods and in ms; bytes a second and CPU a
@@ -16,22 +16,22 @@
 import time
 from collections.abc import Callable
 
-from topazbank.interface import Verdict
-from topazbank.peers.codec import Status
-from topazbank.peers.membership import Tuning, retransmits
-from topazbank.peers.simnet import SimNet
+from sidecar_balancer.membership.codec import Status
+from sidecar_balancer.membership.swim import Tuning, retransmits
+from sidecar_balancer.policy.interface import Verdict
+from simnet import SimNet
 
 STEP_MS = 5
 SERVER = "10.1.0.9:8443"
 
 
 def spread_bound(size: int, tuning: Tuning) -> float:
-    """Periods within which a verdict reaches all (docs/peers.md): ceil(log2 N) doublings + R retransmits."""
+    """Periods within which a verdict reaches all (docs/membership.md): ceil(log2 N) doublings, R more."""
     return math.ceil(math.log2(size)) + retransmits(size, tuning)
 
 
 def death_bound(size: int, tuning: Tuning) -> float:
-    """Periods at health 0 (docs/peers.md): a probe's period, the suspicion timeout, then spread."""
+    """Periods at health 0 (docs/membership.md): a probe's period, the suspicion timeout, then spread."""
     suspicion = tuning.suspicion_mult * max(1.0, math.log10(size))
     return 1 + suspicion + spread_bound(size, tuning)
 
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -18,6 +18,7 @@
 from typing import Any
 
 from earlier import revision
+
 from harness import PLANE
 from world import Catalogue, world
 
--- a/bench/scale_edge.py
+++ b/bench/scale_edge.py
@@ -16,13 +16,13 @@
 from typing import Any
 
 import earlier  # noqa: F401  # makes the tests' stand-ins known
-from helpers import settings
 from scale_fit import Series
 
-from topazbank.interface import ListKind
-from topazbank.net.config import Config
-from topazbank.net.endpoint_list import ListUpdate, parse_list, read_list
-from topazbank.net.sidecar import Sidecar
+from helpers import settings
+from sidecar_balancer.config.sidecar import Config
+from sidecar_balancer.discovery.endpoint_list import ListUpdate, parse_list, read_list
+from sidecar_balancer.policy.interface import ListKind
+from sidecar_balancer.runtime.sidecar import Sidecar
 
 TRIALS = 5
 CHANGES = 60  # a trial
--- a/bench/scale_fanout.py
+++ b/bench/scale_fanout.py
@@ -131,7 +131,7 @@
             f'listen = "{listen}"\nupstreams = ["{upstream}"]\nmgmt = "{self.doors[number]}"\n'
             f'connections = 8192\n[logging]\nlevel = "error"\n'
         )
-        return await self._process("-m", "topazbank.cli", "relay", "--config", str(path))
+        return await self._process("-m", "sidecar_balancer.cli", "relay", "--config", str(path))
 
     async def relay_bytes(self) -> int:
         told = [await _status(door) for door in self.doors]
--- a/bench/scale_hollow.py
+++ b/bench/scale_hollow.py
@@ -19,16 +19,16 @@
 from typing import Any
 
 import earlier  # noqa: F401  # makes the tests' stand-ins known
-from helpers import settings
-from registry import Registry
 from scale_edge import change, entry
 
-from topazbank import Balancer
-from topazbank.interface import ListKind, ServersListed
-from topazbank.net.discovery import Discovery
-from topazbank.net.endpoint_list import ListUpdate
-from topazbank.net.sources import RelayAddress, in_order_of_preference
-from topazbank.net.upstream import Address, parse_address
+from helpers import settings
+from registry import Registry
+from sidecar_balancer import Balancer
+from sidecar_balancer.discovery.client import Discovery
+from sidecar_balancer.discovery.endpoint_list import ListUpdate
+from sidecar_balancer.discovery.sources import RelayAddress, in_order_of_preference
+from sidecar_balancer.policy.interface import ListKind, ServersListed
+from sidecar_balancer.upstream.connection import Address, parse_address
 
 START_SPREAD_S = 3.0  # over which the members of a process begin
 RETRY_S = 3.0  # after all sources failed, as the module bounds it
--- a/bench/scale_peers.py
+++ b/bench/scale_peers.py
@@ -6,8 +6,8 @@
 
 from scale_fit import Series
 
-from topazbank.peers.codec import Status
-from topazbank.peers.membership import Swim, Tuning
+from sidecar_balancer.membership.codec import Status
+from sidecar_balancer.membership.swim import Swim, Tuning
 
 TRIALS = 5
 PERIODS = 40
--- a/bench/scale_request.py
+++ b/bench/scale_request.py
@@ -5,11 +5,11 @@
 import time
 
 import earlier  # noqa: F401  # makes the tests' stand-ins known
-from helpers import settings
 from scale_fit import Series
 
-from topazbank import Balancer
-from topazbank.interface import (
+from helpers import settings
+from sidecar_balancer import Balancer
+from sidecar_balancer.policy.interface import (
     AttemptEnded,
     ListedServer,
     ListKind,
--- a/bench/zones.py
+++ b/bench/zones.py
@@ -21,6 +21,7 @@
 from typing import Any
 
 from earlier import ROOT, sources
+
 from harness import PLANE
 from world import Catalogue, World, world
 
--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -8,4 +8,4 @@
     .venv/bin/pip install -q --disable-pip-version-check -r requirements.txt
     cp requirements.txt .venv/installed.txt
 fi
-.venv/bin/python -m compileall -q topazbank
+.venv/bin/python -m compileall -q sidecar_balancer
--- a/topazbank/__main__.py
+++ b/sidecar_balancer/__main__.py
@@ -1,7 +1,7 @@
 """Starts one sidecar: reads its configuration, serves, reads it again on SIGHUP and drains on SIGTERM.
 
-Run as `python -m topazbank`, with RELAY_CONFIG naming the configuration.  A bad one ends the start with one
-line on standard error and exit code 2.
+Run as `python -m sidecar_balancer`, with RELAY_CONFIG naming the configuration.  A bad one ends the start
+with one line on standard error and exit code 2.
 """
 
 from __future__ import annotations
@@ -19,20 +19,20 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from topazbank.interface import locality_from
-from topazbank.logs import Flood, LogConfig, start_log
-from topazbank.net import frontend
-from topazbank.net.config import Config, StateConfig
-from topazbank.net.endpoint_list import ListUpdate, parse_list
-from topazbank.net.queueing import TimedLoop
-from topazbank.net.sidecar import Sidecar
-from topazbank.net.sources import RelayAddress
-from topazbank.net.upstream import parse_address
-from topazbank.wirehost import settings_from_wire
+from sidecar_balancer.config.sidecar import Config, StateConfig
+from sidecar_balancer.discovery.endpoint_list import ListUpdate, parse_list
+from sidecar_balancer.discovery.sources import RelayAddress
+from sidecar_balancer.downstream import frontend
+from sidecar_balancer.observability.logs import Flood, LogConfig, start_log
+from sidecar_balancer.policy.interface import locality_from
+from sidecar_balancer.runtime.queueing import TimedLoop
+from sidecar_balancer.runtime.sidecar import Sidecar
+from sidecar_balancer.simulator.adapter import settings_from_wire
+from sidecar_balancer.upstream.connection import parse_address
 
 if TYPE_CHECKING:
-    from topazbank.lease.core import Terms
-    from topazbank.peers.membership import Tuning
+    from sidecar_balancer.lease.core import Terms
+    from sidecar_balancer.membership.swim import Tuning
 
 log = logging.getLogger(__name__)
 
@@ -139,7 +139,7 @@
     """The operators' `peer_plane` object: `on` (false unless told) and the knobs of `Tuning`, times in ms."""
     if value is None:
         return None
-    from topazbank.peers.membership import Tuning  # loaded where it is asked for: starts cost CPU
+    from sidecar_balancer.membership.swim import Tuning  # loaded where it is asked for: starts cost CPU
 
     if not isinstance(value, dict):
         raise ValueError("peer_plane: an object is needed")
@@ -158,7 +158,7 @@
     """The operators' `duties` object: `on` (false unless told), and the leases' times in ms."""
     if value is None:
         return None
-    from topazbank.lease.core import Terms
+    from sidecar_balancer.lease.core import Terms
 
     knobs = ("term_ms", "renew_ms", "skew_ms", "retry_ms")
     if not isinstance(value, dict) or set(value) - {"on", *knobs}:
--- /dev/null
+++ b/sidecar_balancer/admin/__init__.py
@@ -0,0 +1,1 @@
+"""The admin API: its HTTP server, its handlers and the operators' stored overrides."""
--- a/topazbank/net/operations.py
+++ b/sidecar_balancer/admin/handlers.py
@@ -11,20 +11,26 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from topazbank.interface import Exclude, ExclusionAsked, ExclusionsHeard, ZoneOrder, ZonesOrdered
-from topazbank.net.admin import Declined, Operation
-from topazbank.net.discovery import Discovery
-from topazbank.net.engine import Engine
-from topazbank.net.frontend import Frontend
-from topazbank.net.orders import Orders
-from topazbank.net.proxy import Proxy, by_status
-from topazbank.net.upstream import Upstream
-from topazbank.views import servers_view, state_line, zones_view
+from sidecar_balancer.admin.overrides import Orders
+from sidecar_balancer.admin.server import Declined, Operation
+from sidecar_balancer.admin.views import servers_view, state_line, zones_view
+from sidecar_balancer.discovery.client import Discovery
+from sidecar_balancer.downstream.frontend import Frontend
+from sidecar_balancer.policy.interface import (
+    Exclude,
+    ExclusionAsked,
+    ExclusionsHeard,
+    ZoneOrder,
+    ZonesOrdered,
+)
+from sidecar_balancer.runtime.engine import Engine
+from sidecar_balancer.runtime.proxy import Proxy, by_status
+from sidecar_balancer.upstream.connection import Upstream
 
 if TYPE_CHECKING:
-    from topazbank.logs import Flood
-    from topazbank.net.latency import Latencies
-    from topazbank.peers.link import PeerLink
+    from sidecar_balancer.membership.bridge import PeerLink
+    from sidecar_balancer.observability.latency import Latencies
+    from sidecar_balancer.observability.logs import Flood
 
 log = logging.getLogger(__name__)
 
--- a/topazbank/net/admin.py
+++ b/sidecar_balancer/admin/server.py
@@ -15,7 +15,7 @@
 
 import h11
 
-from topazbank.net.upstream import Address
+from sidecar_balancer.upstream.connection import Address
 
 log = logging.getLogger(__name__)
 
--- a/topazbank/views.py
+++ b/sidecar_balancer/admin/views.py
@@ -5,9 +5,9 @@
 from collections import Counter
 from typing import Any
 
-from topazbank.balancer import Balancer
-from topazbank.locality import Zone, Zones
-from topazbank.servers import Server
+from sidecar_balancer.policy.balancer import Balancer
+from sidecar_balancer.policy.endpoint import Server
+from sidecar_balancer.policy.locality import Zone, Zones
 
 
 def zones_view(zones: Zones, now: int) -> dict[str, Any]:
--- a/topazbank/cli.py
+++ b/sidecar_balancer/cli.py
@@ -1,7 +1,7 @@
 """The `weirlock` command: run a sidecar, check a configuration, and call a running sidecar's door.
 
     weirlock relay --config FILE          # a relay of discovery's list (docs/relay.md)
-    weirlock run                          # as `python -m topazbank`: RELAY_CONFIG names the configuration
+    weirlock run                          # as `python -m sidecar_balancer`: RELAY_CONFIG names its file
     weirlock check-config FILE            # one line for each error, exit 2; "ok" and 0 where it is good
     weirlock status --door HOST:PORT      # GET /api/status; servers, members, zones, duties likewise
     weirlock ban ID --door HOST:PORT      # PUT /api/exclude/ID; unban: /api/include/ID
@@ -21,7 +21,7 @@
 from typing import Any
 from urllib.parse import quote
 
-from topazbank import __main__ as program
+from sidecar_balancer import __main__ as program
 
 _CALLS = {
     "status": ("GET", "status"),
@@ -47,7 +47,7 @@
     if arguments.command == "run":
         return program.main()
     if arguments.command == "relay":
-        from topazbank.relay import app
+        from sidecar_balancer.relay import app
 
         return app.main(arguments.config)
     if arguments.command == "check-config":
@@ -58,7 +58,7 @@
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(prog="weirlock", description="A sidecar load balancer and its door.")
     commands = parser.add_subparsers(dest="command", required=True)
-    commands.add_parser("run", help="serve, as python -m topazbank (RELAY_CONFIG names the configuration)")
+    commands.add_parser("run", help="serve, as python -m sidecar_balancer (RELAY_CONFIG names its file)")
     relay = commands.add_parser("relay", help="fan out what discovery tells to many sidecars")
     relay.add_argument("--config", required=True, help="a TOML file, see docs/relay.md")
     check = commands.add_parser("check-config", help="read a configuration and say all that is wrong with it")
--- /dev/null
+++ b/sidecar_balancer/config/__init__.py
@@ -0,0 +1,1 @@
+"""What a sidecar is configured with."""
--- a/topazbank/net/config.py
+++ b/sidecar_balancer/config/sidecar.py
@@ -6,15 +6,15 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from topazbank.interface import Settings
-from topazbank.logs import LogConfig
-from topazbank.net.endpoint_list import ListUpdate
-from topazbank.net.sources import RelayAddress, in_order_of_preference
-from topazbank.net.upstream import Address
+from sidecar_balancer.discovery.endpoint_list import ListUpdate
+from sidecar_balancer.discovery.sources import RelayAddress, in_order_of_preference
+from sidecar_balancer.observability.logs import LogConfig
+from sidecar_balancer.policy.interface import Settings
+from sidecar_balancer.upstream.connection import Address
 
 if TYPE_CHECKING:  # loaded where the plane is on: a start without it costs no more CPU
-    from topazbank.lease.core import Terms
-    from topazbank.peers.membership import Tuning
+    from sidecar_balancer.lease.core import Terms
+    from sidecar_balancer.membership.swim import Tuning
 
 
 @dataclass(frozen=True, slots=True)
--- /dev/null
+++ b/sidecar_balancer/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""Where the endpoint list comes from, and how it is read."""
--- a/topazbank/net/discovery.py
+++ b/sidecar_balancer/discovery/client.py
@@ -15,10 +15,10 @@
 
 import h11
 
-from topazbank.net.endpoint_list import LIST_MOST_BYTES, ListUpdate, read_list
-from topazbank.net.queueing import PollTimes
-from topazbank.net.sources import STALE_S, SourceSelector
-from topazbank.net.upstream import Address, Connection, Response, connect
+from sidecar_balancer.discovery.endpoint_list import LIST_MOST_BYTES, ListUpdate, read_list
+from sidecar_balancer.discovery.sources import STALE_S, SourceSelector
+from sidecar_balancer.runtime.queueing import PollTimes
+from sidecar_balancer.upstream.connection import Address, Connection, Response, connect
 
 log = logging.getLogger(__name__)
 
--- a/topazbank/net/endpoint_list.py
+++ b/sidecar_balancer/discovery/endpoint_list.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from topazbank.interface import ListedServer, ServerState
-from topazbank.net.upstream import Address, parse_address
+from sidecar_balancer.policy.interface import ListedServer, ServerState
+from sidecar_balancer.upstream.connection import Address, parse_address
 
 log = logging.getLogger(__name__)
 
--- /dev/null
+++ b/sidecar_balancer/downstream/__init__.py
@@ -0,0 +1,1 @@
+"""The application's side: client connections."""
--- a/topazbank/net/frontend.py
+++ b/sidecar_balancer/downstream/frontend.py
@@ -13,9 +13,9 @@
 
 import h11
 
-from topazbank.interface import Repeat, Settings
-from topazbank.net.queueing import BacklogAge, PollTimes, since_last_data_s
-from topazbank.net.streams import (
+from sidecar_balancer.policy.interface import Repeat, Settings
+from sidecar_balancer.runtime.queueing import BacklogAge, PollTimes, since_last_data_s
+from sidecar_balancer.runtime.streams import (
     EVENTS_AT_ONCE,
     HELD_WHOLE,
     LONGEST,
@@ -26,7 +26,14 @@
     Source,
     Upload,
 )
-from topazbank.net.upstream import Address, Headers, end_to_end, has_ended, is_quiet, is_readable
+from sidecar_balancer.upstream.connection import (
+    Address,
+    Headers,
+    end_to_end,
+    has_ended,
+    is_quiet,
+    is_readable,
+)
 
 log = logging.getLogger(__name__)
 
--- a/topazbank/lease/duties.py
+++ b/sidecar_balancer/lease/duties.py
@@ -1,7 +1,7 @@
 """The duties that one sidecar of a tier does for all, on the leases of `core`, over the peer plane.
 
 - `zones`: probe the zones that were left and tell all when one answers again;
-- `snapshot`: write the tier's shared snapshot (topazbank/state/tier.py).
+- `snapshot`: write the tier's shared snapshot (sidecar_balancer/persistence/tier_snapshot.py).
 
 Each act of a duty carries the lease's token; a receiver takes no act with a token older than one it has seen
 (`Fence`), and each act once.
@@ -14,8 +14,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from topazbank.lease.core import Fence, Kind, Leases, Message, Terms
-from topazbank.peers.codec import ActUpdate, LeaseUpdate
+from sidecar_balancer.lease.core import Fence, Kind, Leases, Message, Terms
+from sidecar_balancer.membership.codec import ActUpdate, LeaseUpdate
 
 ZONES, SNAPSHOT = 0, 1
 NAMES = ("zones", "snapshot")
--- a/topazbank/peers/__init__.py
+++ b/sidecar_balancer/membership/__init__.py
@@ -2,5 +2,5 @@
 
 `codec` turns messages into datagrams of at most 256 bytes and back; `membership` is the sans-IO SWIM core
 (events in, datagrams out); `verdicts` is the bounded table of shared state; `transport` is the asyncio glue.
-See docs/peers.md.
+See docs/membership.md.
 """
--- a/topazbank/peers/link.py
+++ b/sidecar_balancer/membership/bridge.py
@@ -11,7 +11,11 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from topazbank.interface import (
+from sidecar_balancer.lease.duties import BACK, ZONES
+from sidecar_balancer.membership import codec
+from sidecar_balancer.membership.codec import ActUpdate
+from sidecar_balancer.membership.transport import PeerPlane
+from sidecar_balancer.policy.interface import (
     Event,
     KeptServer,
     PeerVerdict,
@@ -23,10 +27,6 @@
     VerdictsHeard,
     ZoneBack,
 )
-from topazbank.lease.duties import BACK, ZONES
-from topazbank.peers import codec
-from topazbank.peers.codec import ActUpdate
-from topazbank.peers.transport import PeerPlane
 
 log = logging.getLogger(__name__)
 
--- a/topazbank/peers/codec.py
+++ b/sidecar_balancer/membership/codec.py
@@ -23,7 +23,7 @@
 
 import msgpack  # type: ignore[import-untyped]
 
-from topazbank.interface import Verdict
+from sidecar_balancer.policy.interface import Verdict
 
 VERSION = 2
 DATAGRAM_MOST = 256  # bytes, PROTOCOL "Between sidecars": a longer one voids the run
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseUpdate:
-    """A message of the lease protocol (topazbank/lease/core.py), for its receiver alone."""
+    """A message of the lease protocol (sidecar_balancer/lease/core.py), for its receiver alone."""
 
     kind: int
     duty: int
--- a/topazbank/peers/membership.py
+++ b/sidecar_balancer/membership/swim.py
@@ -12,7 +12,7 @@
 Local health (Lifeguard): a score 0..`health_most` that rises with each probe that went unanswered and each
 refutation, and falls with each ack; timeouts are stretched by score + 1, so a slow process suspects less.
 
-See docs/peers.md for the bounds on detection and dissemination.
+See docs/membership.md for the bounds on detection and dissemination.
 """
 
 from __future__ import annotations
@@ -23,9 +23,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-from topazbank.interface import PeerVerdict, Verdict
-from topazbank.peers import codec
-from topazbank.peers.codec import (
+from sidecar_balancer.membership import codec
+from sidecar_balancer.membership.codec import (
     ActUpdate,
     FactUpdate,
     Kind,
@@ -37,7 +36,8 @@
     Update,
     VerdictUpdate,
 )
-from topazbank.peers.verdicts import Verdicts
+from sidecar_balancer.membership.verdicts import Verdicts
+from sidecar_balancer.policy.interface import PeerVerdict, Verdict
 
 Datagram = tuple[int, bytes]  # to the member of that number
 STATE_PARTS_MOST = 100  # datagrams of one answer to a member that starts
--- a/topazbank/peers/transport.py
+++ b/sidecar_balancer/membership/transport.py
@@ -12,11 +12,11 @@
 from collections.abc import Callable
 from typing import Any, TypeVar, cast
 
-from topazbank.interface import Verdict
-from topazbank.lease.core import Terms
-from topazbank.lease.duties import Duties
-from topazbank.peers import codec
-from topazbank.peers.membership import Datagram, Swim, Tuning
+from sidecar_balancer.lease.core import Terms
+from sidecar_balancer.lease.duties import Duties
+from sidecar_balancer.membership import codec
+from sidecar_balancer.membership.swim import Datagram, Swim, Tuning
+from sidecar_balancer.policy.interface import Verdict
 
 log = logging.getLogger(__name__)
 
--- a/topazbank/peers/verdicts.py
+++ b/sidecar_balancer/membership/verdicts.py
@@ -11,8 +11,8 @@
 
 from dataclasses import dataclass
 
-from topazbank.interface import Verdict
-from topazbank.peers.codec import TTL_MOST_MS, VerdictUpdate
+from sidecar_balancer.membership.codec import TTL_MOST_MS, VerdictUpdate
+from sidecar_balancer.policy.interface import Verdict
 
 _US_PER_MS = 1000
 
--- /dev/null
+++ b/sidecar_balancer/observability/__init__.py
@@ -0,0 +1,1 @@
+"""The log and the latency histograms."""
--- a/topazbank/logs.py
+++ b/sidecar_balancer/observability/logs.py
@@ -104,7 +104,7 @@
 
     def named(_: Any, __: str, event: MutableMapping[str, Any]) -> dict[str, Any]:
         record = event["_record"]
-        own = {"event": event_of(record), "subsystem": record.name.removeprefix("topazbank.")}
+        own = {"event": event_of(record), "subsystem": record.name.removeprefix("sidecar_balancer.")}
         told = {"msg": event.pop("event")} | {key: event[key] for key in _EXTRAS if key in event}
         if "exception" in event:
             told["exception"] = event["exception"]
--- a/topazbank/state/keeper.py
+++ b/sidecar_balancer/persistence/persister.py
@@ -25,14 +25,14 @@
 
 import msgpack  # type: ignore[import-untyped]
 
-from topazbank.balancer import Balancer
-from topazbank.interface import KeptServer, StateRestored
-from topazbank.lease.duties import SNAPSHOT, WROTE
-from topazbank.peers import codec
-from topazbank.peers.codec import Malformed, Status, VerdictUpdate
-from topazbank.peers.transport import PeerPlane
-from topazbank.state import tier
-from topazbank.state.store import Store
+from sidecar_balancer.lease.duties import SNAPSHOT, WROTE
+from sidecar_balancer.membership import codec
+from sidecar_balancer.membership.codec import Malformed, Status, VerdictUpdate
+from sidecar_balancer.membership.transport import PeerPlane
+from sidecar_balancer.persistence import tier_snapshot as tier
+from sidecar_balancer.persistence.store import Store
+from sidecar_balancer.policy.balancer import Balancer
+from sidecar_balancer.policy.interface import KeptServer, StateRestored
 
 log = logging.getLogger(__name__)
 
--- a/topazbank/state/store.py
+++ b/sidecar_balancer/persistence/store.py
@@ -25,8 +25,8 @@
 import msgpack  # type: ignore[import-untyped]
 import xxhash
 
-from topazbank.state import snapshot
-from topazbank.state.snapshot import Refused
+from sidecar_balancer.persistence import snapshot
+from sidecar_balancer.persistence.snapshot import Refused
 
 LOG_MAGIC = b"WLLOG\x00\x00\x01"
 LOG_VERSION = 1
--- a/topazbank/state/tier.py
+++ b/sidecar_balancer/persistence/tier_snapshot.py
@@ -14,8 +14,8 @@
 
 import msgpack  # type: ignore[import-untyped]
 
-from topazbank.state import snapshot
-from topazbank.state.snapshot import Refused
+from sidecar_balancer.persistence import snapshot
+from sidecar_balancer.persistence.snapshot import Refused
 
 _NAME = re.compile(r"tier-(\d{1,10})\.snap")
 
--- a/topazbank/balancer.py
+++ b/sidecar_balancer/policy/balancer.py
@@ -1,6 +1,6 @@
 """All decisions of a sidecar balancer, by best-of-k with redraw.
 
-Types, events and actions: topazbank/interface.py.  Why its guards are there: docs/decisions.md.
+Types, events and actions: sidecar_balancer/policy/interface.py.  Why its guards are there: docs/decisions.md.
 
 Per request: draw k random distinct ready servers and send to the one with the fewest of this balancer's own
 requests in flight; on a full answer draw again, wider.  Every attempt leaves through `_send` and every final
@@ -16,11 +16,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from topazbank import interface as api
-from topazbank.interface import Outcome
-from topazbank.locality import Zone, Zones
-from topazbank.rates import Rate
-from topazbank.servers import Attempt, Flow, Server
+from sidecar_balancer.policy import interface as api
+from sidecar_balancer.policy.endpoint import Attempt, Flow, Server
+from sidecar_balancer.policy.interface import Outcome
+from sidecar_balancer.policy.locality import Zone, Zones
+from sidecar_balancer.policy.rates import Rate
 
 DRAWN = 4  # k: counts are mostly small here, where two looks find too little
 REACH = 4.0  # a balancer at rest draws from this many servers: a choice, yet few enough to know them
--- a/topazbank/servers.py
+++ b/sidecar_balancer/policy/endpoint.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from topazbank import interface as api
+from sidecar_balancer.policy import interface as api
 
 Flow = tuple[str, str | None]  # the class and tenant of a request
 
--- a/topazbank/locality.py
+++ b/sidecar_balancer/policy/locality.py
@@ -10,9 +10,9 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from topazbank.interface import Locality, ZoneOrder
-from topazbank.rates import Rate
-from topazbank.servers import Server
+from sidecar_balancer.policy.endpoint import Server
+from sidecar_balancer.policy.interface import Locality, ZoneOrder
+from sidecar_balancer.policy.rates import Rate
 
 HEALTH_AIMS = 1.0  # what a zone answers and fails is counted over this many of the longest aim
 BACK_AIMS = 0.5  # first wait before a zone left is tried again, in longest aims; it doubles with each failure
--- a/topazbank/relay/app.py
+++ b/sidecar_balancer/relay/app.py
@@ -10,15 +10,15 @@
 import signal
 import sys
 
-from topazbank.logs import start_log
-from topazbank.net.admin import Door
-from topazbank.net.discovery import Discovery
-from topazbank.net.endpoint_list import ListUpdate
-from topazbank.net.queueing import TimedLoop, running_poll_times
-from topazbank.relay.caller import Caller
-from topazbank.relay.changelog import ChangeLog
-from topazbank.relay.config import RelayConfig, read_relay_config
-from topazbank.relay.service import RelayService
+from sidecar_balancer.admin.server import Door
+from sidecar_balancer.discovery.client import Discovery
+from sidecar_balancer.discovery.endpoint_list import ListUpdate
+from sidecar_balancer.observability.logs import start_log
+from sidecar_balancer.relay.caller import Caller
+from sidecar_balancer.relay.changelog import ChangeLog
+from sidecar_balancer.relay.config import RelayConfig, read_relay_config
+from sidecar_balancer.relay.service import RelayService
+from sidecar_balancer.runtime.queueing import TimedLoop, running_poll_times
 
 log = logging.getLogger(__name__)
 
--- a/topazbank/relay/caller.py
+++ b/sidecar_balancer/relay/caller.py
@@ -10,8 +10,8 @@
 
 import h11
 
-from topazbank.net.admin import Declined
-from topazbank.relay.requests import ListCall, read_call
+from sidecar_balancer.admin.server import Declined
+from sidecar_balancer.relay.requests import ListCall, read_call
 
 HEAD_WITHIN_S = 2.0  # what a call may take to come
 ANSWER_WITHIN_S = 5.0  # what a caller may take to read its answer
--- a/topazbank/relay/changelog.py
+++ b/sidecar_balancer/relay/changelog.py
@@ -13,8 +13,8 @@
 
 import xxhash
 
-from topazbank.interface import ServerState
-from topazbank.net.endpoint_list import ListEntry, ListUpdate, entry_form
+from sidecar_balancer.discovery.endpoint_list import ListEntry, ListUpdate, entry_form
+from sidecar_balancer.policy.interface import ServerState
 
 CHANGES_MOST = 50_000  # entries in the ring: more than the whole list twice over helps nobody
 STATES_MOST = 4096  # tags and indexes that are remembered
--- a/topazbank/relay/requests.py
+++ b/sidecar_balancer/relay/requests.py
@@ -7,8 +7,8 @@
 
 import h11
 
-from topazbank.net.admin import Declined
-from topazbank.net.discovery import AGE_HEADER, LIST_PATH
+from sidecar_balancer.admin.server import Declined
+from sidecar_balancer.discovery.client import AGE_HEADER, LIST_PATH
 
 READY_PATH = "/health/ready"
 WAIT_MOST_MS = 60_000  # of a watch, as published
--- a/topazbank/relay/service.py
+++ b/sidecar_balancer/relay/service.py
@@ -8,13 +8,13 @@
 from collections.abc import Callable
 from dataclasses import asdict, dataclass
 
-from topazbank.net.admin import Declined
-from topazbank.net.discovery import AGE_HEADER, TAG_HEADER
-from topazbank.net.endpoint_list import ListUpdate
-from topazbank.net.sources import STALE_S
-from topazbank.relay.caller import Caller, Headers
-from topazbank.relay.changelog import ChangeLog
-from topazbank.relay.requests import ListCall
+from sidecar_balancer.admin.server import Declined
+from sidecar_balancer.discovery.client import AGE_HEADER, TAG_HEADER
+from sidecar_balancer.discovery.endpoint_list import ListUpdate
+from sidecar_balancer.discovery.sources import STALE_S
+from sidecar_balancer.relay.caller import Caller, Headers
+from sidecar_balancer.relay.changelog import ChangeLog
+from sidecar_balancer.relay.requests import ListCall
 
 log = logging.getLogger(__name__)
 
--- a/topazbank/net/engine.py
+++ b/sidecar_balancer/runtime/engine.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable, Iterator, Sequence
 from typing import Any
 
-from topazbank.balancer import Balancer
-from topazbank.interface import Action, Event, SetTimer, Settings, TimerFired
-from topazbank.net.clock import Clock
-from topazbank.net.timers import Timers
+from sidecar_balancer.policy.balancer import Balancer
+from sidecar_balancer.policy.interface import Action, Event, SetTimer, Settings, TimerFired
+from sidecar_balancer.runtime.clock import Clock
+from sidecar_balancer.runtime.timers import Timers
 
 log = logging.getLogger(__name__)
 
--- a/topazbank/net/proxy.py
+++ b/sidecar_balancer/runtime/proxy.py
@@ -14,7 +14,8 @@
 
 import h11
 
-from topazbank.interface import (
+from sidecar_balancer.downstream.frontend import Call
+from sidecar_balancer.policy.interface import (
     AnswerStarted,
     AttemptEnded,
     BodyEnded,
@@ -30,14 +31,13 @@
     Send,
     Settings,
 )
-from topazbank.net import upstream
-from topazbank.net.engine import Engine
-from topazbank.net.frontend import Call
-from topazbank.net.streams import Sink, Source
-from topazbank.net.upstream import Exchange, Headers, Response
+from sidecar_balancer.runtime.engine import Engine
+from sidecar_balancer.runtime.streams import Sink, Source
+from sidecar_balancer.upstream import connection as upstream
+from sidecar_balancer.upstream.connection import Exchange, Headers, Response
 
 if TYPE_CHECKING:
-    from topazbank.net.latency import Latencies
+    from sidecar_balancer.observability.latency import Latencies
 
 log = logging.getLogger(__name__)
 
--- a/topazbank/net/sidecar.py
+++ b/sidecar_balancer/runtime/sidecar.py
@@ -9,7 +9,15 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from topazbank.interface import (
+from sidecar_balancer.admin.handlers import EVACUATION_KEPT_S, Operations
+from sidecar_balancer.admin.overrides import Orders
+from sidecar_balancer.admin.server import Door
+from sidecar_balancer.admin.views import asked_per_s, state_line
+from sidecar_balancer.config.sidecar import Config
+from sidecar_balancer.discovery.client import Discovery
+from sidecar_balancer.discovery.endpoint_list import EndpointList, ListUpdate, parse_list
+from sidecar_balancer.downstream.frontend import Frontend, Hooks
+from sidecar_balancer.policy.interface import (
     CloseIdle,
     FetchList,
     Follow,
@@ -19,26 +27,18 @@
     ServersListed,
     Settings,
 )
-from topazbank.interface import Discovery as DiscoveryMode
-from topazbank.net import upstream
-from topazbank.net.admin import Door
-from topazbank.net.config import Config
-from topazbank.net.discovery import Discovery
-from topazbank.net.endpoint_list import EndpointList, ListUpdate, parse_list
-from topazbank.net.engine import Engine
-from topazbank.net.frontend import Frontend, Hooks
-from topazbank.net.operations import EVACUATION_KEPT_S, Operations
-from topazbank.net.orders import Orders
-from topazbank.net.proxy import Proxy, by_status
-from topazbank.net.queueing import running_poll_times
-from topazbank.net.streams import Budget
-from topazbank.net.timers import Timers
-from topazbank.views import asked_per_s, state_line
+from sidecar_balancer.policy.interface import Discovery as DiscoveryMode
+from sidecar_balancer.runtime.engine import Engine
+from sidecar_balancer.runtime.proxy import Proxy, by_status
+from sidecar_balancer.runtime.queueing import running_poll_times
+from sidecar_balancer.runtime.streams import Budget
+from sidecar_balancer.runtime.timers import Timers
+from sidecar_balancer.upstream import connection as upstream
 
 if TYPE_CHECKING:  # loaded where the plane is on: a start without it costs no more CPU
-    from topazbank.net.latency import Latencies
-    from topazbank.peers.link import PeerLink
-    from topazbank.state.keeper import Keeper, Kept
+    from sidecar_balancer.membership.bridge import PeerLink
+    from sidecar_balancer.observability.latency import Latencies
+    from sidecar_balancer.persistence.persister import Keeper, Kept
 
 log = logging.getLogger(__name__)
 
@@ -231,8 +231,8 @@
     def _linked(self, config: Config) -> PeerLink | None:
         if config.peer_plane is None or config.peer_listen is None:
             return None
-        from topazbank.peers.link import PeerLink
-        from topazbank.peers.transport import PeerPlane
+        from sidecar_balancer.membership.bridge import PeerLink
+        from sidecar_balancer.membership.transport import PeerPlane
 
         me, settings = config.settings.me, config.settings
         plane = PeerPlane(
@@ -254,7 +254,7 @@
     def _plane_bound(self) -> None:
         assert self._link is not None
         if self._kept is not None:
-            from topazbank.state.keeper import resume_plane
+            from sidecar_balancer.persistence.persister import resume_plane
 
             resume_plane(self._link.plane, self._kept)
         self._link.ban(self.operations.ordered)
@@ -269,8 +269,8 @@
     def _open_state(self, config: Config) -> Keeper | None:
         if config.state is None:
             return None
-        from topazbank.state.keeper import Keeper
-        from topazbank.state.store import Store
+        from sidecar_balancer.persistence.persister import Keeper
+        from sidecar_balancer.persistence.store import Store
 
         return Keeper(Store(config.state.folder, config.state.most_bytes), config.state.tier_folder)
 
@@ -346,6 +346,6 @@
     """Histograms where there is a door to show them: without one nobody would see them."""
     if config.mgmt is None:
         return None
-    from topazbank.net.latency import Latencies
+    from sidecar_balancer.observability.latency import Latencies
 
     return Latencies()
--- /dev/null
+++ b/sidecar_balancer/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""The adapter that puts balancers on the simulator's wire."""
--- a/topazbank/wirehost.py
+++ b/sidecar_balancer/simulator/adapter.py
@@ -1,7 +1,7 @@
 """Puts balancers on the simulator's wire: a map of names, and no decision.
 
-Run as `python -m topazbank.wirehost`.  Input that breaks the wire's grammar ends the process with one line on
-standard error and exit code 2.
+Run as `python -m sidecar_balancer.simulator.adapter`.  Input that breaks the wire's grammar ends the
+process with one line on standard error and exit code 2.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any, TextIO
 
-from topazbank.balancer import Balancer
-from topazbank.interface import (
+from sidecar_balancer.policy.balancer import Balancer
+from sidecar_balancer.policy.interface import (
     Action,
     AnswerStarted,
     AttemptEnded,
--- /dev/null
+++ b/sidecar_balancer/upstream/__init__.py
@@ -0,0 +1,1 @@
+"""The servers' side: connections to servers."""
--- a/topazbank/net/upstream.py
+++ b/sidecar_balancer/upstream/connection.py
@@ -18,8 +18,8 @@
 
 import h11
 
-from topazbank.interface import Outcome, ServerState
-from topazbank.net.streams import (
+from sidecar_balancer.policy.interface import Outcome, ServerState
+from sidecar_balancer.runtime.streams import (
     EVENTS_AT_ONCE,
     HELD_WHOLE,
     STALLED_S,
--- a/tests/test_operators.py
+++ b/tests/admin/test_operators.py
@@ -7,11 +7,12 @@
 from pathlib import Path
 
 import pytest
-from loopback import World, answer, ask, is_closed, play, read_answer, request, until, world
 
-from topazbank.net import admin, frontend
-from topazbank.net.frontend import ClientConnection
-from topazbank.net.orders import Orders
+from loopback import World, answer, ask, is_closed, play, read_answer, request, until, world
+from sidecar_balancer.admin import server as admin
+from sidecar_balancer.admin.overrides import Orders
+from sidecar_balancer.downstream import frontend
+from sidecar_balancer.downstream.frontend import ClientConnection
 
 
 def served(*_: object) -> bytes:
--- a/tests/cluster/test_cli.py
+++ b/tests/cluster/test_cli.py
@@ -16,7 +16,7 @@
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
-        "topazbank.cli",
+        "sidecar_balancer.cli",
         *arguments,
         cwd=ROOT,
         stdout=asyncio.subprocess.PIPE,
--- a/tests/cluster/test_peer_plane.py
+++ b/tests/cluster/test_peer_plane.py
@@ -1,4 +1,4 @@
-"""The peer plane across sidecar processes, with faults between them (docs/peers.md)."""
+"""The peer plane across sidecar processes, with faults between them (docs/membership.md)."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from pathlib import Path
 
 import msgpack  # type: ignore[import-untyped]
+
 from harness import PLANE, Tier, play, tier
+from sidecar_balancer.membership import codec
+from sidecar_balancer.membership.codec import Kind, Message, VerdictUpdate
+from sidecar_balancer.persistence import snapshot
+from sidecar_balancer.persistence.store import Store
+from sidecar_balancer.policy.interface import Verdict
 from world import Catalogue, World, world
 
-from topazbank.interface import Verdict
-from topazbank.peers import codec
-from topazbank.peers.codec import Kind, Message, VerdictUpdate
-from topazbank.state import snapshot
-from topazbank.state.store import Store
-
 
 async def all_alive(made: Tier) -> bool:
     for number in made.processes:
--- a/tests/cluster/test_recovery.py
+++ b/tests/cluster/test_recovery.py
@@ -91,8 +91,8 @@
 
 async def kept(folder: Path) -> bool:
     """Whether the ejection is on disk."""
-    from topazbank.state.keeper import _read
-    from topazbank.state.store import Store
+    from sidecar_balancer.persistence.persister import _read
+    from sidecar_balancer.persistence.store import Store
 
     copy = folder / "copy"
     shutil.copytree(folder / "n0", copy)
--- a/tests/cluster/test_relays.py
+++ b/tests/cluster/test_relays.py
@@ -1,6 +1,7 @@
 """Relays as processes: a registry stand-in, relays and sidecars, with faults between.
 
-No time is measured here; what must come within 6 s is shown on a clock of its own in tests/test_relay.py.
+No time is measured here; what must come within 6 s is shown on a clock of its own in
+tests/relay/test_relay.py.
 """
 
 from __future__ import annotations
@@ -17,9 +18,8 @@
 from typing import Any
 
 import pytest
-from harness import PATIENCE_S, ROOT, Address, free_ports, new_host, text
 
-sys.path.insert(0, str(Path(__file__).parent.parent))
+from harness import PATIENCE_S, ROOT, Address, free_ports, new_host, text
 from loopback import ask, play
 from registry import Registry, entry
 
@@ -106,7 +106,7 @@
             f'mgmt = "{text(relay.door)}"',
         ]
         path.write_text("\n".join(lines))
-        await relay.start("topazbank.cli", "relay", "--config", str(path))
+        await relay.start("sidecar_balancer.cli", "relay", "--config", str(path))
 
     async def start_sidecar(self, sidecar: Process) -> None:
         platform = {
@@ -121,7 +121,7 @@
         config.write_text(json.dumps(platform))
         own.write_text("".join(f'[[relays]]\naddress = "{text(each.listen)}"\n' for each in self.relays))
         assert len(tomllib.loads(own.read_text())["relays"]) == len(self.relays)
-        await sidecar.start("topazbank", RELAY_CONFIG=str(config), WEIRLOCK_CONFIG=str(own))
+        await sidecar.start("sidecar_balancer", RELAY_CONFIG=str(config), WEIRLOCK_CONFIG=str(own))
 
     async def states(self, name: str) -> list[str | None]:
         told = [await each.get("servers") for each in self.sidecars]
@@ -255,7 +255,7 @@
     async def scene() -> None:
         path = tmp_path / "relay.toml"
         path.write_text(config)
-        await ends_with_one_line("topazbank.cli", "relay", "--config", str(path))
+        await ends_with_one_line("sidecar_balancer.cli", "relay", "--config", str(path))
 
     play(scene())
 
@@ -278,6 +278,6 @@
         given = {"listen": "127.0.0.1:9", "discovery": "127.0.0.1:1", "settings": {"lanes": LANES}}
         config.write_text(json.dumps(given))
         own.write_text(relays)
-        await ends_with_one_line("topazbank", RELAY_CONFIG=str(config), WEIRLOCK_CONFIG=str(own))
+        await ends_with_one_line("sidecar_balancer", RELAY_CONFIG=str(config), WEIRLOCK_CONFIG=str(own))
 
     play(scene())
--- a/tests/test_settings.py
+++ b/tests/config/test_settings.py
@@ -9,8 +9,8 @@
 from hypothesis import settings as how
 from hypothesis import strategies as st
 
-from topazbank import Balancer, Settings
-from topazbank.interface import Discovery, Repeat, RequestArrived
+from sidecar_balancer import Balancer, Settings
+from sidecar_balancer.policy.interface import Discovery, Repeat, RequestArrived
 
 LEAST = {"classes": [{"name": "a", "deadline_us": 1_000_000}]}
 
--- a/tests/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -8,13 +8,13 @@
 from typing import Any
 
 import pytest
+
 from helpers import S
 from loopback import FakeDiscovery, answer, play, until, world
-
-from topazbank.interface import ServerState
-from topazbank.net import discovery as net_discovery
-from topazbank.net.discovery import _IDLE_S, Discovery
-from topazbank.net.endpoint_list import LIST_MOST_BYTES, ListUpdate, parse_list, read_list
+from sidecar_balancer.discovery import client as net_discovery
+from sidecar_balancer.discovery.client import _IDLE_S, Discovery
+from sidecar_balancer.discovery.endpoint_list import LIST_MOST_BYTES, ListUpdate, parse_list, read_list
+from sidecar_balancer.policy.interface import ServerState
 
 
 def served(*_: object) -> bytes:
--- a/tests/test_discovery_waits.py
+++ b/tests/discovery/test_discovery_waits.py
@@ -10,13 +10,13 @@
 import socket
 
 import pytest
+
 from helpers import START, S, Stage, names, settings
 from loopback import answer, ask, request, until, world
+from sidecar_balancer.discovery import client as net_discovery
+from sidecar_balancer.policy.interface import Follow, ListKind, ServersListed, ServerState
 from virtual import play_on_clock
 
-from topazbank.interface import Follow, ListKind, ServersListed, ServerState
-from topazbank.net import discovery as net_discovery
-
 TOLD_S = 6.0  # after discovery had a change and could be reached
 CALL_S = 2.0  # discovery answers a call or fails it within this
 MARGIN_S = 0.5  # for the sidecar's own work, and a busy machine
--- a/tests/test_frontend.py
+++ b/tests/downstream/test_frontend.py
@@ -10,14 +10,15 @@
 from typing import get_args
 
 import pytest
+
 from helpers import settings
 from loopback import PATIENCE_S, answer, ask, is_closed, play, read_answer, request, until, world
-
-from topazbank import balancer
-from topazbank.interface import Action, Event, Refuse, RequestArrived, RequestGone
-from topazbank.net import frontend, upstream
-from topazbank.net.frontend import ClientConnection, Frontend, Hooks
-from topazbank.net.streams import LONGEST
+from sidecar_balancer.downstream import frontend
+from sidecar_balancer.downstream.frontend import ClientConnection, Frontend, Hooks
+from sidecar_balancer.policy import balancer
+from sidecar_balancer.policy.interface import Action, Event, Refuse, RequestArrived, RequestGone
+from sidecar_balancer.runtime.streams import LONGEST
+from sidecar_balancer.upstream import connection as upstream
 
 
 def served(*_: object) -> bytes:
--- a/tests/test_lease.py
+++ b/tests/lease/test_lease.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from topazbank.lease.core import Fence, Kind, Leases, Message, Terms
-from topazbank.lease.model import Bound, explore
+from lease_explorer import Bound, explore
+from sidecar_balancer.lease.core import Fence, Kind, Leases, Message, Terms
 
 TERMS = Terms(term_us=3_000, renew_us=1_000, skew_us=100, retry_us=250)
 
--- a/tests/test_peers.py
+++ b/tests/membership/test_peers.py
@@ -8,12 +8,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from topazbank.interface import Verdict
-from topazbank.peers import codec
-from topazbank.peers.codec import Kind, Malformed, Message, Status, VerdictUpdate
-from topazbank.peers.membership import Swim, Tuning
-from topazbank.peers.simnet import SimNet as Net
-from topazbank.peers.verdicts import Verdicts
+from sidecar_balancer.membership import codec
+from sidecar_balancer.membership.codec import Kind, Malformed, Message, Status, VerdictUpdate
+from sidecar_balancer.membership.swim import Swim, Tuning
+from sidecar_balancer.membership.verdicts import Verdicts
+from sidecar_balancer.policy.interface import Verdict
+from simnet import SimNet as Net
 
 MS = 1000
 
--- a/tests/test_snapshot.py
+++ b/tests/persistence/test_snapshot.py
@@ -8,8 +8,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from topazbank.state import snapshot
-from topazbank.state.snapshot import Refused
+from sidecar_balancer.persistence import snapshot
+from sidecar_balancer.persistence.snapshot import Refused
 
 RECORDS = [b"incarnation 7", b"", b"x" * 300, bytes(range(256))]
 WHOLE = snapshot.pack(RECORDS)
--- a/tests/test_store.py
+++ b/tests/persistence/test_store.py
@@ -10,13 +10,14 @@
 
 import msgpack  # type: ignore[import-untyped]
 import pytest
-from helpers import Stage
 from hypothesis import given
 from hypothesis import strategies as st
 
-from topazbank.state import snapshot, tier
-from topazbank.state.keeper import Keeper
-from topazbank.state.store import Store
+from helpers import Stage
+from sidecar_balancer.persistence import snapshot
+from sidecar_balancer.persistence import tier_snapshot as tier
+from sidecar_balancer.persistence.persister import Keeper
+from sidecar_balancer.persistence.store import Store
 
 MOST = 1 << 20
 
--- a/tests/test_any_sequence.py
+++ b/tests/policy/test_any_sequence.py
@@ -4,13 +4,13 @@
 
 from typing import Any
 
-from helpers import KEYED, MS, SAFE, START, UNSAFE, S, names, settings
 from hypothesis import HealthCheck, given
 from hypothesis import settings as how
 from hypothesis import strategies as st
 
-from topazbank import Balancer
-from topazbank.interface import (
+from helpers import KEYED, MS, SAFE, START, UNSAFE, S, names, settings
+from sidecar_balancer import Balancer
+from sidecar_balancer.policy.interface import (
     AnswerStarted,
     BodyEnded,
     Cancel,
@@ -33,7 +33,7 @@
     SetTimer,
     TimerFired,
 )
-from topazbank.interface import AttemptEnded as Ended
+from sidecar_balancer.policy.interface import AttemptEnded as Ended
 
 SERVERS = names(7)
 ZONES = ("east", "west")
--- a/tests/test_draw.py
+++ b/tests/policy/test_draw.py
@@ -6,9 +6,10 @@
 from collections import Counter
 
 import pytest
-from helpers import MS, SAFE, UNSAFE, S, Stage, names, settings
 
-from topazbank.interface import (
+from helpers import MS, SAFE, UNSAFE, S, Stage, names, settings
+from sidecar_balancer.policy.endpoint import Server
+from sidecar_balancer.policy.interface import (
     Cancel,
     Fail,
     ListedServer,
@@ -17,7 +18,6 @@
     Outcome,
     Refuse,
 )
-from topazbank.servers import Server
 
 
 def test_the_least_busy_of_the_drawn_wins() -> None:
--- a/tests/test_exclusions.py
+++ b/tests/policy/test_exclusions.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 import pytest
-from helpers import MS, S, Stage, names, settings
 
-from topazbank.interface import (
+from helpers import MS, S, Stage, names, settings
+from sidecar_balancer.policy.interface import (
     Exclude,
     ExclusionAsked,
     ExclusionsHeard,
@@ -165,7 +165,7 @@
 
 
 def test_names_of_servers_that_left_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("topazbank.balancer.LEFT_KNOWN", 20)
+    monkeypatch.setattr("sidecar_balancer.policy.balancer.LEFT_KNOWN", 20)
     stage = Stage(settings())
     for deploy in range(10):
         stage.servers([f"{deploy}-{each}" for each in SERVERS])
--- a/tests/test_locality.py
+++ b/tests/policy/test_locality.py
@@ -6,10 +6,10 @@
 from typing import Any
 
 import pytest
+
 from helpers import MS, Stage, settings
 from helpers import S as SECOND
-
-from topazbank.interface import (
+from sidecar_balancer.policy.interface import (
     ListedServer,
     Outcome,
     PeerVerdict,
--- a/tests/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -5,9 +5,9 @@
 import itertools
 
 import pytest
-from helpers import MS, START, S, Stage, names, settings
 
-from topazbank.interface import (
+from helpers import MS, START, S, Stage, names, settings
+from sidecar_balancer.policy.interface import (
     AnswerStarted,
     AttemptEnded,
     BodyEnded,
--- a/tests/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -10,9 +10,9 @@
 import random
 
 import pytest
-from helpers import MS, START, S, Stage, names, settings
 
-from topazbank.interface import ListedServer, ListKind
+from helpers import MS, START, S, Stage, names, settings
+from sidecar_balancer.policy.interface import ListedServer, ListKind
 
 COLD_FROM = 0.2  # of its capacity: where a cold server begins
 COLD_US = 10 * S  # and until when it is warm
--- a/tests/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -12,23 +12,24 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
+
 from loopback import answer, ask, until
 from registry import Registry, entry
+from sidecar_balancer.discovery import client as discovery
+from sidecar_balancer.discovery import sources
+from sidecar_balancer.discovery.client import Discovery
+from sidecar_balancer.discovery.endpoint_list import EndpointList, ListUpdate, parse_list
+from sidecar_balancer.discovery.sources import RelayAddress, SourceSelector, in_order_of_preference
+from sidecar_balancer.observability.logs import LogConfig
+from sidecar_balancer.policy.interface import ServerState
+from sidecar_balancer.relay import caller as relay_caller
+from sidecar_balancer.relay.app import Relay
+from sidecar_balancer.relay.changelog import ChangeLog
+from sidecar_balancer.relay.config import RelayConfig
+from sidecar_balancer.relay.service import Limits
+from sidecar_balancer.upstream.connection import Address
 from virtual import play_on_clock
 
-from topazbank.interface import ServerState
-from topazbank.logs import LogConfig
-from topazbank.net import discovery, sources
-from topazbank.net.discovery import Discovery
-from topazbank.net.endpoint_list import EndpointList, ListUpdate, parse_list
-from topazbank.net.sources import RelayAddress, SourceSelector, in_order_of_preference
-from topazbank.net.upstream import Address
-from topazbank.relay import caller as relay_caller
-from topazbank.relay.app import Relay
-from topazbank.relay.changelog import ChangeLog
-from topazbank.relay.config import RelayConfig
-from topazbank.relay.service import Limits
-
 TOLD_S = 6.0  # after the registry had a change, it is in force at every sidecar that reaches a relay
 Play = Callable[[Any], None]
 
--- a/tests/test_close_range.py
+++ b/tests/runtime/test_close_range.py
@@ -16,6 +16,7 @@
 
 import h11
 import pytest
+
 from helpers import SAFE, UNSAFE, S
 from loopback import (
     FakeDiscovery,
@@ -30,9 +31,10 @@
     until,
     world,
 )
-from virtual import play_on_clock, stall
-
-from topazbank.interface import (
+from sidecar_balancer.admin.overrides import Orders
+from sidecar_balancer.discovery.client import Discovery
+from sidecar_balancer.discovery.endpoint_list import ListUpdate
+from sidecar_balancer.policy.interface import (
     AttemptEnded,
     ExclusionAsked,
     Outcome,
@@ -42,11 +44,9 @@
     ServerState,
     TimerFired,
 )
-from topazbank.net import upstream
-from topazbank.net.discovery import Discovery
-from topazbank.net.endpoint_list import ListUpdate
-from topazbank.net.orders import Orders
-from topazbank.net.streams import STALLED_S
+from sidecar_balancer.runtime.streams import STALLED_S
+from sidecar_balancer.upstream import connection as upstream
+from virtual import play_on_clock, stall
 
 GRACE_S = 0.55  # of a drain, with the slack of the rules
 SILENT_S = 6.0  # what a watch that fell silent misses counts as told so long after
--- a/tests/test_life.py
+++ b/tests/runtime/test_life.py
@@ -15,6 +15,7 @@
 from typing import Any
 
 import pytest
+
 from loopback import (
     PATIENCE_S,
     FakeDiscovery,
@@ -28,12 +29,11 @@
     until,
     world,
 )
+from sidecar_balancer.observability.logs import Flood, LogConfig, start_log
+from sidecar_balancer.runtime import sidecar
+from sidecar_balancer.upstream.connection import Address
 
-from topazbank.logs import Flood, LogConfig, start_log
-from topazbank.net import sidecar
-from topazbank.net.upstream import Address
-
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 SETTINGS: dict[str, Any] = {
     "lanes": [
         {"name": "look", "giveUpUs": 2_000_000, "repeat": "read_like"},
@@ -59,7 +59,7 @@
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
-        "topazbank",
+        "sidecar_balancer",
         cwd=ROOT,
         env=environ | {"RELAY_CONFIG": str(path)} | environment,
         pass_fds=() if accept_fd is None else (accept_fd,),
@@ -106,7 +106,7 @@
 
 def test_a_json_line_names_its_event_and_what_it_is_about(capsys: pytest.CaptureFixture[str]) -> None:
     start_log(LogConfig(format="json"))
-    log = logging.getLogger("topazbank.net.sidecar")
+    log = logging.getLogger("sidecar_balancer.runtime.sidecar")
     log.info("%s: %d", "ejected s-1", 3, extra={"kind": "ejected", "server": "s-1"})
     log.warning("the event loop was %.0f ms late", 70.2)
     try:
@@ -122,7 +122,7 @@
     log.info("not told")
     log.error("told %d", 1)
     (line,) = capsys.readouterr().err.splitlines()
-    assert line.endswith("topazbank.net.sidecar told 1")
+    assert line.endswith("sidecar_balancer.runtime.sidecar told 1")
     logging.getLogger().handlers.clear()
 
 
--- a/tests/test_queueing.py
+++ b/tests/runtime/test_queueing.py
@@ -7,13 +7,13 @@
 import time
 
 import pytest
+
 from helpers import SAFE, S
 from loopback import answer, read_answer, request, until, world
+from sidecar_balancer.downstream import frontend
+from sidecar_balancer.runtime.queueing import BacklogAge, PollTimes, TimedLoop, since_last_data_s
 from virtual import play_on_clock, stall
 
-from topazbank.net import frontend
-from topazbank.net.queueing import BacklogAge, PollTimes, TimedLoop, since_last_data_s
-
 BUDGET_S = 2.0
 SLACK_S = 0.05  # what a told time may be off: the clock stands still while the kernel is at work
 
--- a/tests/test_streams.py
+++ b/tests/runtime/test_streams.py
@@ -9,12 +9,14 @@
 from collections.abc import AsyncIterator, Awaitable, Callable
 
 import pytest
-from loopback import PATIENCE_S, Listening, World, answer, play, request, reset, until, world
 
-from topazbank.interface import AnswerStarted, AttemptEnded, Outcome, RequestArrived
-from topazbank.net import frontend, streams, upstream
-from topazbank.net.frontend import ClientConnection
-from topazbank.net.streams import HELD_WHOLE, Budget
+from loopback import PATIENCE_S, Listening, World, answer, play, request, reset, until, world
+from sidecar_balancer.downstream import frontend
+from sidecar_balancer.downstream.frontend import ClientConnection
+from sidecar_balancer.policy.interface import AnswerStarted, AttemptEnded, Outcome, RequestArrived
+from sidecar_balancer.runtime import streams
+from sidecar_balancer.runtime.streams import HELD_WHOLE, Budget
+from sidecar_balancer.upstream import connection as upstream
 
 LONG = bytes(range(251)) * 4_000  # about 1 MB, so that misplaced pieces show
 HUGE = 24 * 1024 * 1024
--- a/tests/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -15,7 +15,7 @@
 from hypothesis import settings as how
 from hypothesis import strategies as st
 
-from topazbank.wirehost import run, settings_from_wire
+from sidecar_balancer.simulator.adapter import run, settings_from_wire
 
 BOOT: dict[str, Any] = {
     "bounds": {"sendCap": 3, "secondCopies": True, "mayCancel": True, "streamsPerConn": 1},
@@ -160,12 +160,12 @@
     text = "".join(json.dumps(each) + "\n" for each in script)
     replies = [
         subprocess.run(
-            [sys.executable, "-m", "topazbank.wirehost"],
+            [sys.executable, "-m", "sidecar_balancer.simulator.adapter"],
             input=text,
             capture_output=True,
             text=True,
             check=True,
-            cwd=Path(__file__).parent.parent,
+            cwd=Path(__file__).parent.parent.parent,
             env={**os.environ, "PYTHONHASHSEED": hash_seed},
         ).stdout
         for hash_seed in ("1", "2")
--- a/tests/cluster/harness.py
+++ b/tests/support/harness.py
@@ -162,7 +162,7 @@
         self.processes[number] = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "topazbank",
+            "sidecar_balancer",
             cwd=self.program,
             env=environ | {"RELAY_CONFIG": str(path), "TMPDIR": str(folder)},
             stderr=log,
--- a/tests/helpers.py
+++ b/tests/support/helpers.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable
 from typing import Any, TypeVar
 
-from topazbank import Balancer, Settings
-from topazbank.interface import (
+from sidecar_balancer import Balancer, Settings
+from sidecar_balancer.policy.interface import (
     Action,
     AttemptEnded,
     Event,
--- a/tests/loopback.py
+++ b/tests/support/loopback.py
@@ -13,12 +13,11 @@
 from typing import Any
 
 from helpers import settings
-
-from topazbank.interface import Action, Event
-from topazbank.net.config import Config
-from topazbank.net.endpoint_list import parse_list
-from topazbank.net.sidecar import Sidecar
-from topazbank.net.upstream import Address
+from sidecar_balancer.config.sidecar import Config
+from sidecar_balancer.discovery.endpoint_list import parse_list
+from sidecar_balancer.policy.interface import Action, Event
+from sidecar_balancer.runtime.sidecar import Sidecar
+from sidecar_balancer.upstream.connection import Address
 
 PATIENCE_S = 20.0  # for what must come; no test takes it as proof of anything
 
--- a/topazbank/peers/simnet.py
+++ b/tests/support/simnet.py
@@ -9,9 +9,9 @@
 
 import random
 
-from topazbank.peers import codec
-from topazbank.peers.codec import Status
-from topazbank.peers.membership import Datagram, Swim, Tuning
+from sidecar_balancer.membership import codec
+from sidecar_balancer.membership.codec import Status
+from sidecar_balancer.membership.swim import Datagram, Swim, Tuning
 
 _MS = 1000
 
--- a/tests/virtual.py
+++ b/tests/support/virtual.py
@@ -16,8 +16,9 @@
 
 import pytest
 
-from topazbank.net import clock, operations, sidecar
-from topazbank.net.queueing import PollTimes
+from sidecar_balancer.admin import handlers as operations
+from sidecar_balancer.runtime import clock, sidecar
+from sidecar_balancer.runtime.queueing import PollTimes
 
 _REAL_WAIT_S = 0.001  # before the clock moves on: what is under way in the kernel arrives by then
 _MOST_S = 600.0  # of the clock, for one scene
--- a/tests/test_attempts.py
+++ b/tests/upstream/test_attempts.py
@@ -7,6 +7,7 @@
 
 import h11
 import pytest
+
 from helpers import S
 from loopback import (
     PATIENCE_S,
@@ -20,12 +21,19 @@
     until,
     world,
 )
+from sidecar_balancer.policy.interface import AttemptEnded, Outcome, ServerState
+from sidecar_balancer.upstream import connection as upstream
+from sidecar_balancer.upstream.connection import (
+    Exchange,
+    Order,
+    Response,
+    Upstream,
+    connect,
+    judge,
+    parse_report,
+)
 from virtual import play_on_clock
 
-from topazbank.interface import AttemptEnded, Outcome, ServerState
-from topazbank.net import upstream
-from topazbank.net.upstream import Exchange, Order, Response, Upstream, connect, judge, parse_report
-
 
 def served(*_: object) -> bytes:
     return answer(200, b"served")
--- a/topazbank/lease/model.py
+++ b/tools/lease_explorer.py
@@ -1,4 +1,4 @@
-"""An exhaustive explorer of the lease protocol: it runs `topazbank.lease.core` itself, not a copy of it.
+"""An exhaustive explorer of the lease protocol: it runs `sidecar_balancer.lease.core` itself.
 
 `explore(bound)` visits every state reachable within `bound`.  Members run `Leases` on clocks that are real
 time plus an offset in `0 .. drift`, moved by one at a tick, `drift_steps` times in all: over any span a
@@ -11,7 +11,7 @@
 - liveness, from each state at the last tick: if faults stop (messages arrive in order, clocks keep their
   offsets, members see each other), some member holds the duty within `settle` ticks.
 
-`python -m topazbank.lease.model` prints the bound and the counts.
+`python tools/lease_explorer.py` prints the bound and the counts.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from functools import lru_cache
 from typing import NamedTuple
 
-from topazbank.lease.core import Duty, Kind, Leases, Message, Terms
+from sidecar_balancer.lease.core import Duty, Kind, Leases, Message, Terms
 
 Flying = tuple[int, int, Message, int]  # sender, target, message, ticks in flight
 MemberKey = tuple[object, ...]
