--- a/bench/peers.py
+++ b/bench/peers.py
@@ -16,9 +16,8 @@
 import time
 from collections.abc import Callable
 
-from sidecar_balancer.membership.codec import Status
+from sidecar_balancer.membership.codec import Status, WireVerdict
 from sidecar_balancer.membership.swim import Tuning, retransmits
-from sidecar_balancer.policy.interface import Verdict
 from simnet import SimNet
 
 STEP_MS = 5
@@ -51,11 +50,11 @@
     net.run(1_000)
     sent_before, cpu_before, at = net.sent_bytes, time.process_time(), net.now
     origin = seed % size
-    net.members[origin].publish(net.clock(origin), SERVER, Verdict.EJECTED, 3, 30_000)
+    net.members[origin].publish(net.clock(origin), SERVER, WireVerdict.EJECTED, 3, 30_000)
     spread = until(
         net,
         lambda: all(
-            net.members[each].agreeing(net.clock(each), SERVER, Verdict.EJECTED)
+            net.members[each].agreeing(net.clock(each), SERVER, WireVerdict.EJECTED)
             for each in net.live()
             if each != origin
         ),
--- a/bench/scale_hollow.py
+++ b/bench/scale_hollow.py
@@ -27,7 +27,8 @@
 from sidecar_balancer.discovery.client import Discovery
 from sidecar_balancer.discovery.endpoint_list import ListUpdate
 from sidecar_balancer.discovery.sources import RelayAddress, in_order_of_preference
-from sidecar_balancer.policy.interface import ListKind, ServersListed
+from sidecar_balancer.policy.events import EndpointListReceived
+from sidecar_balancer.policy.types import ListKind
 from sidecar_balancer.upstream.connection import Address, parse_address
 
 START_SPREAD_S = 3.0  # over which the members of a process begin
@@ -86,9 +87,9 @@
             assert self.client is not None
             loop.call_later(RETRY_S * random.random(), self.client.follow, True)
             return
-        kind = ListKind.COMPLETE if update.complete else ListKind.CHANGES
+        kind = ListKind.SNAPSHOT if update.complete else ListKind.DELTA
         servers = [each.server for each in update.entries]
-        self.balancer.handle(int(loop.time() * 1e6), ServersListed(kind, servers, update.version))
+        self.balancer.handle(int(loop.time() * 1e6), EndpointListReceived(kind, servers, update.version))
         if update.version != self.index:
             self.applied.append((time.monotonic(), self.index, update.version))
             self.index = update.version
@@ -97,13 +98,13 @@
 async def run_sidecars(count: int, first: int, servers: int, addresses: list[Address]) -> None:
     """Run members of the tier; `report` tells what each applied since the last report."""
     relays = [RelayAddress(each) for each in addresses]
-    given = settings(group_size=count)
+    given = settings(fleet_size=count)
     known = [entry(number) for number in range(servers)]
     listed = [each.server for each in change(1, *known).entries]
     members = []
     for number in range(first, first + count):
         balancer = Balancer(given, number)
-        balancer.handle(0, ServersListed(ListKind.REMEMBERED, listed, 1))
+        balancer.handle(0, EndpointListReceived(ListKind.CACHED, listed, 1))
         members.append(Member(number, in_order_of_preference(relays, f"n{number}", ""), balancer))
     loop = asyncio.get_running_loop()
     for each in members:
--- a/bench/scale_request.py
+++ b/bench/scale_request.py
@@ -9,15 +9,9 @@
 
 from helpers import settings
 from sidecar_balancer import Balancer
-from sidecar_balancer.policy.interface import (
-    AttemptEnded,
-    ListedServer,
-    ListKind,
-    Outcome,
-    RequestArrived,
-    Send,
-    ServersListed,
-)
+from sidecar_balancer.policy.actions import SendAttempt
+from sidecar_balancer.policy.events import AttemptEnded, EndpointListReceived, ListedServer, RequestReceived
+from sidecar_balancer.policy.types import ListKind, Outcome
 
 TRIALS = 5
 REQUESTS = 100  # a trial
@@ -38,15 +32,15 @@
 def _request_us(size: int, cross_zone: float) -> list[float]:
     balancer = Balancer(settings(zone="zone-00", prices={"cross_zone": cross_zone}), 7)
     listed = [ListedServer(f"s-{number:08x}", zone=f"zone-{number % ZONES:02d}") for number in range(size)]
-    balancer.handle(0, ServersListed(ListKind.COMPLETE, listed, 1))
+    balancer.handle(0, EndpointListReceived(ListKind.SNAPSHOT, listed, 1))
     now, ident, costs = 1_000_000, 0, []
     for _ in range(TRIALS):
         spent = 0.0
         for _ in range(REQUESTS):
             now, ident = now + EVERY_US, ident + 1
             began = time.process_time()
-            actions = balancer.handle(now, RequestArrived(ident, "look", None, None, 2_000_000, None))
-            server = next(each.server for each in actions if isinstance(each, Send))
+            actions = balancer.handle(now, RequestReceived(ident, "look", None, None, 2_000_000, None))
+            server = next(each.server for each in actions if isinstance(each, SendAttempt))
             ended = AttemptEnded(ident, 0, server, Outcome.DELIVERED, TAKING_US, True, None)
             balancer.handle(now + TAKING_US, ended)
             spent += time.process_time() - began
--- a/sidecar_balancer/admin/handlers.py
+++ b/sidecar_balancer/admin/handlers.py
@@ -16,13 +16,13 @@
 from sidecar_balancer.admin.views import servers_view, state_line, zones_view
 from sidecar_balancer.discovery.client import Discovery
 from sidecar_balancer.downstream.frontend import Frontend
-from sidecar_balancer.policy.interface import (
-    Exclude,
-    ExclusionAsked,
-    ExclusionsHeard,
-    ZoneOrder,
-    ZonesOrdered,
+from sidecar_balancer.policy.actions import ApplyDisabledServers
+from sidecar_balancer.policy.events import (
+    DisabledServersChanged,
+    ServerOverrideRequested,
+    ZoneOverridesChanged,
 )
+from sidecar_balancer.policy.types import ZoneOverride
 from sidecar_balancer.runtime.engine import Engine
 from sidecar_balancer.runtime.proxy import Proxy, by_status
 from sidecar_balancer.upstream.connection import Upstream
@@ -67,8 +67,8 @@
         self._orders_fault = False
         self._knows_server = False  # whether the balancer took the call that it was last asked about
         self._evacuated = False
-        self._zone_orders: dict[str, ZoneOrder] = {}
-        engine.executors[Exclude] = self._exclude
+        self._zone_orders: dict[str, ZoneOverride] = {}
+        engine.executors[ApplyDisabledServers] = self._exclude
 
     def calls(self) -> dict[str, tuple[str, Operation]]:
         """The door's calls by name: method and operation."""
@@ -79,8 +79,8 @@
             "servers": ("GET", self._tell_servers),
             "zones": ("GET", self._tell_zones),
             "duties": ("GET", self._tell_duties),
-            "drain-zone/": ("PUT", partial(self._order_zone, order=ZoneOrder.DRAIN)),
-            "pin-zone/": ("PUT", partial(self._order_zone, order=ZoneOrder.PIN)),
+            "drain-zone/": ("PUT", partial(self._order_zone, order=ZoneOverride.DRAIN)),
+            "pin-zone/": ("PUT", partial(self._order_zone, order=ZoneOverride.NEVER_EVACUATE)),
             "free-zone/": ("PUT", partial(self._order_zone, order=None)),
             "exclude/": ("PUT", partial(self._ask_exclusion, excluded=True)),
             "include/": ("PUT", partial(self._ask_exclusion, excluded=False)),
@@ -132,7 +132,7 @@
 
     # -- What they order ----------------------------------------------------------------------------------
 
-    def _order_zone(self, zone: str, order: ZoneOrder | None) -> None:
+    def _order_zone(self, zone: str, order: ZoneOverride | None) -> None:
         zones = self._engine.balancer.zones
         if not zones.on:
             raise Declined(404, "zones are off")
@@ -147,7 +147,7 @@
         with _storing():
             (self._orders.exclude if excluded else self._orders.include)(server)
         self._knows_server = False
-        self._engine.handle(ExclusionAsked(server, excluded))
+        self._engine.handle(ServerOverrideRequested(server, excluded))
         if not self._knows_server:
             with _storing():
                 self._orders.include(server)
@@ -188,7 +188,7 @@
         """The module hears this sidecar's own orders and the bans that the plane holds for the tier."""
         wanted = self.ordered | (self._link.bans() if self._link is not None else frozenset())
         if wanted != self._excluded:
-            self._engine.handle(ExclusionsHeard(wanted))
+            self._engine.handle(DisabledServersChanged(wanted))
 
     def _hear_zone_orders(self) -> None:
         if not self._engine.balancer.zones.on:
@@ -197,14 +197,14 @@
             stored = self._orders.zones()
         except OSError:
             return  # the orders' own reading has said so
-        known = {each.value: each for each in ZoneOrder}
+        known = {each.value: each for each in ZoneOverride}
         orders = {zone: known[order] for zone, order in stored.items() if order in known}
         if orders != self._zone_orders:
             self._zone_orders = orders
             log.info("zones ordered: %s", ", ".join(f"{z} {o}" for z, o in sorted(stored.items())) or "none")
-            self._engine.handle(ZonesOrdered(orders))
+            self._engine.handle(ZoneOverridesChanged(orders))
 
-    def _exclude(self, action: Exclude) -> None:
+    def _exclude(self, action: ApplyDisabledServers) -> None:
         self._knows_server = True
         if action.servers != self._excluded:
             self._excluded = action.servers
--- /dev/null
+++ b/sidecar_balancer/config/values.py
@@ -0,0 +1,123 @@
+"""A typed reader of configuration mappings, whose errors name the key at fault."""
+
+from __future__ import annotations
+
+from collections.abc import Collection, Mapping, Sequence
+from enum import Enum
+from typing import Any, TypeVar
+
+_Choice = TypeVar("_Choice", bound=Enum)
+_LARGEST_EXACT_INTEGER = 2**53  # beyond it a JSON number may have lost digits
+
+
+class ConfigurationError(ValueError):
+    """A configuration value that can't be used; the message names its key."""
+
+
+class ValueReader:
+    """Typed access to one mapping.  Each error names the path of the key; a null counts as absent."""
+
+    def __init__(self, given: object, path: str) -> None:
+        if not isinstance(given, Mapping):
+            raise ConfigurationError(f"{path}: a mapping is needed")
+        self._given = given
+        self._path = "" if path == "settings" else path + "."
+
+    def _value(self, key: str) -> Any:
+        return self._given.get(key)
+
+    def _error(self, key: str, needed: str) -> ConfigurationError:
+        return ConfigurationError(f"{self._path}{key}: {needed} is needed, not {self._value(key)!r:.60}")
+
+    def section(self, key: str) -> ValueReader:
+        """Return a reader of the nested mapping; an empty one where it is absent."""
+        value = self._value(key)
+        return ValueReader({} if value is None else value, self._path + key)
+
+    def sections(self, key: str) -> list[ValueReader]:
+        """Return a reader for each mapping of a list."""
+        value = self._value(key)
+        if value is None:
+            return []
+        if not isinstance(value, Sequence) or isinstance(value, (str, bytes)):
+            raise self._error(key, "a list")
+        return [ValueReader(each, f"{self._path}{key}[{index}]") for index, each in enumerate(value)]
+
+    def string(self, key: str, default: str | None = None) -> str:
+        """Return a string; without a default it is required."""
+        value = self._value(key)
+        if value is None and default is not None:
+            return default
+        if not isinstance(value, str):
+            raise self._error(key, "a text")
+        return value
+
+    def reject_unknown(self, keys: Collection[str]) -> None:
+        """Raise an error that names the first key which is not among `keys`."""
+        unknown = sorted(str(key) for key in set(self._given) - set(keys))
+        if unknown:
+            raise ConfigurationError(
+                f"{self._path}{unknown[0]:.60}: no such key; known are {', '.join(keys)}"
+            )
+
+    def string_map(self, key: str) -> dict[str, str]:
+        """Return a mapping of strings to strings, empty where it is absent."""
+        value = self._value(key)
+        if value is None:
+            return {}
+        if not isinstance(value, Mapping) or not all(isinstance(e, str) for e in [*value, *value.values()]):
+            raise self._error(key, "a mapping of texts to texts")
+        return dict(value)
+
+    def strings(self, key: str) -> tuple[str, ...]:
+        """Return a list of strings, empty where it is absent."""
+        value = self._value(key)
+        if value is None:
+            return ()
+        if not isinstance(value, Sequence) or isinstance(value, str):
+            raise self._error(key, "a list of texts")
+        if not all(isinstance(each, str) for each in value):
+            raise self._error(key, "a list of texts")
+        return tuple(value)
+
+    def flag(self, key: str, default: bool) -> bool:
+        """Return a boolean."""
+        value = self._value(key)
+        if value is None:
+            return default
+        if not isinstance(value, bool):
+            raise self._error(key, "true or false")
+        return value
+
+    def number(
+        self, key: str, default: float, low: float = 0.0, high: float = _LARGEST_EXACT_INTEGER
+    ) -> float:
+        """Return a number in `low` to `high`."""
+        value = self._value(key)
+        if value is None:
+            return default
+        if isinstance(value, bool) or not isinstance(value, (int, float)) or not low <= value <= high:
+            raise self._error(key, f"a number from {low:g} to {high:g}")
+        return float(value)
+
+    def integer(self, key: str, default: int | None, low: int = 0) -> int:
+        """Return an integer of at least `low`; without a default it is required."""
+        value = self._value(key)
+        if value is None and default is not None:
+            return default
+        is_number = isinstance(value, (int, float)) and not isinstance(value, bool)
+        if not is_number or not low <= value <= _LARGEST_EXACT_INTEGER:
+            raise self._error(key, f"a whole number from {low}")
+        if value != int(value):
+            raise self._error(key, "a whole number")
+        return int(value)
+
+    def choice(self, key: str, kind: type[_Choice], default: _Choice) -> _Choice:
+        """Return the member of `kind` whose value the key holds."""
+        value = self._value(key)
+        if value is None:
+            return default
+        for each in kind:
+            if value == each.value:
+                return each
+        raise self._error(key, "one of " + ", ".join(str(each.value) for each in kind))
--- a/sidecar_balancer/discovery/endpoint_list.py
+++ b/sidecar_balancer/discovery/endpoint_list.py
@@ -9,12 +9,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from sidecar_balancer.policy.interface import ListedServer, ServerState
+from sidecar_balancer.policy.events import ListedServer
+from sidecar_balancer.policy.types import ServerState
 from sidecar_balancer.upstream.connection import Address, parse_address
 
 log = logging.getLogger(__name__)
 
-_STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
+_STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.REMOVED}
 _STATUSES = {state: status for status, state in _STATES.items()}
 
 
@@ -140,7 +141,7 @@
             self._entries = {}
         for entry in update.entries:
             self._entries[entry.server.server] = entry
-            if entry.server.state is ServerState.GONE:
+            if entry.server.state is ServerState.REMOVED:
                 del self._entries[entry.server.server]
         self.version, self._text = update.version, None
 
--- a/sidecar_balancer/downstream/frontend.py
+++ b/sidecar_balancer/downstream/frontend.py
@@ -13,7 +13,7 @@
 
 import h11
 
-from sidecar_balancer.policy.interface import Repeat, Settings
+from sidecar_balancer.config.settings import Idempotency, Settings
 from sidecar_balancer.runtime.queueing import BacklogAge, PollTimes, since_last_data_s
 from sidecar_balancer.runtime.streams import (
     EVENTS_AT_ONCE,
@@ -151,9 +151,9 @@
     call.budget_us = min(call.budget_us, kind.deadline_us)  # nobody waits longer, and it is held as long
     if settings.tenants and call.tenant not in {each.name for each in settings.tenants}:
         raise BadRequest(400, "x-caller is not known")
-    if call.method != (b"GET" if kind.repeat is Repeat.SAFE else b"POST"):
+    if call.method != (b"GET" if kind.idempotency is Idempotency.IDEMPOTENT else b"POST"):
         raise BadRequest(405, "the class needs another method")
-    if kind.repeat is Repeat.KEYED and not _is_keyed(head):
+    if kind.idempotency is Idempotency.IDEMPOTENCY_KEY and not _is_keyed(head):
         raise BadRequest(400, "idempotency-key is missing")  # servers could not drop its repeats
 
 
--- a/sidecar_balancer/membership/bridge.py
+++ b/sidecar_balancer/membership/bridge.py
@@ -13,20 +13,21 @@
 
 from sidecar_balancer.lease.duties import BACK, ZONES
 from sidecar_balancer.membership import codec
-from sidecar_balancer.membership.codec import ActUpdate
+from sidecar_balancer.membership.codec import ActUpdate, WireVerdict
+from sidecar_balancer.membership.swim import TierVerdict
 from sidecar_balancer.membership.transport import PeerPlane
-from sidecar_balancer.policy.interface import (
+from sidecar_balancer.policy.actions import PublishServerVerdict, PublishZoneVerdict
+from sidecar_balancer.policy.events import (
     Event,
-    KeptServer,
-    PeerVerdict,
-    ProbingHeard,
-    PublishVerdict,
+    LearnedServer,
+    PeerServerVerdict,
+    PeerVerdictsReceived,
     StateRestored,
-    TierAsked,
-    Verdict,
-    VerdictsHeard,
-    ZoneBack,
+    TierDemandReceived,
+    ZoneHealthCheckerChanged,
+    ZoneRecovered,
 )
+from sidecar_balancer.policy.types import ServerVerdict, ZoneVerdict
 
 log = logging.getLogger(__name__)
 
@@ -39,6 +40,15 @@
 _ASKED_EVERY = 10  # steps between tellings of what this sidecar is asked
 _RENEW_EVERY = int(LIFE_MS / 3000 / _STEP_S)
 
+_WIRE_VERDICTS = {
+    ServerVerdict.EJECTED: WireVerdict.EJECTED,
+    ServerVerdict.SLOW: WireVerdict.SLOW,
+    ServerVerdict.REJECTING: WireVerdict.REJECTING,
+    ServerVerdict.FAILING: WireVerdict.FAILING,
+    ServerVerdict.CLEARED: WireVerdict.CLEARED,
+}
+_SERVER_VERDICTS = {number: verdict for verdict, number in _WIRE_VERDICTS.items()}
+
 Slot = tuple[str, int]  # subject and slot of a verdict
 
 
@@ -57,10 +67,10 @@
         self.plane = plane
         self._classes, self._hear = classes, hear
         self._asked, self._paces = asked, paces
-        self._held: dict[Slot, tuple[Verdict, int]] = {}
+        self._held: dict[Slot, tuple[WireVerdict, int]] = {}
         self._untold = 0
         self._banned: frozenset[str] = frozenset()
-        self._heard: list[PeerVerdict] = []
+        self._heard: list[TierVerdict] = []
         self._tier: dict[str, float] = {}
         self._probing: bool | None = None
         self._steps = 0
@@ -116,53 +126,58 @@
         paces = {name: 1.0 + (pace / 100 - 1.0) / 2 for name, pace in swim.facts_heard.items()}
         out = self.plane.with_core(lambda core, now: core.tier_ejected(now))
         names = sorted({*paces, *out})
-        return StateRestored({name: KeptServer(paces.get(name, 1.0), int(name in out)) for name in names})
+        return StateRestored({name: LearnedServer(paces.get(name, 1.0), int(name in out)) for name in names})
 
     # -- Out: what this sidecar holds -------------------------------------------------------------------
 
-    def publish_verdict(self, action: PublishVerdict) -> None:
-        """The module holds something new of a server, one of its classes, or a zone."""
+    def publish_server_verdict(self, action: PublishServerVerdict) -> None:
+        """Publish what the balancer holds against a server, for one class or all."""
         slot = codec.ALL_CLASSES
-        if action.verdict in (Verdict.ZONE_LEFT, Verdict.ZONE_BACK):
-            slot = codec.ZONE
-        elif action.service_class is not None:
+        if action.service_class is not None:
             if action.service_class not in self._classes:
                 return
             slot = self._classes.index(action.service_class)
-        key = (action.server, slot)
-        if action.verdict is Verdict.ZONE_BACK:
-            self.plane.act(ZONES, action.server, BACK)  # to all, where this sidecar probes for them
-            if self._held.pop(key, None) is not None:
-                self.plane.publish(action.server, Verdict.CLEARED, 1, LIFE_MS, slot)
+        self._publish(action.server, slot, _WIRE_VERDICTS[action.verdict], action.evidence)
+
+    def publish_zone_verdict(self, action: PublishZoneVerdict) -> None:
+        """Publish that the balancer has evacuated a zone, or uses it again."""
+        if action.verdict is ZoneVerdict.EVACUATED:
+            self._publish(action.zone, codec.ZONE, WireVerdict.ZONE_EVACUATED, action.evidence)
             return
-        if action.verdict is Verdict.CLEARED:
+        self.plane.act(ZONES, action.zone, BACK)  # to all, where this sidecar probes for them
+        if self._held.pop((action.zone, codec.ZONE), None) is not None:
+            self.plane.publish(action.zone, WireVerdict.CLEARED, 1, LIFE_MS, codec.ZONE)
+
+    def _publish(self, subject: str, slot: int, verdict: WireVerdict, evidence: int) -> None:
+        key = (subject, slot)
+        if verdict is WireVerdict.CLEARED:
             self._held.pop(key, None)
         elif len(self._held) >= HELD_MOST and key not in self._held:
             self._untold += 1
             return
         else:
-            self._held[key] = (action.verdict, action.evidence)
-        self.plane.publish(action.server, action.verdict, action.evidence, LIFE_MS, slot)
+            self._held[key] = (verdict, evidence)
+        self.plane.publish(subject, verdict, evidence, LIFE_MS, slot)
 
     def ban(self, servers: frozenset[str]) -> None:
         """The operators' bans at this sidecar: told to the tier, and their end too."""
         for server in servers - self._banned:
-            self.plane.publish(server, Verdict.BANNED, 1, LIFE_MS, codec.BAN)
+            self.plane.publish(server, WireVerdict.DISABLED, 1, LIFE_MS, codec.BAN)
         for server in self._banned - servers:
-            self.plane.publish(server, Verdict.CLEARED, 1, LIFE_MS, codec.BAN)
+            self.plane.publish(server, WireVerdict.CLEARED, 1, LIFE_MS, codec.BAN)
         self._banned = servers
 
     def _renew(self) -> None:
         for (subject, slot), (verdict, evidence) in self._held.items():
             self.plane.publish(subject, verdict, evidence, LIFE_MS, slot)
         for server in self._banned:
-            self.plane.publish(server, Verdict.BANNED, 1, LIFE_MS, codec.BAN)
+            self.plane.publish(server, WireVerdict.DISABLED, 1, LIFE_MS, codec.BAN)
 
     def _tell_asked(self) -> None:
         for tenant, per_s in self._asked().items():
             if tenant and len(tenant.encode()) <= codec.SERVER_NAME_MOST:
                 hundredths = min(int(per_s * 100), codec.EVIDENCE_MOST)
-                self.plane.publish(tenant, Verdict.ASKS, hundredths, LIFE_MS // 3, codec.ASKED)
+                self.plane.publish(tenant, WireVerdict.DEMAND, hundredths, LIFE_MS // 3, codec.ASKED)
 
     # -- In: what peers hold ----------------------------------------------------------------------------
 
@@ -185,16 +200,30 @@
         self._timer = asyncio.get_running_loop().call_later(_STEP_S, self._step)
 
     def hear_verdicts(self) -> None:
-        held = self.plane.with_core(lambda swim, now: swim.tier_verdicts(now, self._classes))
+        held = self.plane.with_core(lambda swim, now: swim.tier_verdicts(now, len(self._classes)))
         if held != self._heard:
             self._heard = held
-            self._hear(VerdictsHeard(held))
+            self._hear(self._peer_verdicts(held))
+
+    def _peer_verdicts(self, held: list[TierVerdict]) -> PeerVerdictsReceived:
+        servers = [
+            PeerServerVerdict(
+                server=each.subject,
+                verdict=_SERVER_VERDICTS[each.verdict],
+                service_class=self._classes[each.slot] if each.slot >= 0 else None,
+                peers=each.members,
+            )
+            for each in held
+            if each.verdict in _SERVER_VERDICTS
+        ]
+        zones = {each.subject: each.members for each in held if each.verdict is WireVerdict.ZONE_EVACUATED}
+        return PeerVerdictsReceived(servers, zones)
 
     def _hear_asked(self) -> None:
         asked = self.plane.with_core(lambda swim, now: swim.tier_asked(now))
         if asked != self._tier:
             self._tier = asked
-            self._hear(TierAsked(asked))
+            self._hear(TierDemandReceived(asked))
 
     def _hear_probing(self) -> None:
         if self.plane.duties is None:
@@ -204,19 +233,20 @@
             if mine != self._probing:
                 log.info("zones are probed %s", "by this sidecar, for the tier" if mine else "by another")
             self._probing = mine
-            self._hear(ProbingHeard(mine))
+            self._hear(ZoneHealthCheckerChanged(mine))
 
     def _on_act(self, _: int, act: ActUpdate) -> bool:
         if self.plane.duties is None or not self.plane.duties.heard(act):
             return False
         if act.duty == ZONES and act.verb == BACK:
-            self._hear(ZoneBack(act.subject))
+            self._hear(ZoneRecovered(act.subject))
         return True
 
     def describe(self) -> dict[str, Any]:
         """For the operators: the plane's view, and how much of what this sidecar holds is told."""
         told = {
-            f"{subject} {slot}": verdict.name.lower() for (subject, slot), (verdict, _) in self._held.items()
+            f"{subject} {slot}": codec.VERDICT_NAMES[verdict]
+            for (subject, slot), (verdict, _) in self._held.items()
         }
         return self.plane.describe() | {"told": told, "untold": self._untold}
 
--- a/sidecar_balancer/membership/codec.py
+++ b/sidecar_balancer/membership/codec.py
@@ -23,8 +23,6 @@
 
 import msgpack  # type: ignore[import-untyped]
 
-from sidecar_balancer.policy.interface import Verdict
-
 VERSION = 2
 DATAGRAM_MOST = 256  # bytes, PROTOCOL "Between sidecars": a longer one voids the run
 MEMBERS_MOST = 1024  # numbers of members are below this
@@ -54,6 +52,33 @@
     DEAD = 2
 
 
+class WireVerdict(enum.IntEnum):
+    """The numbers that stand for verdicts, disabled servers and tenants' demand in a datagram."""
+
+    EJECTED = 0
+    SLOW = 1
+    REJECTING = 2
+    CLEARED = 3
+    FAILING = 4
+    DISABLED = 5
+    ZONE_EVACUATED = 6
+    DEMAND = 7
+    ZONE_RECOVERED = 8
+
+
+VERDICT_NAMES = {  # in the admin API
+    WireVerdict.EJECTED: "ejected",
+    WireVerdict.SLOW: "slow",
+    WireVerdict.REJECTING: "full",
+    WireVerdict.CLEARED: "cleared",
+    WireVerdict.FAILING: "failing",
+    WireVerdict.DISABLED: "banned",
+    WireVerdict.ZONE_EVACUATED: "zone_left",
+    WireVerdict.DEMAND: "asks",
+    WireVerdict.ZONE_RECOVERED: "zone_back",
+}
+
+
 class Malformed(ValueError):
     """A datagram that is not one of ours, or is out of bounds."""
 
@@ -80,7 +105,7 @@
     incarnation: int
     counter: int
     server: str
-    verdict: Verdict
+    verdict: WireVerdict
     evidence: int
     ttl_ms: int
     slot: int = ALL_CLASSES
@@ -218,7 +243,7 @@
         _whole(incarnation, 0, _WORD - 1, "incarnation"),
         _whole(counter, 0, _WORD - 1, "counter"),
         _name(server),
-        Verdict(_whole(verdict, 0, len(Verdict) - 1, "verdict")),
+        WireVerdict(_whole(verdict, 0, len(WireVerdict) - 1, "verdict")),
         _whole(evidence, 0, EVIDENCE_MOST, "evidence"),
         _whole(ttl_ms, 1, TTL_MOST_MS, "ttl_ms"),
         _whole(slot, ASKED, CLASSES_MOST - 1, "slot"),
--- a/sidecar_balancer/membership/swim.py
+++ b/sidecar_balancer/membership/swim.py
@@ -22,6 +22,7 @@
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
+from typing import NamedTuple
 
 from sidecar_balancer.membership import codec
 from sidecar_balancer.membership.codec import (
@@ -35,9 +36,9 @@
     Status,
     Update,
     VerdictUpdate,
+    WireVerdict,
 )
 from sidecar_balancer.membership.verdicts import Verdicts
-from sidecar_balancer.policy.interface import PeerVerdict, Verdict
 
 Datagram = tuple[int, bytes]  # to the member of that number
 STATE_PARTS_MOST = 100  # datagrams of one answer to a member that starts
@@ -78,6 +79,15 @@
     changed_us: int = 0
 
 
+class TierVerdict(NamedTuple):
+    """What live members hold on a subject, by the slot of `codec.VerdictUpdate`."""
+
+    subject: str
+    slot: int
+    verdict: WireVerdict
+    members: int  # how many hold one; `verdict` is the most frequent
+
+
 @dataclass(slots=True)
 class Probe:
     target: int
@@ -198,7 +208,7 @@
         self,
         now_us: int,
         server: str,
-        verdict: Verdict,
+        verdict: WireVerdict,
         evidence: int,
         ttl_ms: int,
         slot: int = codec.ALL_CLASSES,
@@ -252,7 +262,7 @@
         """Every other member's status and incarnation as this one holds them."""
         return {each: (member.status, member.incarnation) for each, member in sorted(self.members.items())}
 
-    def agreeing(self, now_us: int, server: str, verdict: Verdict) -> int:
+    def agreeing(self, now_us: int, server: str, verdict: WireVerdict) -> int:
         """How many live members other than this one hold `verdict` on `server` now."""
         live = set(self.alive())
         return sum(
@@ -268,27 +278,27 @@
         """Servers that the operators of at least `ban_quorum` live peers have left out now.
 
         `ban_most` at most: those held by the most peers first, then by name."""
-        held = Counter(each.server for each in self._told(now_us) if each.verdict is Verdict.BANNED)
+        held = Counter(each.server for each in self._told(now_us) if each.verdict is WireVerdict.DISABLED)
         chosen = sorted((-count, server) for server, count in held.items() if count >= self.tuning.ban_quorum)
         return frozenset(server for _, server in chosen[: self.tuning.ban_most])
 
-    def tier_verdicts(self, now_us: int, classes: list[str]) -> list[PeerVerdict]:
+    def tier_verdicts(self, now_us: int, class_count: int) -> list[TierVerdict]:
         """What live peers hold against servers, classes and zones now, one line each, in a fixed order."""
-        held = dict[tuple[str, int], Counter[Verdict]]()
+        held = dict[tuple[str, int], Counter[WireVerdict]]()
         for update in self._told(now_us):
-            against = update.verdict not in (Verdict.CLEARED, Verdict.BANNED, Verdict.ASKS)
-            named = update.slot < len(classes) and update.slot not in (codec.BAN, codec.ASKED)
+            against = update.verdict not in (WireVerdict.CLEARED, WireVerdict.DISABLED, WireVerdict.DEMAND)
+            named = update.slot < class_count and update.slot not in (codec.BAN, codec.ASKED)
             if against and named:
                 held.setdefault((update.server, update.slot), Counter())[update.verdict] += 1
         return [
-            PeerVerdict(server, most.most_common(1)[0][0], classes[slot] if slot >= 0 else None, most.total())
-            for (server, slot), most in sorted(held.items())
+            TierVerdict(subject, slot, verdicts.most_common(1)[0][0], verdicts.total())
+            for (subject, slot), verdicts in sorted(held.items())
         ]
 
     def tier_ejected(self, now_us: int) -> frozenset[str]:
         """Servers that half of the live peers hold ejected now, and two of them at least: for a member that
         starts and knows nothing itself."""
-        held = Counter(each.server for each in self._told(now_us) if each.verdict is Verdict.EJECTED)
+        held = Counter(each.server for each in self._told(now_us) if each.verdict is WireVerdict.EJECTED)
         enough = max(2, len(self.alive()) / 2)
         return frozenset(server for server, count in held.items() if count >= enough)
 
@@ -296,7 +306,7 @@
         """What the live peers were asked of late in all, requests a second by tenant."""
         asked = Counter[str]()
         for update in self._told(now_us):
-            if update.slot == codec.ASKED and update.verdict is Verdict.ASKS:
+            if update.slot == codec.ASKED and update.verdict is WireVerdict.DEMAND:
                 asked[update.server] += update.evidence
         return {tenant: hundredths / 100.0 for tenant, hundredths in asked.items()}
 
--- a/sidecar_balancer/membership/transport.py
+++ b/sidecar_balancer/membership/transport.py
@@ -15,8 +15,8 @@
 from sidecar_balancer.lease.core import Terms
 from sidecar_balancer.lease.duties import Duties
 from sidecar_balancer.membership import codec
+from sidecar_balancer.membership.codec import WireVerdict
 from sidecar_balancer.membership.swim import Datagram, Swim, Tuning
-from sidecar_balancer.policy.interface import Verdict
 
 log = logging.getLogger(__name__)
 
@@ -83,7 +83,7 @@
         return self._clock()
 
     def publish(
-        self, subject: str, verdict: Verdict, evidence: int, ttl_ms: int, slot: int = codec.ALL_CLASSES
+        self, subject: str, verdict: WireVerdict, evidence: int, ttl_ms: int, slot: int = codec.ALL_CLASSES
     ) -> None:
         self.swim.publish(self._clock(), subject, verdict, evidence, ttl_ms, slot)
 
@@ -117,7 +117,7 @@
             "received": [counts.received, counts.received_bytes],
             "dropped": dict(counts.dropped),
             "verdicts": [
-                [u.origin, u.server, u.verdict.name.lower(), u.slot, ttl]
+                [u.origin, u.server, codec.VERDICT_NAMES[u.verdict], u.slot, ttl]
                 for u, ttl in swim.verdicts.live(now)
             ],
             "evicted": swim.verdicts.evicted,
--- a/sidecar_balancer/membership/verdicts.py
+++ b/sidecar_balancer/membership/verdicts.py
@@ -11,8 +11,7 @@
 
 from dataclasses import dataclass
 
-from sidecar_balancer.membership.codec import TTL_MOST_MS, VerdictUpdate
-from sidecar_balancer.policy.interface import Verdict
+from sidecar_balancer.membership.codec import TTL_MOST_MS, VerdictUpdate, WireVerdict
 
 _US_PER_MS = 1000
 
@@ -59,7 +58,7 @@
         for key in [key for key, entry in self._entries.items() if entry.expires_us < gone]:
             del self._entries[key]
 
-    def holding(self, now_us: int, server: str, verdict: Verdict, but: int = -1) -> list[VerdictUpdate]:
+    def holding(self, now_us: int, server: str, verdict: WireVerdict, but: int = -1) -> list[VerdictUpdate]:
         """The unexpired verdicts of that kind on `server`, one an origin, leaving out origin `but`."""
         return [
             each
--- a/sidecar_balancer/persistence/persister.py
+++ b/sidecar_balancer/persistence/persister.py
@@ -32,7 +32,7 @@
 from sidecar_balancer.persistence import tier_snapshot as tier
 from sidecar_balancer.persistence.store import Store
 from sidecar_balancer.policy.balancer import Balancer
-from sidecar_balancer.policy.interface import KeptServer, StateRestored
+from sidecar_balancer.policy.events import LearnedServer, StateRestored
 
 log = logging.getLogger(__name__)
 
@@ -169,7 +169,7 @@
 
 
 def _read(records: dict[str, bytes]) -> Kept:
-    kept, servers = Kept(), dict[str, KeptServer]()
+    kept, servers = Kept(), dict[str, LearnedServer]()
     usual: dict[tuple[str, int], float] = {}
     bearable = 0.0
     for key, value in records.items():
@@ -200,11 +200,11 @@
     return kept
 
 
-def _server(given: Any) -> KeptServer:
+def _server(given: Any) -> LearnedServer:
     pace, left, started_at = given
     if not 0.0 < float(pace) < 1e6 or type(left) is not int or left < 0:
         raise ValueError("a server's record")
-    return KeptServer(float(pace), left, None if started_at is None else int(started_at))
+    return LearnedServer(float(pace), left, None if started_at is None else int(started_at))
 
 
 def _pair(given: Any) -> tuple[int, int]:
--- /dev/null
+++ b/sidecar_balancer/policy/actions.py
@@ -0,0 +1,134 @@
+"""Actions: what a balancer wants done, in order.  Times are whole microseconds; treat actions as values."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from sidecar_balancer.policy.types import ServerVerdict, ZoneVerdict
+
+
+@dataclass(slots=True)
+class SendAttempt:
+    """Start an attempt; the attempts of a request are numbered from 0 in the order they are sent."""
+
+    request: int
+    server: str
+    deadline: int  # clock time at which the attempt is abandoned
+
+
+@dataclass(slots=True)
+class Reject:
+    """Final answer: rejected; a retry is harmless."""
+
+    request: int
+    retry_after_us: int = 0
+
+
+@dataclass(slots=True)
+class Fail:
+    """Final answer: failed; the request may have been executed."""
+
+    request: int
+
+
+@dataclass(slots=True)
+class CancelAttempt:
+    """Stop waiting for an attempt."""
+
+    request: int
+    attempt: int
+
+
+@dataclass(slots=True)
+class SetTimer:
+    """Request a TimerFired."""
+
+    in_us: int
+    token: str
+
+
+@dataclass(slots=True)
+class HealthCheck:
+    """Check the health of a server."""
+
+    server: str
+
+
+@dataclass(slots=True)
+class CloseIdleConnections:
+    """Close the idle connections to a server."""
+
+    server: str
+
+
+@dataclass(slots=True)
+class SendPeerMessage:
+    """Send a message to one balancer of the fleet, or to all (None)."""
+
+    receiver: int | None
+    payload: bytes
+
+
+@dataclass(slots=True)
+class WatchEndpoints:
+    """Watch the endpoint list, or end the watch."""
+
+    enabled: bool = True
+
+
+@dataclass(slots=True)
+class FetchEndpoints:
+    """Fetch the complete endpoint list once."""
+
+
+@dataclass(slots=True)
+class ApplyDisabledServers:
+    """The complete set of servers that count as draining from now on, whatever the endpoint list says."""
+
+    servers: frozenset[str]
+
+
+@dataclass(slots=True)
+class PublishServerVerdict:
+    """What this balancer holds against a server has changed: publish it to peers."""
+
+    server: str
+    verdict: ServerVerdict
+    service_class: str | None = None  # None: all classes
+    evidence: int = 1  # failures, or answers, that it rests on
+
+
+@dataclass(slots=True)
+class PublishZoneVerdict:
+    """This balancer has evacuated a zone, or uses it again: publish it to peers."""
+
+    zone: str
+    verdict: ZoneVerdict
+    evidence: int = 1  # servers whose failures it rests on
+
+
+@dataclass(slots=True)
+class LogEvent:
+    """A log line for the operators."""
+
+    text: str
+    name: str = ""  # of the event
+    subject: str = ""  # the server or zone that it is about
+
+
+Action = (
+    SendAttempt
+    | Reject
+    | Fail
+    | CancelAttempt
+    | SetTimer
+    | HealthCheck
+    | CloseIdleConnections
+    | SendPeerMessage
+    | WatchEndpoints
+    | FetchEndpoints
+    | ApplyDisabledServers
+    | PublishServerVerdict
+    | PublishZoneVerdict
+    | LogEvent
+)
--- a/sidecar_balancer/policy/balancer.py
+++ b/sidecar_balancer/policy/balancer.py
@@ -1,6 +1,6 @@
 """All decisions of a sidecar balancer, by best-of-k with redraw.
 
-Types, events and actions: sidecar_balancer/policy/interface.py.  Why its guards are there: docs/decisions.md.
+Why its guards are there: docs/decisions.md.
 
 Per request: draw k random distinct ready servers and send to the one with the fewest of this balancer's own
 requests in flight; on a full answer draw again, wider.  Every attempt leaves through `_send` and every final
@@ -16,11 +16,45 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from sidecar_balancer.policy import interface as api
+from sidecar_balancer.config.settings import DiscoveryMode, Idempotency, ServiceClass, Settings
+from sidecar_balancer.policy.actions import (
+    Action,
+    ApplyDisabledServers,
+    CancelAttempt,
+    Fail,
+    HealthCheck,
+    LogEvent,
+    PublishServerVerdict,
+    PublishZoneVerdict,
+    Reject,
+    SendAttempt,
+    SetTimer,
+    WatchEndpoints,
+)
 from sidecar_balancer.policy.endpoint import Attempt, Flow, Server
-from sidecar_balancer.policy.interface import Outcome
+from sidecar_balancer.policy.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    DisabledServersChanged,
+    EndpointListReceived,
+    Event,
+    HealthCheckEnded,
+    ListedServer,
+    PeerVerdictsReceived,
+    RequestBodyEnded,
+    RequestReceived,
+    ResponseStarted,
+    ServerOverrideRequested,
+    StateRestored,
+    TierDemandReceived,
+    TimerFired,
+    ZoneHealthCheckerChanged,
+    ZoneOverridesChanged,
+    ZoneRecovered,
+)
 from sidecar_balancer.policy.locality import Zone, Zones
 from sidecar_balancer.policy.rates import Rate
+from sidecar_balancer.policy.types import ListKind, Outcome, ServerState, ServerVerdict, ZoneVerdict
 
 DRAWN = 4  # k: counts are mostly small here, where two looks find too little
 REACH = 4.0  # a balancer at rest draws from this many servers: a choice, yet few enough to know them
@@ -92,7 +126,7 @@
     """A request taken; it is kept until it is answered and its last attempt has ended."""
 
     ident: int
-    kind: api.ServiceClass
+    kind: ServiceClass
     answer_by: int  # OPEN_UNTIL while its body is still coming
     cost: float  # relative to the mean of its class
     flow: Flow
@@ -111,32 +145,34 @@
 class Balancer:
     """The decisions of one instance.  Feed it events in order; carry out the actions it returns in order."""
 
-    def __init__(self, settings: api.Settings, seed: int) -> None:
+    def __init__(self, settings: Settings, seed: int) -> None:
         self._settings = settings
         self._random = random.Random(seed)
         self._stagger = random.Random(seed + 1)  # its own stream: when to begin must not move the draws
         self._classes = {each.name: each for each in settings.classes}
         self._tenants = {each.name: each for each in settings.tenants}
         self._all_shares = sum(each.share for each in settings.tenants) or 1.0
-        self._longest_aim = max(each.aim_us for each in settings.classes)
+        self._longest_aim = max(each.latency_objective_us for each in settings.classes)
         self._now = 0
-        self.actions: list[api.Action] = []
+        self.actions: list[Action] = []
         self.servers: dict[str, Server] = {}  # those listed, and those gone of which something is out
         self._excluded = frozenset[str]()  # what the operators have left out, listed or not
         self._back: dict[Server, None] = {}  # servers back from their exclusion and not used since
         self._left: dict[str, None] = {}  # names that were listed once, the last to leave at the end
         self._leaving: dict[Server, None] = {}  # gone, but something is out or the operators hold on to it
-        self.zones = Zones(settings.locality, settings.zone, self._longest_aim, settings.rules.cold_us)
+        self.zones = Zones(settings.locality, settings.zone, self._longest_aim, settings.rules.slow_start_us)
         self.ready = self.zones.ready  # in this balancer's own order
         self._doubted = False  # whether peers hold anything against any server
         self._tier_asked: Mapping[str, float] = {}  # of the other balancers, by tenant, a second
         self._requests: dict[int, Request] = {}
-        full_proves = () if settings.rules.late_shedding else (Outcome.FULL,)
-        self._proves_unrun = (Outcome.DIAL_FAILED, Outcome.UNSENT, *full_proves)
+        full_proves = () if settings.rules.late_shedding else (Outcome.REJECTED,)
+        self._proves_unrun = (Outcome.CONNECT_FAILED, Outcome.UNSENT, *full_proves)
         self._agenda: list[tuple[int, int, int, int]] = []  # due, order, request or _ASK, attempt or _WHOLE
         self._agenda_order = 0
         self._timer_due: int | None = None
-        self._beat = max(int(BEAT_AIMS * min(each.aim_us for each in settings.classes)), settings.tick_us)
+        self._beat = max(
+            int(BEAT_AIMS * min(each.latency_objective_us for each in settings.classes)), settings.tick_us
+        )
         self._beat_due = 0  # when the next beat falls due, while anything is out
         self._back_at = -1  # when this balancer last came back from a stall of its own
         self._absent_us = 0  # how long it has stalled, over all its stalls
@@ -154,8 +190,8 @@
         self._extra = EXTRA_PER_REQUEST * EXTRA_SAVED / 2
         self._longest_try: dict[str, int] = {}  # the most time left that a request of a class came with
         self._mean_cost: dict[str, float] = {}
-        self._arrivals = Rate(RATE_SPANS * settings.rules.fall_us)
-        self._served_warm = Rate(RATE_SPANS * settings.rules.fall_us)
+        self._arrivals = Rate(RATE_SPANS * settings.rules.overload_window_us)
+        self._served_warm = Rate(RATE_SPANS * settings.rules.overload_window_us)
         self.norms: dict[tuple[str, int], float] = {}  # usual time of a class and size, over all servers
         self._spent = 0.0  # running median of the part of its aim that an answer takes
         self._late = 0.0  # part of the answers that come after their aim
@@ -169,25 +205,25 @@
         self._load_at = self._sized_at = 0
         self.mix: dict[Flow, Rate] = {}  # what is asked, by class and tenant
         self._handlers: dict[type[Any], Callable[[Any], None]] = {  # by the kind of event
-            api.AttemptEnded: self._attempt_ended,
-            api.RequestArrived: self._request_arrived,
-            api.TimerFired: lambda _: self._timer_fired(),
-            api.ServersListed: self._servers_listed,
-            api.RequestGone: self._request_gone,
-            api.AnswerStarted: self._answer_started,
-            api.BodyEnded: self._body_ended,
-            api.ExclusionAsked: self._exclusion_asked,
-            api.ExclusionsHeard: lambda event: self._exclude(frozenset(event.servers)),
-            api.VerdictsHeard: self._verdicts_heard,
-            api.TierAsked: lambda event: setattr(self, "_tier_asked", event.per_s),
-            api.ZonesOrdered: lambda event: self.zones.ordered(self._now, dict(event.orders)),
-            api.ProbingHeard: self._probing_heard,
-            api.ZoneBack: lambda event: self._zone_back(self.zones.may_return(self._now, event.zone)),
-            api.ProbeEnded: self._probe_ended,
-            api.StateRestored: self._state_restored,
+            AttemptEnded: self._attempt_ended,
+            RequestReceived: self._request_arrived,
+            TimerFired: lambda _: self._timer_fired(),
+            EndpointListReceived: self._servers_listed,
+            ClientDisconnected: self._request_gone,
+            ResponseStarted: self._answer_started,
+            RequestBodyEnded: self._body_ended,
+            ServerOverrideRequested: self._exclusion_asked,
+            DisabledServersChanged: lambda event: self._exclude(frozenset(event.servers)),
+            PeerVerdictsReceived: self._verdicts_heard,
+            TierDemandReceived: lambda event: setattr(self, "_tier_asked", event.per_s),
+            ZoneOverridesChanged: lambda event: self.zones.ordered(self._now, dict(event.overrides)),
+            ZoneHealthCheckerChanged: self._probing_heard,
+            ZoneRecovered: lambda event: self._zone_back(self.zones.may_return(self._now, event.zone)),
+            HealthCheckEnded: self._probe_ended,
+            StateRestored: self._state_restored,
         }
 
-    def handle(self, now: int, event: api.Event) -> list[api.Action]:
+    def handle(self, now: int, event: Event) -> list[Action]:
         """Take one event at clock time `now`; return what to do, in order."""
         self._now = now
         self.actions = []
@@ -218,9 +254,9 @@
 
     def _ask(self) -> None:
         """Follow the list where it must be asked for; a call that is never answered is made again."""
-        if self._settings.discovery is api.Discovery.ON_REQUEST:
-            self.actions.append(api.Follow(True))
-            self._ask_in(ASK_AGAIN_MOST * self._settings.rules.ask_within_us)
+        if self._settings.discovery is DiscoveryMode.POLL:
+            self.actions.append(WatchEndpoints(True))
+            self._ask_in(ASK_AGAIN_MOST * self._settings.rules.poll_interval_us)
 
     def _ask_in(self, wait: float) -> None:
         """Ask after this wait, in place of any earlier plan."""
@@ -229,31 +265,31 @@
 
     def _ask_spread(self) -> float:
         """The time over which the calls of the whole group spread out: asked in step, discovery drowns."""
-        late = max(self._settings.group_size - ASK_AT_ONCE, 0)
-        return min(ASK_SLOT * self._settings.rules.ask_within_us * late, ASK_WAIT_MOST)
+        late = max(self._settings.fleet_size - ASK_AT_ONCE, 0)
+        return min(ASK_SLOT * self._settings.rules.poll_interval_us * late, ASK_WAIT_MOST)
 
     def _ask_again_later(self) -> None:
         """After a failed call: wait twice as long each time, with jitter, up to what the rules allow."""
-        allowed, spread = self._settings.rules.ask_within_us, self._ask_spread()
+        allowed, spread = self._settings.rules.poll_interval_us, self._ask_spread()
         longest = min(max(ASK_AGAIN_MOST * allowed, spread), ASK_WAIT_MOST)
         wait = min(max(ASK_AGAIN * allowed, spread) * 2**self._failed_calls, longest)
         self._failed_calls = min(self._failed_calls + 1, 8)
         self._ask_in(wait * (0.25 + 0.75 * self._random.random()))
 
-    def _servers_listed(self, event: api.ServersListed) -> None:
-        if event.kind is api.ListKind.SILENT and self._silent_calls < 2:  # its news soon counts as told
+    def _servers_listed(self, event: EndpointListReceived) -> None:
+        if event.kind is ListKind.TIMED_OUT and self._silent_calls < 2:  # its news soon counts as told
             self._silent_calls += 1
             self._ask()
             return
-        if event.kind in (api.ListKind.FAILED, api.ListKind.SILENT):
+        if event.kind in (ListKind.FAILED, ListKind.TIMED_OUT):
             self._ask_again_later()
             return
-        if event.kind is not api.ListKind.REMEMBERED:
+        if event.kind is not ListKind.CACHED:
             self._failed_calls, self._silent_calls, self._ask_due = 0, 0, None
-        if event.kind not in (api.ListKind.CHANGES, api.ListKind.MOVED):
+        if event.kind not in (ListKind.DELTA, ListKind.SOURCE_CHANGED):
             listed = {line.server for line in event.servers}
             for each in [each for each in self.servers.values() if each.name not in listed]:
-                each.state = api.ServerState.GONE
+                each.state = ServerState.REMOVED
                 self._update_ready(each)
         for line in event.servers:
             self._server_listed(line)
@@ -265,7 +301,7 @@
         if server.drawn_in != zone:
             self.zones.place(server, zone)
         self._leaving.pop(server, None)
-        if server.state is api.ServerState.GONE:
+        if server.state is ServerState.REMOVED:
             self._leaving[server] = None
 
     def _forget_gone(self) -> None:
@@ -278,32 +314,32 @@
                     del self._left[next(iter(self._left))]
                 self._back.pop(each, None)
                 for name in list(each.told):
-                    self._tell(each, name, api.Verdict.CLEARED)
+                    self._tell(each, name, ServerVerdict.CLEARED)
                 if each in self._ejected:
                     self._ejected.remove(each)
 
-    def _server_listed(self, line: api.ListedServer) -> None:
+    def _server_listed(self, line: ListedServer) -> None:
         server = self.servers.get(line.server)
         if server is None:
             server = Server(line.server, self._random.random())
             self.servers[line.server] = server
             server.excluded = line.server in self._excluded
-        server.zone = line.zone or self._settings.locality.servers.get(line.server, "")
-        if server.state is api.ServerState.GONE:
+        server.zone = line.zone or self._settings.locality.server_zones.get(line.server, "")
+        if server.state is ServerState.REMOVED:
             server.pace = 1.0  # until answers tell: this deployment's list is silent on size
         server.state = line.state
         if line.started_at is not None and line.started_at != server.started_at:
             server.started_at = line.started_at
             self._turned_cold(server, line.started_at)
-            if server.ejected_until is not None and line.state is api.ServerState.READY:
+            if server.ejected_until is not None and line.state is ServerState.READY:
                 self._readmit(server)  # what the old process did is history
         self._update_ready(server)
 
-    def _exclusion_asked(self, event: api.ExclusionAsked) -> None:
+    def _exclusion_asked(self, event: ServerOverrideRequested) -> None:
         """Leave a server out or use it again; a name that was never listed is passed over in silence."""
         if event.server in self.servers or event.server in self._left or event.server in self._excluded:
             asked = {event.server}
-            self._exclude(self._excluded | asked if event.excluded else self._excluded - asked)
+            self._exclude(self._excluded | asked if event.disabled else self._excluded - asked)
 
     def _exclude(self, names: frozenset[str]) -> None:
         """Leave out just these servers.  One that is used again was restarted meanwhile: it is cold."""
@@ -320,13 +356,13 @@
                     self._readmit(server)
             self._update_ready(server)
         self._forget_gone()
-        self.actions.append(api.Exclude(names))
+        self.actions.append(ApplyDisabledServers(names))
 
-    def _request_arrived(self, event: api.RequestArrived) -> None:
+    def _request_arrived(self, event: RequestReceived) -> None:
         kind = self._classes.get(event.service_class)
         if kind is None:  # the settings do not name it: the least is assumed of it
             allowed = max(event.remaining_us, 1)
-            kind = api.ServiceClass(event.service_class, allowed, allowed)
+            kind = ServiceClass(event.service_class, allowed, allowed)
         self._arrivals.add(self._now, 1.0)
         self._extra = min(self._extra + EXTRA_PER_REQUEST, EXTRA_PER_REQUEST * EXTRA_SAVED)
         cost = self._relative_cost(kind, event.cost_us)
@@ -341,12 +377,16 @@
         else:
             self._place(request)
 
-    def _is_stale(self, kind: api.ServiceClass, remaining_us: int) -> bool:
+    def _is_stale(self, kind: ServiceClass, remaining_us: int) -> bool:
         """Whether a request waited out its aim in an own stall, and a late answer is worth nothing."""
         longest = self._longest_try[kind.name] = max(self._longest_try.get(kind.name, 0), remaining_us)
-        return self._now == self._back_at and kind.late_worth <= 0.0 and longest - remaining_us >= kind.aim_us
+        return (
+            self._now == self._back_at
+            and kind.late_priority_weight <= 0.0
+            and longest - remaining_us >= kind.latency_objective_us
+        )
 
-    def _relative_cost(self, kind: api.ServiceClass, cost_us: int | None) -> float:
+    def _relative_cost(self, kind: ServiceClass, cost_us: int | None) -> float:
         if not cost_us or cost_us < 0:
             return 1.0
         mean = self._mean_cost.get(kind.name, float(cost_us))
@@ -359,12 +399,12 @@
         if (server is None or not self._send(request, server)) and not request.is_out():
             self._finish(request)
 
-    def _request_gone(self, event: api.RequestGone) -> None:
+    def _request_gone(self, event: ClientDisconnected) -> None:
         request = self._requests.get(event.request)
         if request is not None and not request.answered:
             self._close(request)
 
-    def _answer_started(self, event: api.AnswerStarted) -> None:
+    def _answer_started(self, event: ResponseStarted) -> None:
         request = self._requests.get(event.request)
         if request is None or event.attempt >= len(request.attempts):
             return
@@ -383,7 +423,7 @@
         request.answer_by = self._now + remaining_us - TICKS_EARLY * self._settings.tick_us
         self._schedule(request.answer_by, request.ident, _WHOLE)
 
-    def _body_ended(self, event: api.BodyEnded) -> None:
+    def _body_ended(self, event: RequestBodyEnded) -> None:
         """A client's time runs from its request's last byte, and so does a server's."""
         request = self._requests.get(event.request)
         if request is None or request.answered:
@@ -500,14 +540,14 @@
     def _worth(self, flow: Flow, asked: float, all_asked: float) -> float:
         """What its class is worth, less what its tenant asks beyond its share (of the tier, if told)."""
         tenant, kind = self._tenants.get(flow[1] or ""), self._classes.get(flow[0])
-        worth = kind.worth if kind is not None else 1.0
+        worth = kind.priority_weight if kind is not None else 1.0
         if tenant is None or asked <= 0.0:
             return worth
         inside = min(1.0, all_asked * tenant.share / self._all_shares / asked)
         others = self._tier_asked.get(tenant.name)
         if others is not None and tenant.quota_per_s > 0.0:
             inside = min(1.0, tenant.quota_per_s / (others + asked * 1e6))
-        return worth * (inside + (1.0 - inside) * self._settings.over_share_worth)
+        return worth * (inside + (1.0 - inside) * self._settings.over_share_weight)
 
     def _choose(self, request: Request) -> Server | None:
         """Best of k: of k random distinct servers, the one with the fewest own requests in flight."""
@@ -604,7 +644,7 @@
         limits = self._settings.limits
         if request.answered or self._now >= request.answer_by:
             return False  # rule 1: nothing after the final answer, nothing that cannot be answered in time
-        beside = not limits.second_copies and request.is_out()
+        beside = not limits.may_hedge and request.is_out()
         if beside or len(request.attempts) >= limits.max_attempts or not self._may_run_again(request):
             return False  # rule 2
         if not server.is_ready():
@@ -620,7 +660,7 @@
             server.trial, self._stuck = attempt, self._stuck + 1
         if request.answer_by != OPEN_UNTIL:
             self._schedule(self._now + self._patience(request, server), request.ident, attempt.index)
-        self.actions.append(api.Send(request.ident, server.name, request.answer_by))
+        self.actions.append(SendAttempt(request.ident, server.name, request.answer_by))
         return True
 
     def _may_run_again(self, request: Request) -> bool:
@@ -628,14 +668,18 @@
         if request.spent:
             return False
         ran = any(each.may_have_run for each in request.attempts)
-        return not ran or request.kind.repeat is api.Repeat.SAFE  # keyed ones count as unsafe: none is here
+        return (
+            not ran or request.kind.idempotency is Idempotency.IDEMPOTENT
+        )  # keyed ones count as unsafe: none is here
 
     def _finish(self, request: Request) -> None:
         """The one way out for an answer that is not a server's: a refusal where legal, else a failure."""
         if request.answered:
             return
-        harmless = request.kind.repeat is api.Repeat.SAFE or not any(a.may_have_run for a in request.attempts)
-        self.actions.append(api.Refuse(request.ident) if harmless else api.Fail(request.ident))
+        harmless = request.kind.idempotency is Idempotency.IDEMPOTENT or not any(
+            a.may_have_run for a in request.attempts
+        )
+        self.actions.append(Reject(request.ident) if harmless else Fail(request.ident))
         self._close(request)
 
     def _close(self, request: Request) -> None:
@@ -647,13 +691,13 @@
     def _call_off(self, request: Request) -> None:
         for each in request.attempts:
             if each.pending and not each.started and self._settings.limits.may_cancel:
-                self.actions.append(api.Cancel(request.ident, each.index))
+                self.actions.append(CancelAttempt(request.ident, each.index))
 
     def _forget_if_over(self, request: Request) -> None:
         if request.answered and not request.is_out():
             self._requests.pop(request.ident, None)
 
-    def _attempt_ended(self, event: api.AttemptEnded) -> None:
+    def _attempt_ended(self, event: AttemptEnded) -> None:
         request = self._requests.get(event.request)
         if request is None or event.attempt >= len(request.attempts):
             return
@@ -661,14 +705,14 @@
             return
         attempt.pending = False
         attempt.may_have_run = event.outcome not in self._proves_unrun
-        request.spent = request.spent or event.spent
+        request.spent = request.spent or event.body_consumed
         if not attempt.started:
             self._release(attempt)
         self._judge(request, attempt, event.outcome)
         if event.outcome is Outcome.CANCELLED and attempt.silent and event.answered:
             if attempt.server.last_answer_at < attempt.sent_at:
                 self._note_health(attempt.server, attempt.sent_at, False)  # a copy elsewhere was answered
-        if event.outcome in (Outcome.EXPIRED, Outcome.CANCELLED):
+        if event.outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED):
             if not (attempt.counted_late or request.answered or event.answered):
                 self._too_late.add(self._now, 1.0)
             until = self._now + int(GHOST_LIFE * event.elapsed_us)
@@ -677,32 +721,32 @@
                 heapq.heappush(self._ghosts, until)
             if event.elapsed_us > self._usual(request) * attempt.server.pace and self._now != self._back_at:
                 self._pace(attempt.server, request, event.elapsed_us)
-        if event.outcome is Outcome.ERROR:
+        if event.outcome is Outcome.APPLICATION_ERROR:
             # A quick error must not look like a quick server: it counts as the slowest answer there is.
             self._pace(attempt.server, request, int(PACE_CLIP * self._usual(request)))
             again = request.flow in attempt.server.turned_away  # none answered between: just these fail
             if again or self._doubters(attempt.server, request.kind.name):  # peers saw it: once is enough
                 self._turned_away(request, attempt.server)
-                self._tell(attempt.server, request.kind.name, api.Verdict.FAILING, 1 + again)
+                self._tell(attempt.server, request.kind.name, ServerVerdict.FAILING, 1 + again)
             else:
                 attempt.server.turned_away[request.flow] = (self._now, 0)
         if event.outcome is Outcome.DELIVERED:
-            self._served_aims.add(self._now, request.kind.aim_us)
+            self._served_aims.add(self._now, request.kind.latency_objective_us)
         if event.outcome is Outcome.DELIVERED and self._now != self._back_at:
             self._time(attempt.server, request, event.elapsed_us)
             if not attempt.counted_late:
-                self._note_time_spent(event.elapsed_us / request.kind.aim_us)
+                self._note_time_spent(event.elapsed_us / request.kind.latency_objective_us)
             attempt.server.turned_away.pop(request.flow, None)
-        elif event.outcome is Outcome.FULL:
+        elif event.outcome is Outcome.REJECTED:
             self._turned_away(request, attempt.server)
-            self._tell(attempt.server, request.kind.name, api.Verdict.FULL)
+            self._tell(attempt.server, request.kind.name, ServerVerdict.REJECTING)
             self._note_time_spent(LOST_SPENT)
         if event.answered:
             if not request.answered:
                 self._close(request)
         elif not request.answered:
             request.tried.append(attempt.server)
-            if event.outcome is Outcome.FULL:
+            if event.outcome is Outcome.REJECTED:
                 request.said_full += 1
                 self._place(request)
             elif self._extra >= 1.0 and event.outcome is not _FAULTY and self._may_run_again(request):
@@ -723,15 +767,17 @@
 
     def _usual(self, request: Request) -> float:
         """The usual time of such a request, over all servers."""
-        return self.norms.get((request.kind.name, request.size), UNSEEN_AIMS * request.kind.aim_us)
+        return self.norms.get(
+            (request.kind.name, request.size), UNSEEN_AIMS * request.kind.latency_objective_us
+        )
 
     def _pace(self, server: Server, request: Request, elapsed_us: int) -> None:
         ratio = min(elapsed_us / max(self._usual(request), 1.0), PACE_CLIP)
         server.pace += PACE_STEP * self._stretch() * (ratio - server.pace)
         if server.pace > SLOW_PACE and None not in server.told:
-            self._tell(server, None, api.Verdict.SLOW)
-        elif server.pace < SLOW_OVER and server.told.get(None) is api.Verdict.SLOW:
-            self._tell(server, None, api.Verdict.CLEARED)
+            self._tell(server, None, ServerVerdict.SLOW)
+        elif server.pace < SLOW_OVER and server.told.get(None) is ServerVerdict.SLOW:
+            self._tell(server, None, ServerVerdict.CLEARED)
 
     def _time(self, server: Server, request: Request, elapsed_us: int) -> None:
         kind = (request.kind.name, request.size)
@@ -741,7 +787,7 @@
 
     def _patience(self, request: Request, server: Server) -> int:
         usual = PATIENCE * self._usual(request) * max(server.pace, 1.0)
-        return int(max(usual, PATIENCE_AIMS * request.kind.aim_us, self._settings.tick_us))
+        return int(max(usual, PATIENCE_AIMS * request.kind.latency_objective_us, self._settings.tick_us))
 
     def _overdue(self, request: Request, attempt: Attempt) -> None:
         """An attempt takes far longer than usual: its server may be silent, slow or overloaded."""
@@ -751,13 +797,17 @@
             self._schedule(self._now + self._settings.tick_us, request.ident, attempt.index)
             return
         waited = self._now - attempt.sent_at - (self._absent_us - attempt.absent_before)
-        if waited < request.kind.aim_us:
-            self._schedule(self._now + request.kind.aim_us - waited, request.ident, attempt.index)
+        if waited < request.kind.latency_objective_us:
+            self._schedule(
+                self._now + request.kind.latency_objective_us - waited, request.ident, attempt.index
+            )
         elif not attempt.counted_late and server.ejected_until is None:
             # Late already, though no answer says so yet: waiting for one would see a surge too late.
             attempt.counted_late = True
             self._note_time_spent(LOST_SPENT)
-        enough = max(SILENCE * self._patience(request, server), SILENT_AIMS * request.kind.aim_us)
+        enough = max(
+            SILENCE * self._patience(request, server), SILENT_AIMS * request.kind.latency_objective_us
+        )
         if silent and waited < enough:
             self._schedule(self._now + int(enough) - waited, request.ident, attempt.index)
         elif silent and not attempt.silent:
@@ -774,11 +824,11 @@
         limits = self._settings.limits
         if not self._may_run_again(request) or len(request.attempts) >= limits.max_attempts:
             return  # waiting is all that is left
-        if limits.second_copies and self._extra >= 1.0:
+        if limits.may_hedge and self._extra >= 1.0:
             self._extra -= 1.0
             self._place(request)
-        elif not limits.second_copies and limits.may_cancel and self._extra >= 1.0:
-            self.actions.append(api.Cancel(request.ident, attempt.index))  # its end draws again
+        elif not limits.may_hedge and limits.may_cancel and self._extra >= 1.0:
+            self.actions.append(CancelAttempt(request.ident, attempt.index))  # its end draws again
 
     def _judge(self, request: Request, attempt: Attempt, outcome: Outcome) -> None:
         """Learn of a server's health from the end of an attempt."""
@@ -793,20 +843,20 @@
             for name in (None, request.kind.name):
                 if name in server.doubts:
                     server.doubts[name] = 0  # own evidence wins
-            self._tell(server, request.kind.name, api.Verdict.CLEARED)
+            self._tell(server, request.kind.name, ServerVerdict.CLEARED)
             if not self._is_cold(server):
                 self._served_warm.add(self._now, request.cost)  # overload serves the light ones
             if server.ejected_until is not None:
                 self._readmit(server)
             self._note_health(server, attempt.sent_at, True)
         elif outcome in _FAILURES:
-            if outcome is Outcome.EXPIRED and server.last_answer_at > attempt.sent_at:
+            if outcome is Outcome.TIMED_OUT and server.last_answer_at > attempt.sent_at:
                 return  # it is slow, not sick: it answered others meanwhile
             server.strikes += 1
             doubted = min(self._doubters(server, request.kind.name), STRIKES - 1)
             if trial or (server.strikes + doubted >= STRIKES and server.ejected_until is None):
                 self._eject(server, outcome.value)
-            if outcome is not Outcome.ERROR:  # who errs is there
+            if outcome is not Outcome.APPLICATION_ERROR:  # who errs is there
                 self._note_health(server, attempt.sent_at, False)
 
     def _eject(self, server: Server, reason: str, most: float = EJECTED_MOST) -> None:
@@ -816,8 +866,8 @@
                 return
             self._ejected.append(server)
             self._stuck += server.in_flight
-            self.actions.append(api.Log(f"ejected {server.name}: {reason}", "ejected", server.name))
-            self._tell(server, None, api.Verdict.EJECTED, server.strikes)
+            self.actions.append(LogEvent(f"ejected {server.name}: {reason}", "ejected", server.name))
+            self._tell(server, None, ServerVerdict.EJECTED, server.strikes)
             self.zones.changed()
         aims = min(EJECT_AIMS * 2**server.ejections, EJECT_AIMS_MOST)
         server.ejections = min(server.ejections + 1, 8)
@@ -829,48 +879,47 @@
         self._ejected.remove(server)
         self._stuck -= server.in_flight
         server.ejections = server.strikes = 0
-        self.actions.append(api.Log(f"readmitted {server.name}", "readmitted", server.name))
+        self.actions.append(LogEvent(f"readmitted {server.name}", "readmitted", server.name))
         server.back_at = self._now
-        self._tell(server, None, api.Verdict.CLEARED)
+        self._tell(server, None, ServerVerdict.CLEARED)
         self.zones.changed()
 
-    def _tell(self, server: Server, name: str | None, verdict: api.Verdict, evidence: int = 1) -> None:
+    def _tell(self, server: Server, name: str | None, verdict: ServerVerdict, evidence: int = 1) -> None:
         """Tell peers what is held of a server, for one class or all, where they know otherwise."""
-        held = None if verdict is api.Verdict.CLEARED else verdict
+        held = None if verdict is ServerVerdict.CLEARED else verdict
         if server.told.get(name) is not held:
             server.told.pop(name, None)
             if held is not None:
                 server.told[name] = held
-            self.actions.append(api.PublishVerdict(server.name, verdict, name, max(evidence, 1)))
+            self.actions.append(PublishServerVerdict(server.name, verdict, name, max(evidence, 1)))
 
-    def _verdicts_heard(self, event: api.VerdictsHeard) -> None:
+    def _verdicts_heard(self, event: PeerVerdictsReceived) -> None:
         """Take what live peers hold: a doubted server is drawn less, an own failure counts for one more."""
         heard: dict[str, dict[str | None, int]] = {}
-        for each in event.verdicts:
+        for each in event.servers:
             old = self.servers[each.server].doubts if each.server in self.servers else {}
             name = each.service_class
             heard.setdefault(each.server, {})[name] = 0 if old.get(name) == 0 else each.peers
         for server in self.servers.values():
             server.doubts = heard.get(server.name, {})
         self._doubted = any(each.doubts for each in self.servers.values())
-        left = {e.server: e.peers for e in event.verdicts if e.verdict is api.Verdict.ZONE_LEFT}
         for zone in self.zones.by_name.values():
-            zone.told = left.get(zone.name, 0)
+            zone.told = event.evacuated_zones.get(zone.name, 0)
 
     @staticmethod
     def _doubters(server: Server, name: str) -> int:
         """How many peers hold something against a server for a class, as far as it counts."""
         return min(max(server.doubts.get(None, 0), server.doubts.get(name, 0)), DOUBTERS_MOST)
 
-    def _state_restored(self, event: api.StateRestored) -> None:
+    def _state_restored(self, event: StateRestored) -> None:
         """Take up what an earlier life or peers learned, where nothing tells otherwise yet."""
-        self.norms = dict(event.usual_us) | self.norms
-        self.bearable, self._bearable_at = max(self.bearable, event.bearable_per_us), self._now
+        self.norms = dict(event.baseline_us) | self.norms
+        self.bearable, self._bearable_at = max(self.bearable, event.capacity_per_us), self._now
         for server in self.ready:
             kept = event.servers.get(server.name)
             if kept is None or server.last_answer_at >= 0 or kept.started_at != server.started_at:
                 continue  # its own answers, or its start since, say more
-            server.pace = min(max(kept.pace, 1.0 / PACE_CLIP), PACE_CLIP)
+            server.pace = min(max(kept.relative_latency, 1.0 / PACE_CLIP), PACE_CLIP)
             if kept.ejected_us > 0 and server.ejected_until is None:
                 self._eject(server, "recalled", EJECTED_MOST * len(self.ready) / self._reach())
 
@@ -886,8 +935,8 @@
         self.zones.leave(self._now, zone)
         span, self._late = SPARSE_AIMS * self._longest_aim, 0.0
         self._too_late, self._shed = Rate(span), Rate(span)  # what was late was there
-        self.actions.append(api.Log(f"left zone {zone.name}: its servers fail", "zone_left", zone.name))
-        self.actions.append(api.PublishVerdict(zone.name, api.Verdict.ZONE_LEFT, None, len(zone.failing)))
+        self.actions.append(LogEvent(f"left zone {zone.name}: its servers fail", "zone_left", zone.name))
+        self.actions.append(PublishZoneVerdict(zone.name, ZoneVerdict.EVACUATED, len(zone.failing)))
         for request in list(self._requests.values()):
             for each in request.attempts:
                 if each.pending and not (each.started or request.answered) and each.server.zone == zone.name:
@@ -896,22 +945,22 @@
     def _zone_back(self, zone: Zone | None) -> None:
         if zone is None:
             return
-        self.actions.append(api.PublishVerdict(zone.name, api.Verdict.ZONE_BACK))
+        self.actions.append(PublishZoneVerdict(zone.name, ZoneVerdict.RECOVERED))
         if zone.left_at is None:
             return  # it answers who probes for peers that have left it
         self.zones.come_back(self._now, zone)
-        self.actions.append(api.Log(f"zone {zone.name} is back, easing in", "zone_back", zone.name))
+        self.actions.append(LogEvent(f"zone {zone.name} is back, easing in", "zone_back", zone.name))
         for server in [each for each in self._ejected if each.zone == zone.name]:
             self._readmit(server)  # what ejected it is what took its zone
 
-    def _probing_heard(self, event: api.ProbingHeard) -> None:
+    def _probing_heard(self, event: ZoneHealthCheckerChanged) -> None:
         """Who probes zones for the tier; each time it is this balancer it asks one of each zone left."""
-        self.zones.probing = event.mine
-        for zone in self.zones.doubtful() if event.mine and self._settings.limits.may_probe else ():
+        self.zones.probing = event.is_self
+        for zone in self.zones.doubtful() if event.is_self and self._settings.limits.may_health_check else ():
             inside = [each.name for each in self.ready if each.zone == zone.name]
-            self.actions += [api.Probe(name) for name in inside and [self._stagger.choice(inside)]]
+            self.actions += [HealthCheck(name) for name in inside and [self._stagger.choice(inside)]]
 
-    def _probe_ended(self, event: api.ProbeEnded) -> None:
+    def _probe_ended(self, event: HealthCheckEnded) -> None:
         server = self.servers.get(event.server)
         if server is not None:
             self._zone_back(self.zones.probed(server, event.outcome is Outcome.DELIVERED))
@@ -922,7 +971,7 @@
             if server.is_ready() and self._eligible(server, request):
                 del self._back[server]
                 return server
-        if request.kind.repeat is not api.Repeat.SAFE or request.attempts:
+        if request.kind.idempotency is not Idempotency.IDEMPOTENT or request.attempts:
             return None
         if self.zones.on and (zone := self.zones.due(self._now)):
             inside = [each for each in self.ready if each.zone == zone.name]
@@ -942,7 +991,10 @@
         server.allowance, server.allowance_at = self._stagger.random(), self._now
 
     def _is_cold(self, server: Server) -> bool:
-        return server.cold_since is not None and self._now < server.cold_since + self._settings.rules.cold_us
+        return (
+            server.cold_since is not None
+            and self._now < server.cold_since + self._settings.rules.slow_start_us
+        )
 
     def _slow_start_weight(self, server: Server) -> float:
         """The least share of its capacity that the server has by now."""
@@ -950,15 +1002,15 @@
         if server.cold_since is None or not self._is_cold(server):
             return 1.0
         age = max(self._now - server.cold_since, 0)
-        return rules.cold_from + (1.0 - rules.cold_from) * age / rules.cold_us
+        return rules.slow_start_min_ratio + (1.0 - rules.slow_start_min_ratio) * age / rules.slow_start_us
 
     def _cold_room(self, server: Server, cost: float) -> bool:
         """Whether a cold server's budget has room for a request of this cost: it guards rule 4."""
         if not self._is_cold(server):
             return True
         rules = self._settings.rules
-        limit = rules.fall_multiple * self._slow_start_weight(server) * self._bearable_by_mean()
-        most = max(1.0, COLD_BURST * limit * rules.fall_us)
+        limit = rules.overload_multiple * self._slow_start_weight(server) * self._bearable_by_mean()
+        most = max(1.0, COLD_BURST * limit * rules.overload_window_us)
         filled = COLD_SHARE * limit * max(self._now - server.allowance_at, 0)
         server.allowance = min(server.allowance + filled, most)
         server.allowance_at = self._now
@@ -967,7 +1019,7 @@
     def _bearable_by_mean(self) -> float:
         """What a warm server serves for this balancer, or has served of late: it can when it does not."""
         if self._bearable_at != self._now:
-            faded = math.exp((self._bearable_at - self._now) / self._settings.rules.cold_us)
+            faded = math.exp((self._bearable_at - self._now) / self._settings.rules.slow_start_us)
             self._bearable_at = self._now
             warm = [each for each in self.ready if not self._is_cold(each)]
             peers = warm or self.ready  # ejected ones too: they served a part of what is counted
@@ -1011,11 +1063,11 @@
             heapq.heappop(agenda)
         if agenda and (self._timer_due is None or agenda[0][0] < self._timer_due):
             self._timer_due = agenda[0][0]
-            self.actions.append(api.SetTimer(max(agenda[0][0] - self._now, 0), "agenda"))
+            self.actions.append(SetTimer(max(agenda[0][0] - self._now, 0), "agenda"))
 
 
-_FAULTY = Outcome.INVALID
-_FAILURES = (Outcome.EXPIRED, Outcome.DROPPED, Outcome.DIAL_FAILED, Outcome.ERROR)
+_FAULTY = Outcome.INVALID_REQUEST
+_FAILURES = (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST, Outcome.CONNECT_FAILED, Outcome.APPLICATION_ERROR)
 _WHOLE = -1  # the agenda's mark for a request as a whole, not one of its attempts
 _BEAT = -2  # the agenda's mark for the beat that tells of stalls
 _ASK = -1  # the agenda's mark for discovery; requests are never negative
--- a/sidecar_balancer/policy/endpoint.py
+++ b/sidecar_balancer/policy/endpoint.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from sidecar_balancer.policy import interface as api
+from sidecar_balancer.policy.types import ServerState, ServerVerdict
 
 Flow = tuple[str, str | None]  # the class and tenant of a request
 
@@ -17,7 +17,7 @@
     place: float  # chance, drawn once: this balancer's order of the servers
     zone: str = ""
     pace: float = 1.0  # how long it takes, relative to the usual
-    state: api.ServerState = api.ServerState.GONE
+    state: ServerState = ServerState.REMOVED
     excluded: bool = False  # by the operators: it counts as draining, whatever its state
     started_at: int | None = None
     cold_since: int | None = None
@@ -32,12 +32,12 @@
     turned_away: dict[Flow, tuple[int, int]] = field(default_factory=dict)  # until when, how often in a row
     trial: Attempt | None = None  # the single attempt that may bring it back
     doubts: dict[str | None, int] = field(default_factory=dict)  # peers against it by class; 0: proved wrong
-    told: dict[str | None, api.Verdict] = field(default_factory=dict)  # what peers know from here, by class
+    told: dict[str | None, ServerVerdict] = field(default_factory=dict)  # what peers know from here, by class
     back_at: int | None = None  # when it was readmitted: it eases in, where zones are on
     drawn_in: str | None = None  # the zone in which it counts as ready; None: it does not
 
     def is_ready(self) -> bool:
-        return self.state is api.ServerState.READY and not self.excluded
+        return self.state is ServerState.READY and not self.excluded
 
 
 @dataclass(slots=True, eq=False)
--- /dev/null
+++ b/sidecar_balancer/policy/events.py
@@ -0,0 +1,213 @@
+"""Events: what a balancer is told.  Times are whole microseconds; treat events as values."""
+
+from __future__ import annotations
+
+from collections.abc import Collection, Mapping, Sequence
+from dataclasses import dataclass, field
+
+from sidecar_balancer.policy.types import ListKind, Outcome, ServerState, ServerVerdict, ZoneOverride
+
+
+@dataclass(slots=True)
+class ListedServer:
+    """An entry of the endpoint list."""
+
+    server: str
+    zone: str = ""
+    kind: str = ""
+    cell: int = 0
+    state: ServerState = ServerState.READY
+    nominal: float = 1.0
+    started_at: int | None = None  # None: before anything that matters
+
+
+@dataclass(slots=True)
+class EndpointListReceived:
+    """An endpoint list was received, or a call for it failed."""
+
+    kind: ListKind
+    servers: Sequence[ListedServer] = ()
+    version: int = 0
+
+
+@dataclass(slots=True)
+class RequestReceived:
+    """A client's request; from here on it is owed one final answer."""
+
+    request: int
+    service_class: str
+    tenant: str | None
+    key: int | None
+    remaining_us: int
+    cost_us: int | None = None  # the client's estimate of the work
+    client_retry: bool = False
+    write: bool = False
+    body_open: bool = False  # the body is still arriving: the deadline counts from RequestBodyEnded
+
+
+@dataclass(slots=True)
+class RequestBodyEnded:
+    """The last byte of a request that arrived with an open body."""
+
+    request: int
+    remaining_us: int
+
+
+@dataclass(slots=True)
+class ResponseStarted:
+    """The streamed answer of an attempt has begun to reach the client, so the attempt is the final one."""
+
+    request: int
+    attempt: int
+    server: str
+    elapsed_us: int
+
+
+@dataclass(slots=True)
+class AttemptEnded:
+    """An attempt ended.
+
+    `elapsed_us` is the server's time: to the first byte of a streamed answer, and from the last byte of a
+    streamed body.
+    """
+
+    request: int
+    attempt: int
+    server: str
+    outcome: Outcome
+    elapsed_us: int
+    answered: bool  # the client has its final answer, by this attempt or an earlier one
+    report: Mapping[str, float] | None = None
+    body_consumed: bool = False  # the body is not buffered as a whole any more: it can't be sent again
+
+
+@dataclass(slots=True)
+class ClientDisconnected:
+    """The client of a request disconnected: no answer is owed any more."""
+
+    request: int
+
+
+@dataclass(slots=True)
+class TimerFired:
+    """A timer set by SetTimer is due."""
+
+    token: str
+
+
+@dataclass(slots=True)
+class HealthCheckEnded:
+    """A health check of a server ended."""
+
+    server: str
+    outcome: Outcome
+    elapsed_us: int
+    report: Mapping[str, float] | None = None
+
+
+@dataclass(slots=True)
+class PeerMessageReceived:
+    """A message from another balancer of the fleet."""
+
+    sender: int
+    payload: bytes
+
+
+@dataclass(slots=True)
+class ServerOverrideRequested:
+    """An operator disables or enables a server."""
+
+    server: str
+    disabled: bool
+
+
+@dataclass(slots=True)
+class DisabledServersChanged:
+    """The complete set of servers that the operators have disabled."""
+
+    servers: Collection[str]
+
+
+@dataclass(slots=True)
+class PeerServerVerdict:
+    """What live peers hold against a server."""
+
+    server: str
+    verdict: ServerVerdict
+    service_class: str | None  # None: all classes
+    peers: int  # how many hold it
+
+
+@dataclass(slots=True)
+class PeerVerdictsReceived:
+    """The complete set of verdicts that live peers hold now."""
+
+    servers: Sequence[PeerServerVerdict] = ()
+    evacuated_zones: Mapping[str, int] = field(default_factory=dict)  # peers that evacuated each zone
+
+
+@dataclass(slots=True)
+class TierDemandReceived:
+    """The recent demand at the other balancers of the tier, in requests a second by tenant."""
+
+    per_s: Mapping[str, float]
+
+
+@dataclass(slots=True)
+class ZoneOverridesChanged:
+    """The complete set of the operators' overrides of zones."""
+
+    overrides: Mapping[str, ZoneOverride]
+
+
+@dataclass(slots=True)
+class ZoneHealthCheckerChanged:
+    """Which balancer health-checks evacuated zones for the tier."""
+
+    is_self: bool | None  # None: nobody does, each balancer tries for itself
+
+
+@dataclass(slots=True)
+class ZoneRecovered:
+    """The balancer that health-checks zones for the tier reports that this one answers again."""
+
+    zone: str
+
+
+@dataclass(slots=True)
+class LearnedServer:
+    """What an earlier process, or a peer, learned of a server."""
+
+    relative_latency: float  # its latency by the baseline of all servers
+    ejected_us: int = 0  # what was left of its ejection; 0: none
+    started_at: int | None = None  # of the server process that it was learned of
+
+
+@dataclass(slots=True)
+class StateRestored:
+    """What an earlier process of this balancer, or its peers, had learned."""
+
+    servers: Mapping[str, LearnedServer] = field(default_factory=dict)
+    baseline_us: Mapping[tuple[str, int], float] = field(default_factory=dict)  # by class and size of request
+    capacity_per_us: float = 0.0  # of a server, seen from this balancer, in requests of mean cost
+
+
+Event = (
+    EndpointListReceived
+    | RequestReceived
+    | RequestBodyEnded
+    | ResponseStarted
+    | AttemptEnded
+    | ClientDisconnected
+    | TimerFired
+    | HealthCheckEnded
+    | PeerMessageReceived
+    | ServerOverrideRequested
+    | DisabledServersChanged
+    | PeerVerdictsReceived
+    | TierDemandReceived
+    | ZoneOverridesChanged
+    | ZoneHealthCheckerChanged
+    | ZoneRecovered
+    | StateRestored
+)
--- a/sidecar_balancer/policy/locality.py
+++ b/sidecar_balancer/policy/locality.py
@@ -10,9 +10,10 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
+from sidecar_balancer.config.settings import Locality
 from sidecar_balancer.policy.endpoint import Server
-from sidecar_balancer.policy.interface import Locality, ZoneOrder
 from sidecar_balancer.policy.rates import Rate
+from sidecar_balancer.policy.types import ZoneOverride
 
 HEALTH_AIMS = 1.0  # what a zone answers and fails is counted over this many of the longest aim
 BACK_AIMS = 0.5  # first wait before a zone left is tried again, in longest aims; it doubles with each failure
@@ -32,7 +33,7 @@
 
     name: str
     bad: Rate
-    order: ZoneOrder | None
+    order: ZoneOverride | None
     listed: int = 0  # ready servers in it
     failing: set[str] = field(default_factory=set)  # of these, those that failed and did not answer since
     answering: dict[str, int] = field(default_factory=dict)  # and when the others answered last
@@ -44,17 +45,17 @@
     ramp_at: int | None = None  # when it came back; None: it bears its whole share
 
     def is_kept(self) -> bool:
-        return self.left_at is None and self.order is not ZoneOrder.DRAIN
+        return self.left_at is None and self.order is not ZoneOverride.DRAIN
 
 
 class Zones:
     """The zones of one balancer.  `here` is its own, "" where that is not known: then none is near."""
 
-    def __init__(self, given: Locality, here: str, longest_aim: int, cold_us: int) -> None:
-        self.given, self.on, self.here = given, given.on, here or given.zone
-        self._aim, self._ramp_us = longest_aim, given.ramp_us or max(cold_us, 1)
+    def __init__(self, given: Locality, here: str, longest_aim: int, slow_start_us: int) -> None:
+        self.given, self.on, self.here = given, given.enabled, here or given.zone
+        self._aim, self._ramp_us = longest_aim, given.slow_start_us or max(slow_start_us, 1)
         self.by_name: dict[str, Zone] = {}
-        self._orders: Mapping[str, ZoneOrder] = {}
+        self._orders: Mapping[str, ZoneOverride] = {}
         self.ready: list[Server] = []  # all that may be sent to, by their places
         self.ejected: list[Server] = []  # listed and ejected, ready or not
         self._levels: list[list[Server]] = [[], [], self.ready]  # the ready ones: own zone, own region, all
@@ -108,16 +109,19 @@
 
     def _is_lost(self, now: int, zone: Zone) -> bool:
         """Whether a zone fails as a whole while what stays open without it reaches the panic threshold."""
-        if not zone.is_kept() or zone.order is ZoneOrder.PIN or not self._fails(now, zone):
+        if not zone.is_kept() or zone.order is ZoneOverride.NEVER_EVACUATE or not self._fails(now, zone):
             return False
         others = [each for each in self.by_name.values() if each is not zone and each.is_kept()]
         sound = sum(each.listed for each in others if not self._fails(now, each))
         several = len(zone.failing) >= min(1 if zone.told else 2, zone.listed)
-        return several and sound >= max(self.given.panic * len(self._levels[-1]), 1)
+        return several and sound >= max(self.given.panic_threshold * len(self._levels[-1]), 1)
 
     def _fails(self, now: int, zone: Zone) -> bool:
-        least = max(self.given.leave_least - TOLD_SPARES * zone.told, 1)
-        return zone.bad.count(now) > least - 0.5 and self.failed(now, zone) >= self.given.leave_share
+        least = max(self.given.evacuation_min_failures - TOLD_SPARES * zone.told, 1)
+        return (
+            zone.bad.count(now) > least - 0.5
+            and self.failed(now, zone) >= self.given.evacuation_failure_ratio
+        )
 
     def failed(self, now: int, zone: Zone) -> float:
         """Of the zone's servers that are in use, the part that failed and did not answer since."""
@@ -148,7 +152,7 @@
         """A zone that was left and may be tried with one request; its next trial is put off."""
         waits = self.probing is not None and now < self._alone_at
         for zone in () if waits else self.doubtful():
-            left = zone.left_at is not None and zone.order is not ZoneOrder.DRAIN
+            left = zone.left_at is not None and zone.order is not ZoneOverride.DRAIN
             if left and now >= zone.retry_at:
                 zone.retry_at = now + self._aim
                 return zone
@@ -190,13 +194,13 @@
             zone.ramp_at, zone.retries = None, 0
         return min(share, self.ramp(now, server.back_at))
 
-    def ordered(self, now: int, orders: Mapping[str, ZoneOrder]) -> None:
+    def ordered(self, now: int, orders: Mapping[str, ZoneOverride]) -> None:
         """Just these orders are in force now; a zone whose drain ends, or that is pinned, eases in."""
         self._orders = orders
         for zone in self.by_name.values():
             old, zone.order = zone.order, orders.get(zone.name)
-            drained = old is ZoneOrder.DRAIN and zone.order is not ZoneOrder.DRAIN
-            if drained or (zone.order is ZoneOrder.PIN and zone.left_at is not None):
+            drained = old is ZoneOverride.DRAIN and zone.order is not ZoneOverride.DRAIN
+            if drained or (zone.order is ZoneOverride.NEVER_EVACUATE and zone.left_at is not None):
                 self.come_back(now, zone)
         self.changed()
 
@@ -206,7 +210,7 @@
         if zone is None or zone.is_kept():
             return True
         self.reckon()
-        return zone.order is not ZoneOrder.DRAIN and self.panicking
+        return zone.order is not ZoneOverride.DRAIN and self.panicking
 
     def nearby(self, roll: float, strength: float) -> Sequence[Server]:
         """The servers that a request is drawn from; `roll` in 0..1 picks the level.
@@ -227,9 +231,9 @@
                 lost = sum(each.drawn_in == zone.name for each in self.ejected)
                 for at in self._levels_of(zone.name):
                     sound[at] += (zone.listed - lost) * zone.is_kept()
-                    sizes[at] += zone.listed * (zone.order is not ZoneOrder.DRAIN)
-            self.panicking = sound[-1] < self.given.panic * sizes[-1]
+                    sizes[at] += zone.listed * (zone.order is not ZoneOverride.DRAIN)
+            self.panicking = sound[-1] < self.given.panic_threshold * sizes[-1]
             parts = [good / max(size, 1) for good, size in zip(sound, sizes, strict=True)]
-            wide = 0.0 if self.panicking else self.given.overprovision
+            wide = 0.0 if self.panicking else self.given.overprovisioning_factor
             self._shares = [min(wide * parts[at], 1.0) if sound[at] > 1 else 0.0 for at in (0, 1)]
         return self._shares
--- a/sidecar_balancer/relay/changelog.py
+++ b/sidecar_balancer/relay/changelog.py
@@ -14,7 +14,7 @@
 import xxhash
 
 from sidecar_balancer.discovery.endpoint_list import ListEntry, ListUpdate, entry_form
-from sidecar_balancer.policy.interface import ServerState
+from sidecar_balancer.policy.types import ServerState
 
 CHANGES_MOST = 50_000  # entries in the ring: more than the whole list twice over helps nobody
 STATES_MOST = 4096  # tags and indexes that are remembered
@@ -164,7 +164,7 @@
 
 def _encode(entry: ListEntry) -> EncodedEntry:
     data = json.dumps(entry_form(entry), separators=(",", ":")).encode()
-    return EncodedEntry(data, entry.server.state is ServerState.GONE)
+    return EncodedEntry(data, entry.server.state is ServerState.REMOVED)
 
 
 def _tombstone(data: bytes) -> EncodedEntry:
--- a/sidecar_balancer/runtime/proxy.py
+++ b/sidecar_balancer/runtime/proxy.py
@@ -14,23 +14,18 @@
 
 import h11
 
+from sidecar_balancer.config.settings import ReportSource, Settings
 from sidecar_balancer.downstream.frontend import Call
-from sidecar_balancer.policy.interface import (
-    AnswerStarted,
+from sidecar_balancer.policy.actions import CancelAttempt, Fail, HealthCheck, Reject, SendAttempt
+from sidecar_balancer.policy.events import (
     AttemptEnded,
-    BodyEnded,
-    Cancel,
-    Fail,
-    Outcome,
-    Probe,
-    ProbeEnded,
-    Refuse,
-    ReportSource,
-    RequestArrived,
-    RequestGone,
-    Send,
-    Settings,
+    ClientDisconnected,
+    HealthCheckEnded,
+    RequestBodyEnded,
+    RequestReceived,
+    ResponseStarted,
 )
+from sidecar_balancer.policy.types import Outcome
 from sidecar_balancer.runtime.engine import Engine
 from sidecar_balancer.runtime.streams import Sink, Source
 from sidecar_balancer.upstream import connection as upstream
@@ -76,7 +71,7 @@
         self._engine = engine
         self._upstream = connections
         self._latencies = latencies
-        self._aims = {each.name: each.aim_us for each in settings.classes}
+        self._aims = {each.name: each.latency_objective_us for each in settings.classes}
         self._longest_s = max(each.deadline_us for each in settings.classes) / 1e6
         self._idents = itertools.count(1)
         self.in_flight: dict[int, InFlightRequest] = {}
@@ -85,11 +80,11 @@
         self._trails = 0  # logged since `allow_trails`
         engine.give_up = self.give_up
         engine.executors |= {
-            Send: self.send,
-            Refuse: self.refuse,
+            SendAttempt: self.send,
+            Reject: self.refuse,
             Fail: self.fail,
-            Cancel: self.cancel,
-            Probe: self.probe,
+            CancelAttempt: self.cancel,
+            HealthCheck: self.probe,
         }
 
     def allow_trails(self) -> None:
@@ -108,7 +103,7 @@
         if call.upload is None:
             self._start_clock(request)
         self._engine.handle(
-            RequestArrived(
+            RequestReceived(
                 request.ident,
                 call.service_class,
                 call.tenant,
@@ -137,7 +132,7 @@
         for attempt in request.out.values():
             if attempt is not None:
                 self._upstream.limit(attempt, until)
-        self._engine.handle(BodyEnded(request.ident, call.budget_us))
+        self._engine.handle(RequestBodyEnded(request.ident, call.budget_us))
 
     def gone(self, call: Call) -> None:
         request = self.by_call.pop(call, None)
@@ -151,7 +146,7 @@
         elif request is not None and not request.answered:
             self._log_trail(request, "client gone")
             self._mark_answered(request)
-            self._engine.handle(RequestGone(request.ident))
+            self._engine.handle(ClientDisconnected(request.ident))
 
     def answer(self, request: InFlightRequest, status: int, headers: Headers, body: bytes) -> None:
         if request.answered:
@@ -204,7 +199,7 @@
             self.in_flight.pop(request.ident, None)
             self.by_call.pop(request.call, None)
 
-    def refuse(self, action: Refuse) -> None:
+    def refuse(self, action: Reject) -> None:
         request = self.in_flight.get(action.request)
         if request is not None:
             wait = (
@@ -217,7 +212,7 @@
         if request is not None:
             self.answer(request, 500, [], b"")
 
-    def send(self, action: Send) -> None:
+    def send(self, action: SendAttempt) -> None:
         request = self.in_flight.get(action.request)
         if request is not None and not request.answered:
             request.call.look()  # what its client has left behind is not sent on
@@ -231,7 +226,7 @@
         request.out[index] = None
         until = math.inf
         if request.answer_by is not None:
-            until = self._engine.clock.on_loop(min(action.until or request.answer_by, request.answer_by))
+            until = self._engine.clock.on_loop(min(action.deadline or request.answer_by, request.answer_by))
         sent_at = self._engine.clock.now()
         ended = partial(self._attempt_ended, request, index, action.server, sent_at)
         starts = partial(self._answer_starts, request, index, action.server, sent_at)
@@ -241,7 +236,7 @@
         try:
             exchange = self._upstream.send(action.server, order, until, ended)
         except Exception:
-            ended(Outcome.DROPPED, None)  # a defect; nobody knows how far it went
+            ended(Outcome.CONNECTION_LOST, None)  # a defect; nobody knows how far it went
             raise
         if index in request.out:
             request.out[index] = exchange
@@ -270,7 +265,7 @@
         )
         self.answers[200] += 1
         # A copy elsewhere that this ends would else close the request, and so call off this very attempt.
-        with self._engine.event_first(AnswerStarted(request.ident, index, server, request.first_byte_us)):
+        with self._engine.event_first(ResponseStarted(request.ident, index, server, request.first_byte_us)):
             self._mark_answered(request)
         return sink
 
@@ -309,14 +304,14 @@
             return None
         return upstream.parse_report(response.header(b"x-load-report"), self._settings.report_columns)
 
-    def cancel(self, action: Cancel) -> None:
+    def cancel(self, action: CancelAttempt) -> None:
         request = self.in_flight.get(action.request)
         attempt = request.out.get(action.attempt) if request is not None else None
         if attempt is not None:
             self._upstream.cancel(attempt)
 
-    def probe(self, action: Probe) -> None:
-        reports = self._settings.report_source is not ReportSource.SILENT
+    def probe(self, action: HealthCheck) -> None:
+        reports = self._settings.report_source is not ReportSource.NONE
         ended = partial(self._probed, action.server, self._engine.clock.now())
         self._upstream.probe(action.server, "/stats" if reports else "/health/live", ended)
 
@@ -324,7 +319,7 @@
         report = None
         if response is not None and outcome is Outcome.DELIVERED:
             report = upstream.parse_probe(response.body, self._settings.report_columns)
-        self._engine.handle(ProbeEnded(server, outcome, self._engine.clock.now() - sent_at, report))
+        self._engine.handle(HealthCheckEnded(server, outcome, self._engine.clock.now() - sent_at, report))
 
     def give_up(self, ident: int | None) -> None:
         """Guards against a defect that would leave its request unanswered: it fails, and the module hears so.
@@ -340,7 +335,7 @@
             if attempt is not None and self._settings.limits.may_cancel:
                 self._upstream.cancel(attempt)
         if not over:
-            self._engine.handle(RequestGone(request.ident))
+            self._engine.handle(ClientDisconnected(request.ident))
 
 
 def _about_body(headers: Iterable[tuple[bytes, bytes]]) -> Headers:
--- a/sidecar_balancer/runtime/sidecar.py
+++ b/sidecar_balancer/runtime/sidecar.py
@@ -13,21 +13,21 @@
 from sidecar_balancer.admin.overrides import Orders
 from sidecar_balancer.admin.server import Door
 from sidecar_balancer.admin.views import asked_per_s, state_line
+from sidecar_balancer.config.settings import DiscoveryMode, Settings
 from sidecar_balancer.config.sidecar import Config
 from sidecar_balancer.discovery.client import Discovery
 from sidecar_balancer.discovery.endpoint_list import EndpointList, ListUpdate, parse_list
 from sidecar_balancer.downstream.frontend import Frontend, Hooks
-from sidecar_balancer.policy.interface import (
-    CloseIdle,
-    FetchList,
-    Follow,
-    ListKind,
-    Log,
-    PublishVerdict,
-    ServersListed,
-    Settings,
+from sidecar_balancer.policy.actions import (
+    CloseIdleConnections,
+    FetchEndpoints,
+    LogEvent,
+    PublishServerVerdict,
+    PublishZoneVerdict,
+    WatchEndpoints,
 )
-from sidecar_balancer.policy.interface import Discovery as DiscoveryMode
+from sidecar_balancer.policy.events import EndpointListReceived
+from sidecar_balancer.policy.types import ListKind
 from sidecar_balancer.runtime.engine import Engine
 from sidecar_balancer.runtime.proxy import Proxy, by_status
 from sidecar_balancer.runtime.queueing import running_poll_times
@@ -70,7 +70,7 @@
         connections_most = max((config.sockets - _FDS_KEPT) // 2, 1)  # on either side
         poll_times = running_poll_times()
         self._upstream = _upstream(settings, connections_most, budget)
-        again_s = _UNHEARD_SPANS * settings.rules.ask_within_us / 1e6
+        again_s = _UNHEARD_SPANS * settings.rules.poll_interval_us / 1e6
         self._discovery = Discovery(
             config.sources(), config.known.version, self._told, again_s, poll_times=poll_times
         )
@@ -103,11 +103,12 @@
         )
         self.door = Door(config.mgmt, self.operations.calls()) if config.mgmt is not None else None
         executors: dict[type[Any], Callable[[Any], None]] = {
-            CloseIdle: lambda action: self._upstream.close_idle(action.server),
-            Follow: lambda action: self._discovery.follow(action.wanted),
-            FetchList: lambda _: self._discovery.fetch(),
-            PublishVerdict: self._publish_verdict,
-            Log: self._log,
+            CloseIdleConnections: lambda action: self._upstream.close_idle(action.server),
+            WatchEndpoints: lambda action: self._discovery.follow(action.enabled),
+            FetchEndpoints: lambda _: self._discovery.fetch(),
+            PublishServerVerdict: self._publish_server_verdict,
+            PublishZoneVerdict: self._publish_zone_verdict,
+            LogEvent: self._log,
         }
         self._engine.executors |= executors
 
@@ -132,11 +133,11 @@
         if self._link is not None:
             await self._link.start(self._plane_bound)
         if not self._listed.is_set():  # else discovery has answered meanwhile, after a reload
-            self._list(ListKind.REMEMBERED, self._known)
+            self._list(ListKind.CACHED, self._known)
         await self._learn(stop)
         if self._keeper is not None:
             self._timers.every(self._keep_every_s, self._keep_state)
-        if self._settings.discovery is DiscoveryMode.PUSHED:
+        if self._settings.discovery is DiscoveryMode.PUSH:
             self._discovery.follow(True)
         if self._takes_over:
             await self._first_of(stop, self._listed, _LISTED_S)
@@ -168,7 +169,7 @@
         sources = config.sources()
         log.info("reloaded: discovery at %s", ", ".join("{}:{}".format(*each) for each in sources)[:200])
         if self._discovery.move(sources):
-            self._engine.handle(ServersListed(ListKind.MOVED))
+            self._engine.handle(EndpointListReceived(ListKind.SOURCE_CHANGED))
 
     async def _drain(self) -> None:
         loop = asyncio.get_running_loop()
@@ -204,9 +205,9 @@
                 self._log_state()
 
     @staticmethod
-    def _log(action: Log) -> None:
-        about = "zone" if action.kind.startswith("zone") else "server"
-        log.info("%s", action.text, extra={"kind": action.kind, about: action.about})
+    def _log(action: LogEvent) -> None:
+        subject_key = "zone" if action.name.startswith("zone") else "server"
+        log.info("%s", action.text, extra={"kind": action.name, subject_key: action.subject})
 
     def _log_state(self) -> None:
         """Tell how things stand, where anything was answered since it was last told."""
@@ -234,13 +235,18 @@
         from sidecar_balancer.membership.bridge import PeerLink
         from sidecar_balancer.membership.transport import PeerPlane
 
-        me, settings = config.settings.me, config.settings
+        me, settings = config.settings.member_index, config.settings
         plane = PeerPlane(
             config.peer_listen, list(config.peers), me, config.seed, config.peer_plane, config.duties
         )
         classes = [each.name for each in settings.classes]
         return PeerLink(
-            plane, classes, self._engine.handle, self._asked, self._paces, settings.locality.probe_us
+            plane,
+            classes,
+            self._engine.handle,
+            self._asked,
+            self._paces,
+            settings.locality.health_check_interval_us,
         )
 
     def _paces(self) -> dict[str, float]:
@@ -260,9 +266,13 @@
         self._link.ban(self.operations.ordered)
         self._timers.every(_ORDERS_EVERY_S, self.operations.hear_exclusions)
 
-    def _publish_verdict(self, action: PublishVerdict) -> None:
+    def _publish_server_verdict(self, action: PublishServerVerdict) -> None:
         if self._link is not None:
-            self._link.publish_verdict(action)
+            self._link.publish_server_verdict(action)
+
+    def _publish_zone_verdict(self, action: PublishZoneVerdict) -> None:
+        if self._link is not None:
+            self._link.publish_zone_verdict(action)
 
     # -- What outlasts a crash -----------------------------------------------------------------------------
 
@@ -312,10 +322,10 @@
     def _told(self, told: ListUpdate | None, silent: bool = False) -> None:
         if told is not None:
             self._listed.set()
-            self._list(ListKind.COMPLETE if told.complete else ListKind.CHANGES, told)
+            self._list(ListKind.SNAPSHOT if told.complete else ListKind.DELTA, told)
             return
-        self._engine.handle(ServersListed(ListKind.SILENT if silent else ListKind.FAILED))
-        if self._settings.discovery is DiscoveryMode.PUSHED:
+        self._engine.handle(EndpointListReceived(ListKind.TIMED_OUT if silent else ListKind.FAILED))
+        if self._settings.discovery is DiscoveryMode.PUSH:
             wait_s = 0.0 if silent else _PUSHED_AGAIN_S  # silence took its time already
             self._timers.later(wait_s, self._discovery.follow, True)
 
@@ -326,8 +336,8 @@
         by a list that holds no more.
         """
         servers = [entry.server for entry in told.entries]
-        with self._engine.event_first(ServersListed(kind, servers, told.version)):
-            if kind is not ListKind.CHANGES:
+        with self._engine.event_first(EndpointListReceived(kind, servers, told.version)):
+            if kind is not ListKind.DELTA:
                 self._upstream.retain({server.server for server in servers})
             if self._keeper is not None:
                 self._endpoint_list.apply(told)
--- a/sidecar_balancer/simulator/adapter.py
+++ b/sidecar_balancer/simulator/adapter.py
@@ -11,124 +11,57 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any, TextIO
 
-from sidecar_balancer.policy.balancer import Balancer
-from sidecar_balancer.policy.interface import (
+from sidecar_balancer.config.wire_names import settings_from_wire
+from sidecar_balancer.policy.actions import (
     Action,
-    AnswerStarted,
+    CancelAttempt,
+    CloseIdleConnections,
+    Fail,
+    FetchEndpoints,
+    HealthCheck,
+    LogEvent,
+    PublishServerVerdict,
+    PublishZoneVerdict,
+    Reject,
+    SendAttempt,
+    SendPeerMessage,
+    SetTimer,
+    WatchEndpoints,
+)
+from sidecar_balancer.policy.balancer import Balancer
+from sidecar_balancer.policy.events import (
     AttemptEnded,
-    Cancel,
-    CloseIdle,
+    ClientDisconnected,
+    EndpointListReceived,
     Event,
-    Fail,
-    FetchList,
-    Follow,
+    HealthCheckEnded,
     ListedServer,
-    ListKind,
-    Log,
-    MessageReceived,
-    Outcome,
-    Probe,
-    ProbeEnded,
-    PublishVerdict,
-    Refuse,
-    RequestArrived,
-    RequestGone,
-    Send,
-    ServersListed,
-    ServerState,
-    SetTimer,
-    Settings,
-    Tell,
+    PeerMessageReceived,
+    RequestReceived,
+    ResponseStarted,
     TimerFired,
 )
+from sidecar_balancer.policy.types import ListKind, Outcome, ServerState
 
 
 class WireError(Exception):
     """A line that the wire does not allow."""
 
 
-# Settings: wire name -> name in interface.py; what has no entry is passed over.
-_TOP = {
-    "lanes": "classes",
-    "realms": "tenants",
-    "zone": "zone",
-    "me": "me",
-    "groupSize": "group_size",
-    "quantumUs": "tick_us",
-    "discovery": "discovery",
-    "weights": "weights",
-    "worthBy": "worth_by",
-    "overShareWorth": "over_share_worth",
-    "report": "report",
-    "bounds": "limits",
-    "guarantees": "rules",
-    "prices": "prices",
-}
-_NESTED = {
-    "classes": {
-        "name": "name",
-        "giveUpUs": "deadline_us",
-        "promiseUs": "aim_us",
-        "worth": "worth",
-        "lateValue": "late_worth",
-        "repeat": "repeat",
-        "group": "group",
-        "memorySpanUs": "memory_us",
-        "streaming": "streaming",
-        "aimStretch": "aim_stretch",
-    },
-    "tenants": {"name": "name", "portion": "share", "quotaRps": "quota_per_s"},
-    "report": {"columns": "columns", "source": "source"},
-    "limits": {
-        "sendCap": "max_attempts",
-        "secondCopies": "second_copies",
-        "mayCancel": "may_cancel",
-        "probing": "may_probe",
-        "mayTell": "may_message",
-        "retryAfter": "retry_after",
-        "maxRetryAfterUs": "max_retry_after_us",
-        "dialTimeoutUs": "dial_timeout_us",
-        "idleCloseUs": "idle_close_us",
-        "streamsPerConn": "streams_per_connection",
-    },
-    "rules": {
-        "answerSlackUs": "answer_slack_us",
-        "askWithinUs": "ask_within_us",
-        "drainGraceUs": "drain_grace_us",
-        "coldFrom": "cold_from",
-        "coldUs": "cold_us",
-        "fallMultiple": "fall_multiple",
-        "fallUs": "fall_us",
-        "lateShedding": "late_shedding",
-    },
-    "prices": {
-        "crossZone": "cross_zone",
-        "probe": "probe",
-        "peer": "message",
-        "waste": "waste",
-        "handshake": "handshake",
-        "connection": "connection",
-    },
-}
-# Words that stand for values.
-_WORDS = {
-    "repeat": {"read_like": "safe", "idempotency_key": "keyed", "non_idempotent": "unsafe"},
-    "source": {"piggyback": "answers", "pull": "probes"},
-}
 _LIST_KINDS = {
-    "delta": ListKind.CHANGES,
-    "full": ListKind.COMPLETE,
-    "cached": ListKind.REMEMBERED,
+    "delta": ListKind.DELTA,
+    "full": ListKind.SNAPSHOT,
+    "cached": ListKind.CACHED,
     "failed": ListKind.FAILED,
 }
 _STATES = {each.value: each for each in ServerState}
 _OUTCOMES = {
     "delivered": Outcome.DELIVERED,
-    "app_error": Outcome.ERROR,
-    "shed": Outcome.FULL,
-    "expired": Outcome.EXPIRED,
-    "dial_failed": Outcome.DIAL_FAILED,
-    "dropped": Outcome.DROPPED,
+    "app_error": Outcome.APPLICATION_ERROR,
+    "shed": Outcome.REJECTED,
+    "expired": Outcome.TIMED_OUT,
+    "dial_failed": Outcome.CONNECT_FAILED,
+    "dropped": Outcome.CONNECTION_LOST,
     "revoked": Outcome.CANCELLED,
     "unused": Outcome.UNSENT,
 }
@@ -136,34 +69,6 @@
 _EVERY_PEER = -1
 
 
-def settings_from_wire(given: object) -> Settings:
-    """Translate the settings object of the wire."""
-    if not isinstance(given, Mapping):
-        raise ValueError("settings: an object is needed")
-    named = _renamed(given, _TOP)
-    for key, names in _NESTED.items():
-        part = named.get(key)
-        if isinstance(part, list):
-            named[key] = [_renamed(each, names) if isinstance(each, Mapping) else each for each in part]
-        elif isinstance(part, Mapping):
-            named[key] = _renamed(part, names)
-    domain = given.get("domain")
-    if isinstance(domain, Mapping):  # facts about the kind of service: one is of use here
-        named["warm_keys"] = domain.get("warmKeys")
-    return Settings.from_mapping(named)
-
-
-def _renamed(given: Mapping[str, Any], names: Mapping[str, str]) -> dict[str, Any]:
-    out: dict[str, Any] = {}
-    for wire, name in names.items():
-        if wire in given:
-            value = given[wire]
-            if isinstance(value, str):
-                value = _WORDS.get(name, {}).get(value, value)
-            out[name] = value
-    return out
-
-
 # ---------------------------------------------------------------------------------------------------
 # Fields of a message
 
@@ -235,7 +140,7 @@
 
 def _request(m: list[Any]) -> Event:
     flags = _whole(m[8])
-    return RequestArrived(
+    return RequestReceived(
         request=_whole(m[2]),
         service_class=_text(m[3]),
         tenant=None if m[4] is None or m[4] == 0 else _text(m[4]),
@@ -248,7 +153,7 @@
 
 
 def _started(m: list[Any]) -> Event:
-    return AnswerStarted(_whole(m[2]), _whole(m[3]), _text(m[5]), _whole(m[4]))
+    return ResponseStarted(_whole(m[2]), _whole(m[3]), _text(m[5]), _whole(m[4]))
 
 
 def _ended(m: list[Any]) -> Event:
@@ -265,7 +170,7 @@
 
 def _probed(m: list[Any]) -> Event:
     report = _report(m[5]) if len(m) > 5 else None
-    return ProbeEnded(_text(m[4]), _word(m[3], _OUTCOMES), _whole(m[2]), report)
+    return HealthCheckEnded(_text(m[4]), _word(m[3], _OUTCOMES), _whole(m[2]), report)
 
 
 # Event name -> least number of values (the name included) and how to read them.
@@ -273,25 +178,25 @@
     "WORK_ITEM": (9, _request),
     "FIRST": (6, _started),
     "ATTEMPT_END": (8, _ended),
-    "CLIENT_GONE": (3, lambda m: RequestGone(_whole(m[2]))),
+    "CLIENT_GONE": (3, lambda m: ClientDisconnected(_whole(m[2]))),
     "WAKE": (3, lambda m: TimerFired(_text(m[2]))),
     "SAMPLED": (5, _probed),
-    "MEMO": (4, lambda m: MessageReceived(_whole(m[2]), _payload(m[3]))),
+    "MEMO": (4, lambda m: PeerMessageReceived(_whole(m[2]), _payload(m[3]))),
 }
 
 # Action type -> how to write it, after the instance's name.
 _ACTIONS: dict[type[Any], tuple[str, Callable[[Any], list[Any]]]] = {
-    Send: ("ASSIGN", lambda a: [a.request, a.server, a.until]),
-    Refuse: ("NOT_NOW", lambda a: [a.request, a.retry_after_us]),
+    SendAttempt: ("ASSIGN", lambda a: [a.request, a.server, a.deadline]),
+    Reject: ("NOT_NOW", lambda a: [a.request, a.retry_after_us]),
     Fail: ("SURRENDER", lambda a: [a.request]),
-    Cancel: ("ABORT_ATTEMPT", lambda a: [a.request, a.attempt]),
+    CancelAttempt: ("ABORT_ATTEMPT", lambda a: [a.request, a.attempt]),
     SetTimer: ("REMIND", lambda a: [a.in_us, a.token]),
-    Probe: ("CHECK", lambda a: [a.server]),
-    CloseIdle: ("SHUT_IDLE", lambda a: [a.server]),
-    Tell: ("POST", lambda a: [_EVERY_PEER if a.receiver is None else a.receiver, a.payload.hex()]),
-    Follow: ("FOLLOW", lambda a: [a.wanted]),
-    FetchList: ("REFRESH", lambda a: []),
-    Log: ("REMARK", lambda a: [a.text]),
+    HealthCheck: ("CHECK", lambda a: [a.server]),
+    CloseIdleConnections: ("SHUT_IDLE", lambda a: [a.server]),
+    SendPeerMessage: ("POST", lambda a: [_EVERY_PEER if a.receiver is None else a.receiver, a.payload.hex()]),
+    WatchEndpoints: ("FOLLOW", lambda a: [a.enabled]),
+    FetchEndpoints: ("REFRESH", lambda a: []),
+    LogEvent: ("REMARK", lambda a: [a.text]),
 }
 
 
@@ -373,14 +278,14 @@
             self._need(message, least)
             self._play(who, balancer, read(message))
 
-    def _targets(self, message: list[Any]) -> ServersListed:
+    def _targets(self, message: list[Any]) -> EndpointListReceived:
         kind = _word(message[2], _LIST_KINDS)
         if kind is ListKind.FAILED:
-            return ServersListed(kind)
+            return EndpointListReceived(kind)
         page = self._pages.get(_whole(message[3]))
         if page is None:
             raise WireError(f"TARGETS names list {message[3]}, which was not given")
-        return ServersListed(kind, page, _whole(message[4]))
+        return EndpointListReceived(kind, page, _whole(message[4]))
 
     def _play(self, who: str, balancer: Balancer, event: Event) -> None:
         try:
@@ -389,7 +294,9 @@
             self._reply.append(json.dumps(["INTERNAL_ERROR", who, f"{type(fault).__name__}: {fault}"[:500]]))
             return
         for action in actions:
-            if not isinstance(action, PublishVerdict):  # instances share nothing here
+            if not isinstance(
+                action, (PublishServerVerdict, PublishZoneVerdict)
+            ):  # instances share nothing here
                 self._reply.append(_write_action(who, action))
 
 
--- a/sidecar_balancer/upstream/connection.py
+++ b/sidecar_balancer/upstream/connection.py
@@ -18,7 +18,7 @@
 
 import h11
 
-from sidecar_balancer.policy.interface import Outcome, ServerState
+from sidecar_balancer.policy.types import Outcome, ServerState
 from sidecar_balancer.runtime.streams import (
     EVENTS_AT_ONCE,
     HELD_WHOLE,
@@ -508,7 +508,7 @@
         for timer in self.timers:
             timer.cancel()
         self.endpoint.dialling.discard(self)
-        if outcome in (Outcome.EXPIRED, Outcome.CANCELLED, Outcome.DIAL_FAILED, Outcome.UNSENT):
+        if outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED, Outcome.CONNECT_FAILED, Outcome.UNSENT):
             if self.connection is not None:
                 self.connection.abort()  # this is how an attempt is given up
             if self.dial is not None:
@@ -523,13 +523,13 @@
     """
     if response is None:
         if not written:
-            return Outcome.DIAL_FAILED
-        return Outcome.ERROR if heard else Outcome.DROPPED
+            return Outcome.CONNECT_FAILED
+        return Outcome.APPLICATION_ERROR if heard else Outcome.CONNECTION_LOST
     if response.status == 200:
         return Outcome.DELIVERED
     if response.status in (503, 504) and response.header(b"x-rejected") == "1":
-        return Outcome.FULL
-    return Outcome.INVALID if response.status in (400, 404) else Outcome.ERROR
+        return Outcome.REJECTED
+    return Outcome.INVALID_REQUEST if response.status in (400, 404) else Outcome.APPLICATION_ERROR
 
 
 class Upstream:
@@ -563,7 +563,7 @@
         known = self._endpoints.get(name)
         if known is None:
             self._endpoints[name] = Endpoint(name, address or _NOWHERE, started_at, state)
-            if state is ServerState.GONE:
+            if state is ServerState.REMOVED:
                 self._gone[name] = None
             return
         address = address or known.address
@@ -575,7 +575,7 @@
                 exchange.end(Outcome.UNSENT)  # it would be written to the process or place that was
         known.state = state
         self._gone.pop(name, None)
-        if state is ServerState.GONE:
+        if state is ServerState.REMOVED:
             self._gone[name] = None
         if state is not ServerState.READY:
             self._withdraw(known)
@@ -584,7 +584,7 @@
         """Drop all servers but these."""
         for endpoint in self._endpoints.values():
             if endpoint.name not in names:
-                endpoint.state = ServerState.GONE
+                endpoint.state = ServerState.REMOVED
                 self._gone[endpoint.name] = None
                 self._withdraw(endpoint)
 
@@ -599,14 +599,14 @@
         """End what was not written to a server that takes nothing new: a slow dial may outlast the grace."""
         self.close_idle(endpoint.name)
         for exchange in list(endpoint.dialling):
-            exchange.end(Outcome.DIAL_FAILED)
+            exchange.end(Outcome.CONNECT_FAILED)
 
     def send(self, name: str, order: Order, until: float, ended: Ended) -> Exchange:
         """Start an attempt; `ended` hears its outcome exactly once, maybe before this returns."""
         loop = asyncio.get_running_loop()
         endpoint = self._endpoints.get(name)
         takes = endpoint is not None and endpoint.state is ServerState.READY and name not in self._excluded
-        endpoint = endpoint or Endpoint(name, _NOWHERE, None, ServerState.GONE)
+        endpoint = endpoint or Endpoint(name, _NOWHERE, None, ServerState.REMOVED)
         exchange = Exchange(endpoint, order, until, ended)
         if self._closed or not takes or until <= loop.time():
             exchange.end(Outcome.UNSENT)  # the list, the end of the run or of its time came first
@@ -624,7 +624,7 @@
             dial.add_done_callback(self._dials.discard)
         else:
             log.warning("no connection to spare for %s", name)
-            exchange.end(Outcome.DIAL_FAILED)
+            exchange.end(Outcome.CONNECT_FAILED)
         return exchange
 
     def limit(self, exchange: Exchange, until: float) -> None:
@@ -665,13 +665,13 @@
     def _time_up(exchange: Exchange) -> None:
         connection = exchange.connection
         exchange.end(
-            Outcome.EXPIRED if connection is not None and connection.written else Outcome.DIAL_FAILED
+            Outcome.TIMED_OUT if connection is not None and connection.written else Outcome.CONNECT_FAILED
         )
 
     @staticmethod
     def _dial_time_up(exchange: Exchange) -> None:
         if exchange.connection is None:
-            exchange.end(Outcome.DIAL_FAILED)
+            exchange.end(Outcome.CONNECT_FAILED)
 
     @staticmethod
     def _take_idle(endpoint: Endpoint) -> Connection | None:
@@ -706,7 +706,7 @@
             connection = await connect(endpoint.address, HELD_WHOLE, self._budget)
         except (OSError, ValueError) as fault:  # ValueError: no name that could be looked up
             log.info("no connection to %s: %s", endpoint.name, fault)
-            exchange.end(Outcome.DIAL_FAILED)
+            exchange.end(Outcome.CONNECT_FAILED)
             return
         assert exchange.dial is not None
         self._dials.discard(exchange.dial)
@@ -734,7 +734,7 @@
             connection.request(head, order.body, ended, order.upload, order.starts)
         except h11.LocalProtocolError:
             log.exception("a request can't be written")  # not a byte of it was
-            exchange.end(Outcome.DIAL_FAILED)
+            exchange.end(Outcome.CONNECT_FAILED)
 
     def _answered(self, exchange: Exchange, connection: Connection, response: Response | None) -> None:
         self._put_back(exchange, connection)
--- a/tests/cluster/test_peer_plane.py
+++ b/tests/cluster/test_peer_plane.py
@@ -12,10 +12,9 @@
 
 from harness import PLANE, Tier, play, tier
 from sidecar_balancer.membership import codec
-from sidecar_balancer.membership.codec import Kind, Message, VerdictUpdate
+from sidecar_balancer.membership.codec import Kind, Message, VerdictUpdate, WireVerdict
 from sidecar_balancer.persistence import snapshot
 from sidecar_balancer.persistence.store import Store
-from sidecar_balancer.policy.interface import Verdict
 from world import Catalogue, World, world
 
 
@@ -123,7 +122,7 @@
         made.changes = lambda _: {"state": {"on": True, "every_ms": 50}}
         await made.open()
         try:
-            kept = VerdictUpdate(1, 0, 9, "s-1", Verdict.EJECTED, 1, 30_000)
+            kept = VerdictUpdate(1, 0, 9, "s-1", WireVerdict.EJECTED, 1, 30_000)
             (tmp_path / "n2").mkdir()
             store = Store(tmp_path / "n2", 1 << 20)
             store.open()
@@ -212,9 +211,9 @@
             liar = made.tier.proxies[2].transport
             assert liar is not None
             lies: list[codec.Update] = [
-                VerdictUpdate(2, 0, 100 + n, f"a-{n}", Verdict.EJECTED, 1 << 16, 60_000) for n in range(4)
+                VerdictUpdate(2, 0, 100 + n, f"a-{n}", WireVerdict.EJECTED, 1 << 16, 60_000) for n in range(4)
             ]
-            lies.append(VerdictUpdate(2, 0, 200, "a", Verdict.ZONE_LEFT, 99, 60_000, codec.ZONE))
+            lies.append(VerdictUpdate(2, 0, 200, "a", WireVerdict.ZONE_EVACUATED, 99, 60_000, codec.ZONE))
             data = [codec.encode(Message(Kind.DIRECT, 0, 1, -1, (lie,)))[0] for lie in lies]
             for number in (0, 1):
                 for _ in range(20):  # the same again and again
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -10,17 +10,18 @@
 from hypothesis import strategies as st
 
 from sidecar_balancer import Balancer, Settings
-from sidecar_balancer.policy.interface import Discovery, Repeat, RequestArrived
+from sidecar_balancer.config.settings import DiscoveryMode, Idempotency
+from sidecar_balancer.policy.events import RequestReceived
 
 LEAST = {"classes": [{"name": "a", "deadline_us": 1_000_000}]}
 
 
 def test_absent_keys_get_the_cautious_default() -> None:
     given = Settings.from_mapping(LEAST)
-    assert given.classes[0].repeat is Repeat.UNSAFE
-    assert given.classes[0].aim_us == 1_000_000
-    assert given.discovery is Discovery.ON_REQUEST
-    assert not given.limits.second_copies and given.limits.max_attempts == 1
+    assert given.classes[0].idempotency is Idempotency.NON_IDEMPOTENT
+    assert given.classes[0].latency_objective_us == 1_000_000
+    assert given.discovery is DiscoveryMode.POLL
+    assert not given.limits.may_hedge and given.limits.max_attempts == 1
     assert given.rules.drain_grace_us == 0
 
 
@@ -38,15 +39,15 @@
         ({"classes": [{"name": "a"}]}, "classes[0].deadline_us"),
         ({"classes": [{"name": "a", "deadline_us": 0}]}, "classes[0].deadline_us"),
         ({"classes": [{"name": "a", "deadline_us": float("nan")}]}, "classes[0].deadline_us"),
-        ({"classes": [{"name": "a", "deadline_us": 9, "repeat": "maybe"}]}, "classes[0].repeat"),
+        ({"classes": [{"name": "a", "deadline_us": 9, "idempotency": "maybe"}]}, "classes[0].idempotency"),
         ({"classes": [*LEAST["classes"], *LEAST["classes"]]}, "classes"),
         ({**LEAST, "limits": {"max_attempts": -1}}, "limits.max_attempts"),
-        ({**LEAST, "limits": {"second_copies": 1}}, "limits.second_copies"),
-        ({**LEAST, "rules": {"cold_from": 2}}, "rules.cold_from"),
-        ({**LEAST, "rules": {"fall_us": "long"}}, "rules.fall_us"),
+        ({**LEAST, "limits": {"may_hedge": 1}}, "limits.may_hedge"),
+        ({**LEAST, "rules": {"slow_start_min_ratio": 2}}, "rules.slow_start_min_ratio"),
+        ({**LEAST, "rules": {"overload_window_us": "long"}}, "rules.overload_window_us"),
         ({**LEAST, "report": {"columns": "util"}}, "report.columns"),
         ({**LEAST, "tenants": [3]}, "tenants[0]"),
-        ({**LEAST, "group_size": 0}, "group_size"),
+        ({**LEAST, "fleet_size": 0}, "fleet_size"),
         ({**LEAST, "prices": []}, "prices"),
     ],
 )
@@ -57,18 +58,41 @@
 
 
 values = (
-    st.none() | st.booleans() | st.integers(-5, 10**9) | st.floats() | st.sampled_from(["safe", "cell", "x"])
+    st.none()
+    | st.booleans()
+    | st.integers(-5, 10**9)
+    | st.floats()
+    | st.sampled_from(["idempotent", "cell", "x"])
 )
 
 
 @how(max_examples=200, deadline=None, derandomize=True)
 @given(
     st.dictionaries(
-        st.sampled_from(["deadline_us", "aim_us", "worth", "repeat", "group", "memory_us", "streaming"]),
+        st.sampled_from(
+            [
+                "deadline_us",
+                "latency_objective_us",
+                "priority_weight",
+                "idempotency",
+                "deduplication_scope",
+                "deduplication_window_us",
+                "streaming",
+            ]
+        ),
         values,
     ),
     st.dictionaries(
-        st.sampled_from(["max_attempts", "second_copies", "may_cancel", "cold_from", "cold_us", "fall_us"]),
+        st.sampled_from(
+            [
+                "max_attempts",
+                "may_hedge",
+                "may_cancel",
+                "slow_start_min_ratio",
+                "slow_start_us",
+                "overload_window_us",
+            ]
+        ),
         values,
     ),
 )
@@ -80,4 +104,4 @@
     except ValueError:
         return
     balancer = Balancer(given, 1)
-    assert len(balancer.handle(5_000_000, RequestArrived(1, "a", None, None, 500_000))) > 0
+    assert len(balancer.handle(5_000_000, RequestReceived(1, "a", None, None, 500_000))) > 0
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -14,7 +14,7 @@
 from sidecar_balancer.discovery import client as net_discovery
 from sidecar_balancer.discovery.client import _IDLE_S, Discovery
 from sidecar_balancer.discovery.endpoint_list import LIST_MOST_BYTES, ListUpdate, parse_list, read_list
-from sidecar_balancer.policy.interface import ServerState
+from sidecar_balancer.policy.types import ServerState
 
 
 def served(*_: object) -> bytes:
@@ -104,7 +104,7 @@
 )
 def test_a_failed_call_is_told_and_the_module_asks_again(bad: bytes) -> None:
     async def scene() -> None:
-        async with world(served, rules={"ask_within_us": 1 * S}) as w:
+        async with world(served, rules={"poll_interval_us": 1 * S}) as w:
             w.discovery.answers.put_nowait(bad)
             await until(lambda: len(w.discovery.targets) == 2)
             assert w.sidecar._engine.balancer._failed_calls == 1
@@ -211,7 +211,7 @@
     [
         ("active", ServerState.READY),
         ("leaving", ServerState.DRAINING),
-        ("left", ServerState.GONE),
+        ("left", ServerState.REMOVED),
         ("resting", ServerState.DRAINING),
     ],
 )
@@ -251,7 +251,7 @@
 
     async def scene() -> None:
         # A call that failed is made again after 250 s here: nothing but the silence brings the second call.
-        async with world(served, rules={"ask_within_us": 1_000_000_000}) as w:
+        async with world(served, rules={"poll_interval_us": 1_000_000_000}) as w:
             await until(lambda: len(w.discovery.targets) == 2)
             first, second = (each.split("&wait_ms=") for each in w.discovery.targets)
             assert first[0] == second[0]  # it asks for what came since the same list
--- a/tests/discovery/test_discovery_waits.py
+++ b/tests/discovery/test_discovery_waits.py
@@ -14,7 +14,9 @@
 from helpers import START, S, Stage, names, settings
 from loopback import answer, ask, request, until, world
 from sidecar_balancer.discovery import client as net_discovery
-from sidecar_balancer.policy.interface import Follow, ListKind, ServersListed, ServerState
+from sidecar_balancer.policy.actions import WatchEndpoints
+from sidecar_balancer.policy.events import EndpointListReceived
+from sidecar_balancer.policy.types import ListKind, ServerState
 from virtual import play_on_clock
 
 TOLD_S = 6.0  # after discovery had a change and could be reached
@@ -31,48 +33,52 @@
 
 def wait_for_the_next_call(stage: Stage) -> float:
     """Let time pass until discovery is asked once more; return how long that took, in seconds."""
-    began, asked = stage.now, len(stage.said(Follow))
-    while len(stage.said(Follow)) == asked:
+    began, asked = stage.now, len(stage.said(WatchEndpoints))
+    while len(stage.said(WatchEndpoints)) == asked:
         stage.wait(S // 100)
     return (stage.now - began) / S
 
 
-@pytest.mark.parametrize("ask_within_us", [1 * S, 10 * S, 60 * S])
-@pytest.mark.parametrize("group_size", GROUP_SIZES)
-def test_from_reachable_to_told_takes_less_than_the_rules_allow(group_size: int, ask_within_us: int) -> None:
+@pytest.mark.parametrize("poll_interval_us", [1 * S, 10 * S, 60 * S])
+@pytest.mark.parametrize("fleet_size", GROUP_SIZES)
+def test_from_reachable_to_told_takes_less_than_the_rules_allow(
+    fleet_size: int, poll_interval_us: int
+) -> None:
     longest_s = 0.0
     for seed in range(12):
-        stage = Stage(settings(group_size=group_size, rules={"ask_within_us": ask_within_us}), seed=seed)
-        stage.servers(names(2), ListKind.REMEMBERED)
-        first = [at for at, each in stage.log if isinstance(each, Follow)]
+        stage = Stage(
+            settings(fleet_size=fleet_size, rules={"poll_interval_us": poll_interval_us}), seed=seed
+        )
+        stage.servers(names(2), ListKind.CACHED)
+        first = [at for at, each in stage.log if isinstance(each, WatchEndpoints)]
         longest_s = max(longest_s, 0.0 if first else wait_for_the_next_call(stage))
         for _ in range(FAILED_CALLS):
-            stage.play(ServersListed(ListKind.FAILED))
+            stage.play(EndpointListReceived(ListKind.FAILED))
             longest_s = max(longest_s, wait_for_the_next_call(stage))
     # Discovery comes back just after a call failed: the wait, the next call and its answer follow.
     assert longest_s + CALL_S + MARGIN_S <= TOLD_S
 
 
-@pytest.mark.parametrize("group_size", GROUP_SIZES[1:])
-def test_waits_after_failures_spread_the_calls_of_a_large_group(group_size: int) -> None:
+@pytest.mark.parametrize("fleet_size", GROUP_SIZES[1:])
+def test_waits_after_failures_spread_the_calls_of_a_large_group(fleet_size: int) -> None:
     called_at = []
     for seed in range(100):
-        stage = Stage(settings(group_size=group_size), seed=seed)
+        stage = Stage(settings(fleet_size=fleet_size), seed=seed)
         stage.servers(names(2))
-        stage.play(ServersListed(ListKind.FAILED))  # all watches end together as discovery goes down
+        stage.play(EndpointListReceived(ListKind.FAILED))  # all watches end together as discovery goes down
         called_at.append(wait_for_the_next_call(stage))
     busiest = max(sum(at <= each < at + 0.5 for each in called_at) for at in called_at)
     assert busiest <= 35  # of 100 in any half second
 
 
 @pytest.mark.parametrize("failures", [1, 3, 7])
-@pytest.mark.parametrize("group_size", GROUP_SIZES)
+@pytest.mark.parametrize("fleet_size", GROUP_SIZES)
 def test_a_drain_is_heard_in_time_when_discovery_comes_back(
-    group_size: int, failures: int, monkeypatch: pytest.MonkeyPatch
+    fleet_size: int, failures: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
         loop = asyncio.get_running_loop()
-        async with world(served, drained=True, group_size=group_size) as w:
+        async with world(served, drained=True, fleet_size=fleet_size) as w:
             for calls in range(1, failures + 1):
                 await until(lambda calls=calls: len(w.discovery.targets) == calls)  # type: ignore[misc]
                 await asyncio.sleep(CALL_S)  # a service that is down fails a call after it waited so long
@@ -119,7 +125,7 @@
 ) -> None:
     async def scene() -> None:
         began = asyncio.get_running_loop().time()
-        async with world(served, drained=True, discovery=mode, group_size=200) as w:
+        async with world(served, drained=True, discovery=mode, fleet_size=200) as w:
             if not silent:
                 w.discovery.stop()
             ready = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -131,10 +137,10 @@
 
 
 def test_the_first_call_of_a_member_of_any_group_comes_within_the_bound() -> None:
-    for group_size in GROUP_SIZES:
+    for fleet_size in GROUP_SIZES:
         for seed in range(20):
-            stage = Stage(settings(group_size=group_size), seed=seed)
-            stage.servers(names(2), ListKind.REMEMBERED)
-            if not stage.said(Follow):
+            stage = Stage(settings(fleet_size=fleet_size), seed=seed)
+            stage.servers(names(2), ListKind.CACHED)
+            if not stage.said(WatchEndpoints):
                 wait_for_the_next_call(stage)
             assert (stage.now - START) / S + CALL_S + MARGIN_S <= TOLD_S
--- a/tests/downstream/test_frontend.py
+++ b/tests/downstream/test_frontend.py
@@ -16,7 +16,8 @@
 from sidecar_balancer.downstream import frontend
 from sidecar_balancer.downstream.frontend import ClientConnection, Frontend, Hooks
 from sidecar_balancer.policy import balancer
-from sidecar_balancer.policy.interface import Action, Event, Refuse, RequestArrived, RequestGone
+from sidecar_balancer.policy.actions import Action, Reject
+from sidecar_balancer.policy.events import ClientDisconnected, Event, RequestReceived
 from sidecar_balancer.runtime.streams import LONGEST
 from sidecar_balancer.upstream import connection as upstream
 
@@ -79,9 +80,9 @@
         async with world(served, tenants=[{"name": "acme"}]) as w:
             heard = w.hear()
             assert (await ask(w.sidecar.frontend.address, data))[0] == status
-            assert not any(isinstance(each, RequestArrived) for each in heard) and not w.sent()
+            assert not any(isinstance(each, RequestReceived) for each in heard) and not w.sent()
             assert (await w.ask(X_Caller="acme"))[0] == 200
-            assert sum(isinstance(each, RequestArrived) for each in heard) == len(w.sent()) == 1
+            assert sum(isinstance(each, RequestReceived) for each in heard) == len(w.sent()) == 1
 
     play(scene())
 
@@ -188,10 +189,10 @@
             ticks = iter(range(1, 1_000_000))
             monkeypatch.setattr(w.sidecar._engine.clock, "now", lambda: next(ticks))
             for _ in range(3):
-                w.sidecar._engine.handle(RequestGone(1))
+                w.sidecar._engine.handle(ClientDisconnected(1))
             await asyncio.sleep(0)
             await asyncio.sleep(0)
-            w.sidecar._engine.handle(RequestGone(1))
+            w.sidecar._engine.handle(ClientDisconnected(1))
             assert times[0] == times[1] == times[2] < times[3]
 
     play(scene())
@@ -201,7 +202,7 @@
     async def scene() -> None:
         async with world(served) as w:
             w.sidecar._engine.balancer.handle = lambda now, event: (  # type: ignore[method-assign]
-                [Refuse(event.request, 250_000)] if isinstance(event, RequestArrived) else []
+                [Reject(event.request, 250_000)] if isinstance(event, RequestReceived) else []
             )
             status, headers, _ = await w.ask()
             assert status == 503 and float(headers["retry-after"]) == 0.25
@@ -216,7 +217,7 @@
             real = w.sidecar._engine.balancer.handle
 
             def faulty(now: int, event: Event) -> list[Action]:
-                if isinstance(event, RequestArrived) and event.service_class == "pay":
+                if isinstance(event, RequestReceived) and event.service_class == "pay":
                     raise ZeroDivisionError
                 return real(now, event)
 
@@ -362,7 +363,7 @@
         async with world(served) as w:
             heard = w.hear()
             assert (await w.ask(budget="1e9"))[0] == 200
-            assert [each.remaining_us for each in heard if isinstance(each, RequestArrived)] == [2_000_000]
+            assert [each.remaining_us for each in heard if isinstance(each, RequestReceived)] == [2_000_000]
 
     play(scene())
 
--- a/tests/membership/test_peers.py
+++ b/tests/membership/test_peers.py
@@ -9,17 +9,16 @@
 from hypothesis import strategies as st
 
 from sidecar_balancer.membership import codec
-from sidecar_balancer.membership.codec import Kind, Malformed, Message, Status, VerdictUpdate
+from sidecar_balancer.membership.codec import Kind, Malformed, Message, Status, VerdictUpdate, WireVerdict
 from sidecar_balancer.membership.swim import Swim, Tuning
 from sidecar_balancer.membership.verdicts import Verdicts
-from sidecar_balancer.policy.interface import Verdict
 from simnet import SimNet as Net
 
 MS = 1000
 
 
 def test_a_message_comes_back_as_it_went() -> None:
-    update = VerdictUpdate(3, 2, 9, "10.0.0.1:80", Verdict.SLOW, 4, 1500)
+    update = VerdictUpdate(3, 2, 9, "10.0.0.1:80", WireVerdict.SLOW, 4, 1500)
     data, taken = codec.encode(Message(Kind.PING_REQ, 5, 77, 2), [update] * 40)
     assert 0 < taken < 40 and len(data) <= codec.DATAGRAM_MOST
     back = codec.decode(data)
@@ -48,7 +47,7 @@
 
 def test_merging_verdicts_is_order_free_and_bounded() -> None:
     updates = [
-        VerdictUpdate(o, i, c, f"s{o % 3}", Verdict.EJECTED, 1, 5000)
+        VerdictUpdate(o, i, c, f"s{o % 3}", WireVerdict.EJECTED, 1, 5000)
         for o in range(4)
         for i in range(2)
         for c in range(3)
@@ -63,7 +62,7 @@
     assert tables[0] == tables[1] == tables[2] and len(tables[0]) == 4
     small = Verdicts(2)
     for origin in range(5):
-        small.take(origin * MS, VerdictUpdate(origin, 0, 1, "s", Verdict.FULL, 1, 1000 + origin))
+        small.take(origin * MS, VerdictUpdate(origin, 0, 1, "s", WireVerdict.REJECTING, 1, 1000 + origin))
     assert len(small) == 2 and small.evicted == 3
 
 
@@ -94,12 +93,12 @@
     net = Net(5, seed=12)
     net.run(500)
     net.down.add(2)
-    net.members[0].publish(net.clock(0), "s", Verdict.EJECTED, 1, 60_000)
+    net.members[0].publish(net.clock(0), "s", WireVerdict.EJECTED, 1, 60_000)
     net.run(4_000)  # told to the others while 2 was away; its retransmits are spent
     assert net.statuses(2) == {Status.DEAD}
     net.restart(2, 77)
     net.run(3_000)
-    assert net.members[2].agreeing(net.clock(2), "s", Verdict.EJECTED) == 1
+    assert net.members[2].agreeing(net.clock(2), "s", WireVerdict.EJECTED) == 1
 
 
 def test_a_healed_partition_joins_again() -> None:
@@ -116,17 +115,17 @@
 def test_a_verdict_reaches_every_member_and_a_liar_stays_one_voice() -> None:
     net = Net(16, loss=0.1, seed=5)
     net.run(500)
-    net.members[7].publish(net.now, "10.1.0.9:8443", Verdict.EJECTED, 12, 30_000)
+    net.members[7].publish(net.now, "10.1.0.9:8443", WireVerdict.EJECTED, 12, 30_000)
     net.run(3_000)
     assert all(
-        each.agreeing(net.now, "10.1.0.9:8443", Verdict.EJECTED) == 1
+        each.agreeing(net.now, "10.1.0.9:8443", WireVerdict.EJECTED) == 1
         for i, each in enumerate(net.members)
         if i != 7
     )
     for _ in range(50):  # a member that says it again and again is counted once
-        net.members[7].publish(net.now, "10.1.0.9:8443", Verdict.EJECTED, 12, 30_000)
+        net.members[7].publish(net.now, "10.1.0.9:8443", WireVerdict.EJECTED, 12, 30_000)
     net.run(2_000)
-    assert max(each.agreeing(net.now, "10.1.0.9:8443", Verdict.EJECTED) for each in net.members) == 1
+    assert max(each.agreeing(net.now, "10.1.0.9:8443", WireVerdict.EJECTED) for each in net.members) == 1
 
 
 def test_clocks_far_apart_change_nothing() -> None:
@@ -134,24 +133,24 @@
     skewed.skew_us = [each * 3_600_000_000 for each in range(6)]  # an hour apart each
     for net in (plain, skewed):
         net.run(500)
-        net.members[0].publish(net.clock(0), "s", Verdict.SLOW, 2, 30_000)
+        net.members[0].publish(net.clock(0), "s", WireVerdict.SLOW, 2, 30_000)
         net.down.add(3)
         net.run(6_000)
     assert [m.view() for m in plain.members] == [m.view() for m in skewed.members]
     assert all(
-        skewed.members[each].agreeing(skewed.clock(each), "s", Verdict.SLOW) == 1 for each in (1, 2, 4, 5)
+        skewed.members[each].agreeing(skewed.clock(each), "s", WireVerdict.SLOW) == 1 for each in (1, 2, 4, 5)
     )
 
 
 def test_datagrams_heard_again_later_bring_back_nothing() -> None:
     net = Net(3, seed=9)
     net.run(500)
-    net.members[0].publish(net.clock(0), "s", Verdict.EJECTED, 1, 2_000)
+    net.members[0].publish(net.clock(0), "s", WireVerdict.EJECTED, 1, 2_000)
     net.run(1_000)
-    old = VerdictUpdate(0, 0, 1, "s", Verdict.EJECTED, 1, 2_000)
-    assert net.members[1].verdicts.holding(net.clock(1), "s", Verdict.EJECTED) == [old]
+    old = VerdictUpdate(0, 0, 1, "s", WireVerdict.EJECTED, 1, 2_000)
+    assert net.members[1].verdicts.holding(net.clock(1), "s", WireVerdict.EJECTED) == [old]
     replay, _ = codec.encode(Message(Kind.PING, 0, 5), [old])
-    net.members[0].publish(net.clock(0), "s", Verdict.CLEARED, 1, 2_000)
+    net.members[0].publish(net.clock(0), "s", WireVerdict.CLEARED, 1, 2_000)
     net.run(1_000)
     for _ in range(3):  # heard again while the newer verdict is held: the older one is not taken
         net.members[1].receive(net.clock(1), 0, replay)
@@ -163,7 +162,7 @@
         net = Net(5, seed=6, tuning=Tuning(ban_quorum=quorum, ban_most=most))
         net.run(500)
         for number in range(10):
-            net.members[4].publish(net.clock(4), f"s{number}", Verdict.BANNED, 1, 30_000, codec.BAN)
+            net.members[4].publish(net.clock(4), f"s{number}", WireVerdict.DISABLED, 1, 30_000, codec.BAN)
         net.run(2_000)
         banned = [net.members[each].tier_bans(net.now) for each in range(4)]
         assert all(len(each) == (most if quorum == 1 else 0) for each in banned)
--- a/tests/policy/test_any_sequence.py
+++ b/tests/policy/test_any_sequence.py
@@ -4,36 +4,37 @@
 
 from typing import Any
 
-from hypothesis import HealthCheck, given
+from hypothesis import HealthCheck as HypothesisCheck
+from hypothesis import given
 from hypothesis import settings as how
 from hypothesis import strategies as st
 
 from helpers import KEYED, MS, SAFE, START, UNSAFE, S, names, settings
 from sidecar_balancer import Balancer
-from sidecar_balancer.policy.interface import (
-    AnswerStarted,
-    BodyEnded,
-    Cancel,
-    Event,
-    Exclude,
-    ExclusionAsked,
+from sidecar_balancer.config.settings import Idempotency
+from sidecar_balancer.policy.actions import (
+    ApplyDisabledServers,
+    CancelAttempt,
     Fail,
-    ListedServer,
-    ListKind,
-    Outcome,
-    Probe,
-    ProbeEnded,
-    Refuse,
-    Repeat,
-    RequestArrived,
-    RequestGone,
-    Send,
-    ServersListed,
-    ServerState,
+    HealthCheck,
+    Reject,
+    SendAttempt,
     SetTimer,
+)
+from sidecar_balancer.policy.events import AttemptEnded as Ended
+from sidecar_balancer.policy.events import (
+    ClientDisconnected,
+    EndpointListReceived,
+    Event,
+    HealthCheckEnded,
+    ListedServer,
+    RequestBodyEnded,
+    RequestReceived,
+    ResponseStarted,
+    ServerOverrideRequested,
     TimerFired,
 )
-from sidecar_balancer.policy.interface import AttemptEnded as Ended
+from sidecar_balancer.policy.types import ListKind, Outcome, ServerState
 
 SERVERS = names(7)
 ZONES = ("east", "west")
@@ -42,7 +43,7 @@
 CLASSES = [
     SAFE,
     UNSAFE,
-    *({**KEYED, "name": f"amend-{group}", "group": group} for group in ("all", "zone", "cell")),
+    *({**KEYED, "name": f"amend-{group}", "deduplication_scope": group} for group in ("all", "zone", "cell")),
 ]
 
 
@@ -51,7 +52,7 @@
 
     def __init__(
         self,
-        second_copies: bool,
+        may_hedge: bool,
         attempts: int,
         late_shedding: bool,
         probing: bool,
@@ -59,12 +60,12 @@
     ) -> None:
         self.settings = settings(
             classes=CLASSES,
-            limits={"second_copies": second_copies, "max_attempts": attempts, "may_probe": probing},
+            limits={"may_hedge": may_hedge, "max_attempts": attempts, "may_health_check": probing},
             report={"source": "probes", "columns": ["inflight", "queue"]},
             prices={"cross_zone": 0.1},
             rules={"late_shedding": late_shedding},
         )
-        self.proofs = [Outcome.DIAL_FAILED, Outcome.UNSENT] + [Outcome.FULL] * (not late_shedding)
+        self.proofs = [Outcome.CONNECT_FAILED, Outcome.UNSENT] + [Outcome.REJECTED] * (not late_shedding)
         self.balancer = Balancer(self.settings, rng_seed)
         self.kinds = {each.name: each for each in self.settings.classes}
         self.now = START
@@ -78,25 +79,25 @@
     def play(self, event: Event) -> None:
         for action in self.balancer.handle(self.now, event):
             match action:
-                case Send():
+                case SendAttempt():
                     self.sent(action)
-                case Refuse() | Fail():
+                case Reject() | Fail():
                     self.answered(action)
-                case Exclude():
+                case ApplyDisabledServers():
                     self.excluded = action.servers
-                case Cancel():
+                case CancelAttempt():
                     assert not self.requests[action.request]["attempts"][action.attempt]["started"]
                     assert action.attempt < len(self.requests[action.request]["attempts"])
                 case SetTimer():
                     self.timers.append((self.now + action.in_us, action.token))
-                case Probe():
-                    assert self.settings.limits.may_probe and action.server in self.listed
+                case HealthCheck():
+                    assert self.settings.limits.may_health_check and action.server in self.listed
                     self.probes.append((action.server, self.now))
                 case _:
                     pass
         self.check_counts()
 
-    def sent(self, action: Send) -> None:
+    def sent(self, action: SendAttempt) -> None:
         request = self.requests[action.request]
         kind = request["kind"]
         assert not request["over"], "sent after the final answer"
@@ -107,16 +108,16 @@
         assert not request["spent"], "sent again without its body"
         earlier = request["attempts"]
         assert len(earlier) < self.settings.limits.max_attempts, "more attempts than allowed"
-        if not self.settings.limits.second_copies:
+        if not self.settings.limits.may_hedge:
             assert not any(each["pending"] for each in earlier), "two copies out at once"
         maybe = [each for each in earlier if each["pending"] or each["outcome"] not in self.proofs]
-        if maybe and kind.repeat is Repeat.UNSAFE:
+        if maybe and kind.idempotency is Idempotency.NON_IDEMPOTENT:
             raise AssertionError("an unsafe request was sent again")
-        if maybe and kind.repeat is Repeat.KEYED:
-            assert self.now < maybe[0]["at"] + kind.memory_us, "sent after servers forgot"
+        if maybe and kind.idempotency is Idempotency.IDEMPOTENCY_KEY:
+            assert self.now < maybe[0]["at"] + kind.deduplication_window_us, "sent after servers forgot"
             for each in maybe:
-                assert kind.group.value != "zone" or each["line"].zone == line.zone, "left the zone"
-                assert kind.group.value != "cell" or each["line"].cell == line.cell, "left the cell"
+                assert kind.deduplication_scope.value != "zone" or each["line"].zone == line.zone, "left the zone"
+                assert kind.deduplication_scope.value != "cell" or each["line"].cell == line.cell, "left the cell"
         earlier.append(
             {
                 "server": action.server,
@@ -128,16 +129,18 @@
             }
         )
 
-    def answered(self, action: Refuse | Fail) -> None:
+    def answered(self, action: Reject | Fail) -> None:
         request = self.requests[action.request]
         assert not request["over"], "two final answers"
         assert self.now < request["deadline"] or request["late"], "answered after the deadline"
         assert not any(each["started"] for each in request["attempts"]), "answered beside an answer under way"
-        if isinstance(action, Refuse) and request["kind"].repeat is not Repeat.SAFE:
+        if isinstance(action, Reject) and request["kind"].idempotency is not Idempotency.IDEMPOTENT:
             maybe = [
                 each for each in request["attempts"] if each["pending"] or each["outcome"] not in self.proofs
             ]
-            whole = request["kind"].repeat is Repeat.KEYED and request["kind"].group.value == "all"
+            whole = (
+                request["kind"].idempotency is Idempotency.IDEMPOTENCY_KEY and request["kind"].deduplication_scope.value == "all"
+            )
             assert not maybe or whole, "a refusal that may have run"
         request["over"] = True
 
@@ -160,7 +163,7 @@
             "attempts": [],
             "over": False,
         }
-        self.play(RequestArrived(number, name, None, None, remaining_us, body_open=is_open))
+        self.play(RequestReceived(number, name, None, None, remaining_us, body_open=is_open))
 
     def end_body(self, choice: int) -> None:
         waiting = [n for n, r in self.requests.items() if r["deadline"] == FOREVER and not r["over"]]
@@ -168,7 +171,7 @@
             number = waiting[choice % len(waiting)]
             request = self.requests[number]
             request["deadline"] = self.now + request["remaining"]
-            self.play(BodyEnded(number, request["remaining"]))
+            self.play(RequestBodyEnded(number, request["remaining"]))
 
     def start(self, choice: int) -> None:
         """An answer begins: it is the client's, and ends in its own time."""
@@ -182,10 +185,10 @@
             number, index = out[choice % len(out)]
             each = self.requests[number]["attempts"][index]
             each["started"] = self.requests[number]["over"] = True
-            self.play(AnswerStarted(number, index, each["server"], self.now - each["at"]))
+            self.play(ResponseStarted(number, index, each["server"], self.now - each["at"]))
 
     def exclude(self, server: str, excluded: bool) -> None:
-        self.play(ExclusionAsked(server, excluded))
+        self.play(ServerOverrideRequested(server, excluded))
         if server in self.listed:
             assert (server in self.excluded) is excluded, "an order was not followed"
 
@@ -216,22 +219,22 @@
         if self.probes:
             server, sent = self.probes.pop(0)
             report = None if held is None else {"inflight": held}
-            self.play(ProbeEnded(server, outcome, self.now - sent, report))
+            self.play(HealthCheckEnded(server, outcome, self.now - sent, report))
 
     def leave(self, choice: int) -> None:
         waiting = [number for number, request in self.requests.items() if not request["over"]]
         if waiting:
             number = waiting[choice % len(waiting)]
             self.requests[number]["over"] = True
-            self.play(RequestGone(number))
+            self.play(ClientDisconnected(number))
 
     def list(self, kind: ListKind, lines: list[ListedServer]) -> None:
-        if kind is not ListKind.CHANGES:
+        if kind is not ListKind.DELTA:
             for line in self.listed.values():
-                line.state = ServerState.GONE
+                line.state = ServerState.REMOVED
         for line in lines:
             self.listed[line.server] = line
-        self.play(ServersListed(kind, lines, 1))
+        self.play(EndpointListReceived(kind, lines, 1))
 
     def wait(self, span_us: int) -> None:
         until = self.now + span_us
@@ -255,7 +258,7 @@
     zone=st.sampled_from(ZONES),
     kind=st.just("box"),
     cell=st.integers(0, 2),
-    state=st.sampled_from([ServerState.READY, ServerState.READY, ServerState.DRAINING, ServerState.GONE]),
+    state=st.sampled_from([ServerState.READY, ServerState.READY, ServerState.DRAINING, ServerState.REMOVED]),
     nominal=st.sampled_from([0.0, 1.0, 3.0]),
     started_at=st.sampled_from([None, START - 5 * S, START, START + 2 * S]),
 )
@@ -275,20 +278,20 @@
     st.tuples(st.just("end"), st.integers(0, 50), st.just(Outcome.DELIVERED)),
     st.tuples(
         st.just("probed"),
-        st.sampled_from([Outcome.DELIVERED, Outcome.DELIVERED, Outcome.EXPIRED, Outcome.DIAL_FAILED]),
+        st.sampled_from([Outcome.DELIVERED, Outcome.DELIVERED, Outcome.TIMED_OUT, Outcome.CONNECT_FAILED]),
         st.sampled_from([None, 0.0, 3.0, 50.0]),
     ),
     st.tuples(st.just("leave"), st.integers(0, 50)),
     st.tuples(st.just("wait"), st.integers(1, 1_500).map(lambda ms: ms * MS)),
     st.tuples(
         st.just("list"),
-        st.sampled_from([ListKind.CHANGES, ListKind.COMPLETE, ListKind.FAILED]),
+        st.sampled_from([ListKind.DELTA, ListKind.SNAPSHOT, ListKind.FAILED]),
         st.lists(lines, max_size=5, unique_by=lambda each: each.server),
     ),
 )
 
 
-@how(max_examples=250, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
+@how(max_examples=250, deadline=None, derandomize=True, suppress_health_check=list(HypothesisCheck))
 @given(
     st.booleans(),
     st.integers(0, 4),
@@ -307,7 +310,7 @@
 ) -> None:
     referee = Referee(copies, attempts, late_shedding, probing, rng)
     ready = [ListedServer(name, "east", "box", index % 3) for index, name in enumerate(SERVERS)]
-    referee.list(ListKind.REMEMBERED, ready)
+    referee.list(ListKind.CACHED, ready)
     for step in script:
         match step:
             case ("arrive", name, remaining, is_open):
@@ -328,7 +331,7 @@
                 referee.wait(span)
             case ("list", kind, changed):
                 if kind is ListKind.FAILED:
-                    referee.play(ServersListed(kind))
+                    referee.play(EndpointListReceived(kind))
                 else:
                     referee.list(kind, changed)
     referee.wait(4 * S)
--- a/tests/policy/test_draw.py
+++ b/tests/policy/test_draw.py
@@ -8,16 +8,10 @@
 import pytest
 
 from helpers import MS, SAFE, UNSAFE, S, Stage, names, settings
+from sidecar_balancer.policy.actions import CancelAttempt, Fail, LogEvent, Reject
 from sidecar_balancer.policy.endpoint import Server
-from sidecar_balancer.policy.interface import (
-    Cancel,
-    Fail,
-    ListedServer,
-    ListKind,
-    Log,
-    Outcome,
-    Refuse,
-)
+from sidecar_balancer.policy.events import ListedServer
+from sidecar_balancer.policy.types import ListKind, Outcome
 
 
 def test_the_least_busy_of_the_drawn_wins() -> None:
@@ -33,11 +27,11 @@
     stage.servers(names(5))
     request = stage.request("pay")
     for _ in range(4):
-        stage.end(request, Outcome.FULL)
+        stage.end(request, Outcome.REJECTED)
     targets = [each.server for _, each in stage.sends(request)]
     assert sorted(targets) == names(5)
-    stage.end(request, Outcome.FULL)
-    assert [each.request for each in stage.said(Refuse)] == [request]
+    stage.end(request, Outcome.REJECTED)
+    assert [each.request for each in stage.said(Reject)] == [request]
 
 
 def test_the_only_server_left_is_used() -> None:
@@ -94,7 +88,7 @@
 def test_a_silent_server_is_ejected_while_its_peers_answer_and_its_repeatable_requests_are_saved() -> None:
     stage = Stage()
     hung, stuck = _with_one_hung(stage, 20)
-    assert any(each.text.startswith(f"ejected {hung}") for each in stage.said(Log))
+    assert any(each.text.startswith(f"ejected {hung}") for each in stage.said(LogEvent))
     copies = [each.server for _, each in stage.sends(stuck[0])]
     assert len(copies) > 1 and hung not in copies[1:]
 
@@ -104,7 +98,7 @@
     hung, stuck = _with_one_hung(stage, 20)
     before = len([1 for _, each in stage.sends() if each.server == hung])
     for request in stuck:
-        stage.end(request, Outcome.EXPIRED, attempt=0, answered=False)
+        stage.end(request, Outcome.TIMED_OUT, attempt=0, answered=False)
     for _ in range(60):
         stage.wait(60 * MS)
         request = stage.request()
@@ -114,7 +108,7 @@
     assert trials == 1
     trial = next(each.request for _, each in reversed(stage.sends()) if each.server == hung)
     stage.end(trial, attempt=0)
-    assert stage.said(Log)[-1].text == f"readmitted {hung}"
+    assert stage.said(LogEvent)[-1].text == f"readmitted {hung}"
 
 
 def test_servers_that_are_all_silent_are_not_all_ejected() -> None:
@@ -136,14 +130,14 @@
         stage.wait(10 * MS)
         request = stage.request("pay")
         if stage.target(request) == bad:
-            stage.end(request, Outcome.ERROR)
+            stage.end(request, Outcome.APPLICATION_ERROR)
         else:
             stage.wait(40 * MS)
             stage.end(request)
     assert sum(1 for _, each in stage.sends() if each.server == bad) < 300 / 6
 
 
-@pytest.mark.parametrize("outcome", [Outcome.DROPPED, Outcome.DIAL_FAILED])
+@pytest.mark.parametrize("outcome", [Outcome.CONNECTION_LOST, Outcome.CONNECT_FAILED])
 def test_lost_connections_eject_a_server_but_only_the_list_turns_it_cold(outcome: Outcome) -> None:
     # Guards the fleet: one that is taken for restarted gets a trickle for as long as it may take to warm up.
     stage = Stage()
@@ -157,7 +151,7 @@
     assert stage.target(trial) == server.name
     stage.end(trial)
     assert server.ejected_until is None and not stage.balancer._is_cold(server)
-    stage.servers([ListedServer(server.name, zone="east", started_at=stage.now)], ListKind.CHANGES)
+    stage.servers([ListedServer(server.name, zone="east", started_at=stage.now)], ListKind.DELTA)
     assert stage.balancer._is_cold(server)
 
 
@@ -168,7 +162,7 @@
     bad = names(6)[0]
     stage.servers([bad])  # so it gets them all
     for _ in range(errors):
-        stage.end(stage.request("pay"), Outcome.ERROR)
+        stage.end(stage.request("pay"), Outcome.APPLICATION_ERROR)
         stage.end(stage.request())
     stage.servers(names(6))
     pays = {stage.target(stage.request("pay")) for _ in range(24)}  # all held, so all are drawn
@@ -182,9 +176,9 @@
     stage.servers(names(3))
     for _ in range(20):
         request = stage.request()
-        stage.end(request, Outcome.INVALID)
+        stage.end(request, Outcome.INVALID_REQUEST)
         assert len(stage.sends(request)) == 1
-    assert len(stage.said(Refuse)) == 20
+    assert len(stage.said(Reject)) == 20
     assert all(each.ejected_until is None and each.pace == 1.0 for each in stage.balancer.servers.values())
 
 
@@ -199,8 +193,8 @@
         stage.wait(50 * MS)
         stage.end(new)
         stage.wait(30 * MS)
-        stage.end(old, Outcome.EXPIRED, answered=False)
-    assert not any("ejected" in each.text for each in stage.said(Log))
+        stage.end(old, Outcome.TIMED_OUT, answered=False)
+    assert not any("ejected" in each.text for each in stage.said(LogEvent))
 
 
 def test_repeats_after_failures_are_bounded() -> None:
@@ -210,7 +204,7 @@
         stage.wait(MS)
         request = stage.request()
         while stage.balancer._requests.get(request) is not None:
-            stage.end(request, Outcome.DROPPED)
+            stage.end(request, Outcome.CONNECTION_LOST)
     assert len(stage.sends()) <= 400 * 1.25 + 10
 
 
@@ -262,11 +256,11 @@
     stage.servers(names(4))
     stage.serve(200)
     _overload(stage, 600)
-    asked = {each.request for each in stage.said(Refuse)}
+    asked = {each.request for each in stage.said(Reject)}
     looks = sum(1 for each in asked if each % 2)  # asked for in turn, so half of them would be even-handed
     assert len(asked) > 300 and looks > 0.5 * len(asked)
-    unsent = [each.request for each in stage.said(Refuse) if not stage.sends(each.request)]
-    assert len(unsent) > 0.5 * len(stage.said(Refuse))
+    unsent = [each.request for each in stage.said(Reject) if not stage.sends(each.request)]
+    assert len(unsent) > 0.5 * len(stage.said(Reject))
 
 
 def test_the_window_lets_all_in_again_once_the_load_falls() -> None:
@@ -280,22 +274,22 @@
                 stage.end(request.ident, Outcome.CANCELLED, attempt.index, answered=True)
     stage.wait(11 * S)  # what was given up on counts for as long again
     stage.serve(150)  # a small window takes some aims to grow
-    refused = len(stage.said(Refuse))
+    refused = len(stage.said(Reject))
     stage.serve(300)
-    assert len(stage.said(Refuse)) == refused
+    assert len(stage.said(Reject)) == refused
 
 
 def test_a_quiet_fleet_is_never_refused() -> None:
     stage = Stage()
     stage.servers(names(4))
     stage.serve(800)
-    assert stage.said(Refuse) == [] and stage.said(Cancel) == []
+    assert stage.said(Reject) == [] and stage.said(CancelAttempt) == []
 
 
 def test_a_restarted_process_is_readmitted_as_a_cold_server() -> None:
     stage = Stage()
     hung, _ = _with_one_hung(stage, 20)
-    stage.servers([ListedServer(hung, "east", started_at=stage.now)], ListKind.CHANGES)
+    stage.servers([ListedServer(hung, "east", started_at=stage.now)], ListKind.DELTA)
     server = stage.balancer.servers[hung]
     assert server.ejected_until is None and stage.balancer._is_cold(server)
 
@@ -330,7 +324,7 @@
         target = stage.target(request)
         stage.wait(5 * MS if target == bad else 40 * MS)
         errors += target == bad
-        stage.end(request, Outcome.ERROR if target == bad and errors % 2 else Outcome.DELIVERED)
+        stage.end(request, Outcome.APPLICATION_ERROR if target == bad and errors % 2 else Outcome.DELIVERED)
     assert sum(1 for _, each in stage.sends()[400:] if each.server == bad) < 0.5 * 800 / 12
 
 
@@ -383,13 +377,13 @@
         if stage.sends(request):
             stage.wait(700 * MS)
             stage.end(request)
-    refused = len(stage.said(Refuse))
+    refused = len(stage.said(Reject))
     assert 20 <= refused < 120
     stage.wait(10 * S)
     _serve_singly(stage, 60)
-    refused = len(stage.said(Refuse))
+    refused = len(stage.said(Reject))
     _serve_singly(stage, 60)
-    assert len(stage.said(Refuse)) == refused
+    assert len(stage.said(Reject)) == refused
 
 
 def test_two_at_once_are_no_overload_for_a_small_balancer() -> None:
@@ -403,7 +397,7 @@
         for request in pair:
             stage.end(request)
         stage.wait(900 * MS)
-    assert not stage.said(Refuse)
+    assert not stage.said(Reject)
 
 
 def test_silence_counts_as_overload_before_any_answer_is_late() -> None:
@@ -417,7 +411,7 @@
     for _ in range(400):
         stage.wait(20 * MS)
         stage.request("pay")  # none of these is ever answered
-    assert len(stage.said(Refuse)) > 100
+    assert len(stage.said(Reject)) > 100
 
 
 def test_pace_moves_faster_where_answers_are_few() -> None:
@@ -458,7 +452,7 @@
         stage.end(each)
     stage.wait(100 * MS)
     assert {each.name: each.pace for each in stage.balancer.ready} == paces
-    assert [each for each in stage.said(Log) if "ejected" in each.text] == []
+    assert [each for each in stage.said(LogEvent) if "ejected" in each.text] == []
 
 
 def test_servers_that_are_slow_while_the_balancer_is_awake_are_noticed() -> None:
@@ -477,7 +471,10 @@
     for worth, sent in ((0.0, 0), (0.5, 1)):
         stage = Stage(
             settings(
-                classes=[{"name": "look", "deadline_us": 2 * S, "aim_us": 500 * MS} | {"late_worth": worth}]
+                classes=[
+                    {"name": "look", "deadline_us": 2 * S, "latency_objective_us": 500 * MS}
+                    | {"late_priority_weight": worth}
+                ]
             )
         )
         stage.servers(names(4))
@@ -495,7 +492,7 @@
     stage.servers(names(5))  # four without it: a full draw
     lost = stage.request("pay")
     full = stage.target(lost)
-    stage.end(lost, Outcome.FULL)
+    stage.end(lost, Outcome.REJECTED)
     for _ in range(24):
         stage.request("pay")
         stage.request("look")
@@ -510,7 +507,7 @@
     stage.serve(40)  # one full answer among these tells of no overload
     request = stage.request("amend")
     full = stage.target(request)
-    stage.end(request, Outcome.FULL)
+    stage.end(request, Outcome.REJECTED)
     stage.end(request)
     for wait, drawn in ((100 * MS, False), (20 * S, True)):
         stage.wait(wait)
@@ -526,8 +523,8 @@
     stage.serve(40)  # three full answers among these tell of no overload
     request = stage.request("pay")
     for _ in range(3):
-        stage.end(request, Outcome.FULL)
-    assert [each.request for each in stage.said(Refuse)] == [request]
+        stage.end(request, Outcome.REJECTED)
+    assert [each.request for each in stage.said(Reject)] == [request]
     assert len(stage.sends(stage.request("pay"))) == 1
 
 
@@ -542,7 +539,7 @@
         stage.wait(600 * MS)
         if stage.sends(request):
             stage.end(request)
-    refused = len(stage.said(Refuse))
+    refused = len(stage.said(Reject))
     assert refused > 3
     stage.wait(10 * S)
     assert all(stage.sends(stage.request("look")) for _ in range(2))
@@ -554,16 +551,16 @@
     for _ in range(12):
         request = stage.request("pay")
         stage.wait(200 * MS)
-        stage.end(request, Outcome.DROPPED)
-    assert stage.said(Refuse) == [] and len(stage.said(Fail)) == 12
+        stage.end(request, Outcome.CONNECTION_LOST)
+    assert stage.said(Reject) == [] and len(stage.said(Fail)) == 12
 
 
 def test_a_process_that_has_just_started_is_not_shut_by_its_first_late_answers() -> None:
     # At an upgrade the new process starts amid full traffic, and its own start makes the first answers late.
-    slow = {**UNSAFE, "deadline_us": 4 * S, "aim_us": 2 * S}
+    slow = {**UNSAFE, "deadline_us": 4 * S, "latency_objective_us": 2 * S}
     stage = Stage(settings(classes=[SAFE, slow]))
     stage.servers(names(8))
-    assert late_answers(stage, 1 * S) and not stage.said(Refuse)
+    assert late_answers(stage, 1 * S) and not stage.said(Reject)
     assert stage.balancer._window == math.inf
     late_answers(stage, 4 * S)
     assert stage.balancer._window < math.inf  # later on they tell of overload
--- a/tests/policy/test_exclusions.py
+++ b/tests/policy/test_exclusions.py
@@ -5,16 +5,9 @@
 import pytest
 
 from helpers import MS, S, Stage, names, settings
-from sidecar_balancer.policy.interface import (
-    Exclude,
-    ExclusionAsked,
-    ExclusionsHeard,
-    ListedServer,
-    ListKind,
-    Outcome,
-    Send,
-    ServerState,
-)
+from sidecar_balancer.policy.actions import ApplyDisabledServers, SendAttempt
+from sidecar_balancer.policy.events import DisabledServersChanged, ListedServer, ServerOverrideRequested
+from sidecar_balancer.policy.types import ListKind, Outcome, ServerState
 
 SERVERS = names(3)
 
@@ -27,17 +20,20 @@
 
 def ask(stage: Stage, server: str, excluded: bool) -> bool:
     """Make the call; whether it was taken."""
-    return any(isinstance(each, Exclude) for each in stage.play(ExclusionAsked(server, excluded)))
+    return any(
+        isinstance(each, ApplyDisabledServers)
+        for each in stage.play(ServerOverrideRequested(server, excluded))
+    )
 
 
 def targets(stage: Stage) -> set[str]:
     """Where requests go, of which a few are in flight at any time."""
     before = len(stage.log)
     stage.serve(80)
-    return {each.server for _, each in stage.log[before:] if isinstance(each, Send)}
+    return {each.server for _, each in stage.log[before:] if isinstance(each, SendAttempt)}
 
 
-@pytest.mark.parametrize("kind", [ListKind.COMPLETE, ListKind.CHANGES, ListKind.REMEMBERED])
+@pytest.mark.parametrize("kind", [ListKind.SNAPSHOT, ListKind.DELTA, ListKind.CACHED])
 def test_an_excluded_server_is_left_out_whatever_the_list_says(kind: ListKind) -> None:
     stage = stage_of()
     assert ask(stage, SERVERS[0], True)
@@ -55,12 +51,12 @@
         while stage.target(request) != SERVERS[0]:
             stage.end(request)
             request = stage.request()
-        stage.end(request, Outcome.DROPPED)
+        stage.end(request, Outcome.CONNECTION_LOST)
     assert stage.balancer._ejected and ask(stage, SERVERS[0], True)
     stage.wait(60 * S)  # its trial is long due
     assert targets(stage) == {SERVERS[1]}
     request = stage.request()
-    stage.end(request, Outcome.FULL)
+    stage.end(request, Outcome.REJECTED)
     assert {each.server for _, each in stage.sends(request)} == {SERVERS[1]}
 
 
@@ -92,10 +88,10 @@
     told: bool, waited_s: int
 ) -> None:
     stage = stage_of()
-    stage.servers([ListedServer(SERVERS[0], "east", started_at=stage.now - 1 * S)], ListKind.CHANGES)
+    stage.servers([ListedServer(SERVERS[0], "east", started_at=stage.now - 1 * S)], ListKind.DELTA)
     ask(stage, SERVERS[0], True)
     if told:
-        stage.servers([ListedServer(SERVERS[0], "east", started_at=stage.now)], ListKind.CHANGES)
+        stage.servers([ListedServer(SERVERS[0], "east", started_at=stage.now)], ListKind.DELTA)
     stage.wait(5 * S)
     ask(stage, SERVERS[0], False)
     server = stage.balancer.servers[SERVERS[0]]
@@ -119,7 +115,7 @@
             request = stage.request()
             stage.wait(20 * MS)
             stage.end(request)
-        sent = [each.server for _, each in stage.log[before:] if isinstance(each, Send)]
+        sent = [each.server for _, each in stage.log[before:] if isinstance(each, SendAttempt)]
         assert server.name in sent, seed
         assert server not in stage.balancer._back
 
@@ -156,10 +152,10 @@
 
 def test_stored_exclusions_hold_for_servers_listed_later_and_replace_earlier_ones() -> None:
     stage = Stage()
-    stage.play(ExclusionsHeard([SERVERS[0]]))
+    stage.play(DisabledServersChanged([SERVERS[0]]))
     stage.servers(SERVERS)
     assert targets(stage) == set(SERVERS[1:])
-    stage.play(ExclusionsHeard([SERVERS[1]]))
+    stage.play(DisabledServersChanged([SERVERS[1]]))
     stage.wait(20 * S)
     assert targets(stage) == {SERVERS[0], SERVERS[2]}
 
@@ -181,7 +177,7 @@
         out: list[tuple[Stage, int]] = []
         cold = ListedServer("cold", zone="east", started_at=stages[0].now)
         for stage in stages:
-            stage.servers([cold], ListKind.CHANGES)
+            stage.servers([cold], ListKind.DELTA)
         while stages[0].now < until:
             for turn in stages:
                 request = turn.request()
--- a/tests/policy/test_locality.py
+++ b/tests/policy/test_locality.py
@@ -9,29 +9,26 @@
 
 from helpers import MS, Stage, settings
 from helpers import S as SECOND
-from sidecar_balancer.policy.interface import (
+from sidecar_balancer.config.settings import Locality
+from sidecar_balancer.policy.actions import HealthCheck, PublishServerVerdict, PublishZoneVerdict
+from sidecar_balancer.policy.events import (
+    HealthCheckEnded,
     ListedServer,
-    Outcome,
-    PeerVerdict,
-    Probe,
-    ProbeEnded,
-    ProbingHeard,
-    PublishVerdict,
-    TierAsked,
-    Verdict,
-    VerdictsHeard,
-    ZoneBack,
-    ZoneOrder,
-    ZonesOrdered,
-    locality_from,
+    PeerServerVerdict,
+    PeerVerdictsReceived,
+    TierDemandReceived,
+    ZoneHealthCheckerChanged,
+    ZoneOverridesChanged,
+    ZoneRecovered,
 )
+from sidecar_balancer.policy.types import Outcome, ServerVerdict, ZoneOverride, ZoneVerdict
 
 ON = {"on": True, "ramp_ms": 4000}
 
 
 def stage_of(zones: dict[str, int], here: str = "a", seed: int = 7, **locality: Any) -> Stage:
     """A stage in zone `here` with so many servers in each zone."""
-    given = settings(zone=here, locality={**ON, **locality}, limits={"may_probe": True})
+    given = settings(zone=here, locality={**ON, **locality}, limits={"may_health_check": True})
     stage = Stage(given, seed=seed)
     stage.servers([ListedServer(f"{zone}-{n}", zone) for zone, count in zones.items() for n in range(count)])
     return stage
@@ -49,7 +46,7 @@
         request = stage.request()
         while stage.sends(request) and zone_of(stage, request) == lost:
             drawn[lost] += 1
-            stage.end(request, Outcome.DIAL_FAILED)
+            stage.end(request, Outcome.CONNECT_FAILED)
             if len(stage.sends(request)) >= 5 or (zone_of(stage, request) == lost and drawn[lost] > 10**4):
                 break
         if stage.sends(request) and zone_of(stage, request) != lost:
@@ -82,7 +79,7 @@
 def test_the_own_region_comes_before_a_far_one() -> None:
     stage = stage_of({"a": 3, "b": 3, "c": 3}, regions={"a": "north", "b": "north", "c": "south"})
     assert set(serve(stage, 100)) == {"a"}
-    stage.play(ZonesOrdered({"a": ZoneOrder.DRAIN}))
+    stage.play(ZoneOverridesChanged({"a": ZoneOverride.DRAIN}))
     assert set(serve(stage, 100)) == {"b"}
 
 
@@ -103,17 +100,17 @@
     serve(stage, 50)
     drawn = serve(stage, 40, lost="a")
     assert left(stage) == {"a"} and drawn["a"] <= 6
-    assert (Verdict.ZONE_LEFT, "a") in [(e.verdict, e.server) for e in stage.said(PublishVerdict)]
+    assert (ZoneVerdict.EVACUATED, "a") in [(e.verdict, e.zone) for e in stage.said(PublishZoneVerdict)]
 
 
 def test_one_own_failure_is_enough_where_a_peer_has_left_the_zone_and_its_word_alone_is_not() -> None:
     stage = stage_of({"a": 4, "b": 4})
     serve(stage, 50)
-    stage.play(VerdictsHeard([PeerVerdict("a", Verdict.ZONE_LEFT, None, 1)]))
+    stage.play(PeerVerdictsReceived(evacuated_zones={"a": 1}))
     serve(stage, 50)
     assert left(stage) == set()  # it answers: own evidence wins
     stage.wait(5 * SECOND)
-    stage.play(VerdictsHeard([PeerVerdict("a", Verdict.ZONE_LEFT, None, 2)]))
+    stage.play(PeerVerdictsReceived(evacuated_zones={"a": 2}))
     drawn = serve(stage, 5, lost="a")
     assert left(stage) == {"a"} and drawn["a"] == 1
 
@@ -157,31 +154,34 @@
 def test_who_probes_for_the_tier_brings_a_zone_back_and_others_wait_for_its_word() -> None:
     stage = stage_of({"a": 3, "b": 3})
     serve(stage, 50)
-    stage.play(ProbingHeard(False))
+    stage.play(ZoneHealthCheckerChanged(False))
     serve(stage, 30, lost="a")
     before = len(stage.sends())
     assert serve(stage, 20) == Counter(b=20) and len(stage.sends()) == before + 20  # no trial of its own
-    stage.play(ZoneBack("a"))
+    stage.play(ZoneRecovered("a"))
     assert left(stage) == set()  # its backoff has run by now
-    stage.play(ZoneBack("nowhere"))
+    stage.play(ZoneRecovered("nowhere"))
     serve(stage, 60)
     serve(stage, 40, lost="a")
-    assert left(stage) == {"a"} and not stage.said(Probe)
+    assert left(stage) == {"a"} and not stage.said(HealthCheck)
     for turn in range(2):
-        stage.play(ProbingHeard(True))
-        probe = stage.said(Probe)[-1]
-        assert probe.server.startswith("a-") and len(stage.said(Probe)) == turn + 1
-        stage.play(ProbeEnded(probe.server, Outcome.DELIVERED, 1000))
+        stage.play(ZoneHealthCheckerChanged(True))
+        probe = stage.said(HealthCheck)[-1]
+        assert probe.server.startswith("a-") and len(stage.said(HealthCheck)) == turn + 1
+        stage.play(HealthCheckEnded(probe.server, Outcome.DELIVERED, 1000))
     assert left(stage) == set()
 
 
 def test_who_probes_does_so_for_zones_that_only_peers_have_left_and_tells_them() -> None:
     stage = stage_of({"a": 3, "b": 3})
-    stage.play(VerdictsHeard([PeerVerdict("b", Verdict.ZONE_LEFT, None, 1)]))
+    stage.play(PeerVerdictsReceived(evacuated_zones={"b": 1}))
     for _ in range(2):
-        stage.play(ProbingHeard(True))
-        stage.play(ProbeEnded(stage.said(Probe)[-1].server, Outcome.DELIVERED, 1000))
-    assert [(each.server, each.verdict) for each in stage.said(PublishVerdict)] == [("b", Verdict.ZONE_BACK)]
+        stage.play(ZoneHealthCheckerChanged(True))
+        stage.play(HealthCheckEnded(stage.said(HealthCheck)[-1].server, Outcome.DELIVERED, 1000))
+    assert [(each.zone, each.verdict) for each in stage.said(PublishZoneVerdict)] == [
+        ("b", ZoneVerdict.RECOVERED)
+    ]
+    assert not stage.said(PublishServerVerdict)
 
 
 def test_a_peers_word_does_not_bring_back_a_zone_before_its_backoff() -> None:
@@ -189,7 +189,7 @@
     serve(stage, 50)
     while not left(stage):
         serve(stage, 1, lost="a", every_us=1 * MS)
-    stage.play(ZoneBack("a"))
+    stage.play(ZoneRecovered("a"))
     assert left(stage) == {"a"}
 
 
@@ -197,11 +197,11 @@
     def drawn(peers: int, seed: int) -> int:
         stage = Stage(settings(), seed=seed)
         stage.servers([f"s-{n}" for n in range(8)])
-        told = [PeerVerdict("s-0", Verdict.EJECTED, None, peers)] if peers else []
+        told = [PeerServerVerdict("s-0", ServerVerdict.EJECTED, None, peers)] if peers else []
         total = 0
         for _ in range(60):
-            stage.play(VerdictsHeard([]))
-            stage.play(VerdictsHeard(told))
+            stage.play(PeerVerdictsReceived([]))
+            stage.play(PeerVerdictsReceived(told))
             request = stage.request()
             total += stage.target(request) == "s-0"
             stage.wait(10 * MS)
@@ -212,29 +212,35 @@
     assert plain > one > many > plain / 8  # less, but never none: a peer that lies does no more than two
     stage = Stage(settings())
     stage.servers([f"s-{n}" for n in range(8)])
-    stage.play(VerdictsHeard([PeerVerdict(f"s-{n}", Verdict.EJECTED, None, 1) for n in range(8)]))
+    stage.play(
+        PeerVerdictsReceived([PeerServerVerdict(f"s-{n}", ServerVerdict.EJECTED, None, 1) for n in range(8)])
+    )
     request = stage.request()
     failed = stage.target(request)
-    stage.end(request, Outcome.DROPPED)
+    stage.end(request, Outcome.CONNECTION_LOST)
     assert [each.name for each in stage.balancer._ejected] == [failed]
 
 
 def test_a_class_that_peers_saw_fail_is_kept_away_after_one_own_error() -> None:
     stage = Stage(settings())
     stage.servers([f"s-{n}" for n in range(8)])
-    stage.play(VerdictsHeard([PeerVerdict(f"s-{n}", Verdict.FAILING, "look", 1) for n in range(8)]))
+    stage.play(
+        PeerVerdictsReceived(
+            [PeerServerVerdict(f"s-{n}", ServerVerdict.FAILING, "look", 1) for n in range(8)]
+        )
+    )
     request = stage.request()
     failed = stage.target(request)
-    stage.end(request, Outcome.ERROR)
+    stage.end(request, Outcome.APPLICATION_ERROR)
     assert stage.balancer.servers[failed].turned_away[("look", None)][0] > stage.now
-    told = [each for each in stage.said(PublishVerdict) if each.verdict is Verdict.FAILING]
+    told = [each for each in stage.said(PublishServerVerdict) if each.verdict is ServerVerdict.FAILING]
     assert [(each.server, each.service_class) for each in told] == [(failed, "look")]
 
 
 def test_what_the_tier_was_asked_weighs_a_tenants_requests() -> None:
-    stage = Stage(settings(tenants=[{"name": "t", "share": 1.0, "quota_per_s": 10.0}], over_share_worth=0.1))
+    stage = Stage(settings(tenants=[{"name": "t", "share": 1.0, "quota_per_s": 10.0}], over_share_weight=0.1))
     worth = stage.balancer._worth(("look", "t"), 5 / SECOND, 5 / SECOND)
-    stage.play(TierAsked({"t": 95.0}))
+    stage.play(TierDemandReceived({"t": 95.0}))
     over = stage.balancer._worth(("look", "t"), 5 / SECOND, 5 / SECOND)
     assert worth == pytest.approx(1.0) and over == pytest.approx(0.1 + 0.9 * 0.1)
 
@@ -244,4 +250,4 @@
 )
 def test_a_bad_locality_is_named(bad: Any) -> None:
     with pytest.raises(ValueError, match="locality"):
-        locality_from(bad)
+        Locality.from_mapping(bad)
