--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -7,23 +7,17 @@
 import pytest
 
 from helpers import MS, START, S, Stage, names, settings
-from sidecar_balancer.policy.interface import (
-    AnswerStarted,
+from sidecar_balancer.policy.actions import CancelAttempt, Fail, FetchEndpoints, Reject, WatchEndpoints
+from sidecar_balancer.policy.events import (
     AttemptEnded,
-    BodyEnded,
-    Cancel,
-    Fail,
-    FetchList,
-    Follow,
+    ClientDisconnected,
+    EndpointListReceived,
     ListedServer,
-    ListKind,
-    Outcome,
-    Refuse,
-    RequestArrived,
-    RequestGone,
-    ServersListed,
-    ServerState,
+    RequestBodyEnded,
+    RequestReceived,
+    ResponseStarted,
 )
+from sidecar_balancer.policy.types import ListKind, Outcome, ServerState
 
 # Rule 1: one final answer in time
 
@@ -41,11 +35,11 @@
     stage.servers(names(5))
     request = stage.request("look", remaining_us=300 * MS)
     stage.wait(300 * MS)
-    answers = len(stage.said(Refuse))
+    answers = len(stage.said(Reject))
     stage.end(request, Outcome.CANCELLED, answered=True)
     stage.wait(5 * S)
     assert answers == 1
-    assert len(stage.said(Refuse)) == 1
+    assert len(stage.said(Reject)) == 1
     assert len([1 for at, _ in stage.sends(request) if at > START + 300 * MS]) == 0
 
 
@@ -54,13 +48,13 @@
     stage.servers(names(3))
     request = stage.request("pay", remaining_us=0)
     assert stage.sends(request) == []
-    assert [each.request for each in stage.said(Refuse)] == [request]
+    assert [each.request for each in stage.said(Reject)] == [request]
 
 
 def test_no_server_at_all_means_a_refusal_at_once() -> None:
     stage = Stage()
     request = stage.request("pay")
-    assert [each.request for each in stage.said(Refuse)] == [request]
+    assert [each.request for each in stage.said(Reject)] == [request]
 
 
 def test_no_attempts_allowed_means_a_refusal() -> None:
@@ -68,7 +62,7 @@
     stage.servers(names(3))
     request = stage.request("look")
     assert stage.sends(request) == []
-    assert [each.request for each in stage.said(Refuse)] == [request]
+    assert [each.request for each in stage.said(Reject)] == [request]
 
 
 def test_late_and_unknown_news_is_ignored() -> None:
@@ -77,8 +71,8 @@
     request = stage.request()
     stage.end(request)
     before = len(stage.log)
-    stage.play(RequestGone(request))
-    stage.play(RequestGone(99))
+    stage.play(ClientDisconnected(request))
+    stage.play(ClientDisconnected(99))
     stage.play(AttemptEnded(99, 0, "10.0.0.1:80", Outcome.DELIVERED, 1, True))
     stage.play(AttemptEnded(request, 7, "10.0.0.1:80", Outcome.DELIVERED, 1, True))
     assert len(stage.log) == before
@@ -88,17 +82,24 @@
     stage = Stage()
     stage.servers(names(3))
     request = stage.request("pay")
-    stage.play(RequestGone(request))
+    stage.play(ClientDisconnected(request))
     stage.wait(3 * S)
-    assert [each.request for each in stage.said(Cancel)] == [request]
-    assert stage.said(Fail) == [] and stage.said(Refuse) == []
+    assert [each.request for each in stage.said(CancelAttempt)] == [request]
+    assert stage.said(Fail) == [] and stage.said(Reject) == []
 
 
 # Rule 2: no effect twice
 
 
 @pytest.mark.parametrize(
-    "outcome", [Outcome.ERROR, Outcome.INVALID, Outcome.DROPPED, Outcome.EXPIRED, Outcome.CANCELLED]
+    "outcome",
+    [
+        Outcome.APPLICATION_ERROR,
+        Outcome.INVALID_REQUEST,
+        Outcome.CONNECTION_LOST,
+        Outcome.TIMED_OUT,
+        Outcome.CANCELLED,
+    ],
 )
 def test_an_unsafe_request_that_may_have_run_fails_and_is_not_sent_again(outcome: Outcome) -> None:
     stage = Stage()
@@ -108,10 +109,10 @@
     stage.end(request, outcome)
     assert len(stage.sends(request)) == 1
     assert [each.request for each in stage.said(Fail)] == [request]
-    assert stage.said(Refuse) == []
+    assert stage.said(Reject) == []
 
 
-@pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.DIAL_FAILED, Outcome.UNSENT])
+@pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.UNSENT])
 def test_an_unsafe_request_that_never_ran_goes_to_another_server(outcome: Outcome) -> None:
     stage = Stage()
     stage.servers(names(5))
@@ -131,7 +132,7 @@
     stage = Stage()
     stage.servers(names(5))
     request = stage.request("amend", remaining_us=4 * S)
-    stage.end(request, Outcome.ERROR)
+    stage.end(request, Outcome.APPLICATION_ERROR)
     assert len(stage.sends(request)) == 1 and [each.request for each in stage.said(Fail)] == [request]
 
 
@@ -140,13 +141,13 @@
     stage.servers(cells())
     request = stage.request("amend", remaining_us=4 * S)
     stage.wait(2 * S)
-    stage.end(request, Outcome.DROPPED)
+    stage.end(request, Outcome.CONNECTION_LOST)
     assert len(stage.sends(request)) == 1
     assert [each.request for each in stage.said(Fail)] == [request]
 
 
 def test_a_second_copy_waits_for_the_first_where_only_one_may_be_out() -> None:
-    stage = Stage(settings(limits={"second_copies": False}))
+    stage = Stage(settings(limits={"may_hedge": False}))
     stage.servers(names(6))
     stage.serve(100)
     request = stage.request("look")
@@ -156,7 +157,7 @@
         other = stage.request("look")
         if stage.target(other) != hung:
             stage.end(other)
-    assert [each.request for each in stage.said(Cancel)][:1] == [request]
+    assert [each.request for each in stage.said(CancelAttempt)][:1] == [request]
     assert len(stage.sends(request)) == 1
     stage.end(request, Outcome.CANCELLED, answered=False)
     assert len(stage.sends(request)) == 2
@@ -179,9 +180,9 @@
 def test_a_list_that_brings_a_server_back_makes_it_ready_again() -> None:
     stage = Stage()
     stage.servers(["10.0.0.1:80"])
-    stage.drain("10.0.0.1:80", ServerState.GONE)
+    stage.drain("10.0.0.1:80", ServerState.REMOVED)
     assert stage.sends(stage.request()) == []
-    stage.servers(["10.0.0.1:80"], ListKind.CHANGES)
+    stage.servers(["10.0.0.1:80"], ListKind.DELTA)
     assert len(stage.sends(stage.request())) == 1
 
 
@@ -192,7 +193,7 @@
         for _ in range(20):
             request = stage.request()
             stage.wait(20 * MS)
-            stage.end(request, Outcome.DROPPED if deploy % 2 else Outcome.DELIVERED, answered=True)
+            stage.end(request, Outcome.CONNECTION_LOST if deploy % 2 else Outcome.DELIVERED, answered=True)
     late = stage.request()  # its server leaves while it is out
     stage.servers(names(3))
     assert len(stage.balancer.servers) == 4
@@ -206,32 +207,34 @@
 
 def test_the_list_is_followed_from_the_first_event() -> None:
     stage = Stage()
-    stage.servers(names(2), ListKind.REMEMBERED)
+    stage.servers(names(2), ListKind.CACHED)
     stage.wait(0)
-    assert stage.said(Follow) == [Follow(True)]
+    assert stage.said(WatchEndpoints) == [WatchEndpoints(True)]
 
 
 def test_a_small_group_asks_discovery_at_once() -> None:
     for seed in range(8):
-        stage = Stage(settings(group_size=8), seed=seed)
-        stage.servers(names(2), ListKind.REMEMBERED)
+        stage = Stage(settings(fleet_size=8), seed=seed)
+        stage.servers(names(2), ListKind.CACHED)
         stage.wait(0)  # what it remembers may be old, and requests come at once
-        assert stage.said(Follow) == [Follow(True)]
+        assert stage.said(WatchEndpoints) == [WatchEndpoints(True)]
 
 
 def test_a_large_group_asks_discovery_spread_out_at_the_start_and_after_failures() -> None:
     first, again = [], []
     for seed in range(40):
-        stage = Stage(settings(group_size=40), seed=seed)
-        stage.servers(names(2), ListKind.REMEMBERED)
+        stage = Stage(settings(fleet_size=40), seed=seed)
+        stage.servers(names(2), ListKind.CACHED)
         stage.wait(4 * S)
-        asked = [at for at, each in stage.log if isinstance(each, Follow)]
+        asked = [at for at, each in stage.log if isinstance(each, WatchEndpoints)]
         first.append(asked[0] - START)
         stage.now = max(stage.now, asked[0] + 2 * S)
         failed = stage.now
-        stage.play(ServersListed(ListKind.FAILED))
+        stage.play(EndpointListReceived(ListKind.FAILED))
         stage.wait(4 * S)
-        again.append(next(at for at, each in stage.log if isinstance(each, Follow) and at > failed) - failed)
+        again.append(
+            next(at for at, each in stage.log if isinstance(each, WatchEndpoints) and at > failed) - failed
+        )
     for waits in (first, again):
         busiest = max(sum(at <= each < at + S for each in waits) for at in waits)
         assert busiest <= 25  # of 40 in any second
@@ -240,20 +243,20 @@
 
 def test_nothing_is_asked_where_changes_come_unasked() -> None:
     stage = Stage(settings(discovery="pushed"))
-    stage.servers(names(2), ListKind.REMEMBERED)
+    stage.servers(names(2), ListKind.CACHED)
     stage.wait(60 * S)
-    assert stage.said(Follow) == [] and stage.said(FetchList) == []
+    assert stage.said(WatchEndpoints) == [] and stage.said(FetchEndpoints) == []
 
 
 def test_failed_calls_are_repeated_with_growing_waits_and_never_given_up() -> None:
     stage = Stage()
     asked = []
-    stage.servers(names(2), ListKind.REMEMBERED)
+    stage.servers(names(2), ListKind.CACHED)
     for _ in range(12):
         asked.append(stage.now)
-        count = len(stage.said(Follow))
-        stage.play(ServersListed(ListKind.FAILED))
-        while len(stage.said(Follow)) == count:
+        count = len(stage.said(WatchEndpoints))
+        stage.play(EndpointListReceived(ListKind.FAILED))
+        while len(stage.said(WatchEndpoints)) == count:
             stage.wait(5 * MS)
     waits = [later - earlier for earlier, later in itertools.pairwise(asked)]
     assert max(waits) < 10 * S / 2
@@ -262,9 +265,9 @@
 
 def test_a_call_that_is_never_answered_is_made_again_in_time() -> None:
     stage = Stage()
-    stage.servers(names(2), ListKind.REMEMBERED)
+    stage.servers(names(2), ListKind.CACHED)
     stage.wait(10 * S)
-    times = [at for at, each in stage.log if isinstance(each, Follow)]
+    times = [at for at, each in stage.log if isinstance(each, WatchEndpoints)]
     assert len(times) > 1
     assert all(later - earlier < 10 * S for earlier, later in itertools.pairwise(times))
 
@@ -280,7 +283,7 @@
     warm_per_s = 100 / 6
     began = stage.now
     cold = ListedServer("10.0.0.6:80", zone="east", started_at=began)
-    stage.servers([cold], ListKind.CHANGES)
+    stage.servers([cold], ListKind.DELTA)
     while stage.now < began + 10 * S:
         requests = [stage.request() for _ in range(burst)]
         stage.wait(every_us)
@@ -312,7 +315,7 @@
     stage = Stage()
     stage.servers(names(5))
     stage.serve(200, every_us=10 * MS)
-    stage.servers([ListedServer("10.0.0.9:80", zone="east", started_at=stage.now)], ListKind.CHANGES)
+    stage.servers([ListedServer("10.0.0.9:80", zone="east", started_at=stage.now)], ListKind.DELTA)
     stage.request()
     served = stage.balancer._bearable_by_mean()
     stage.wait(5 * S)  # more than the span over which rates are averaged
@@ -325,7 +328,7 @@
     cold = ListedServer("10.0.0.9:80", zone="east", started_at=START + 15 * S)
     while stage.now < START + 25 * S:
         if stage.now == START + 20 * S:
-            stage.servers([cold], ListKind.CHANGES)
+            stage.servers([cold], ListKind.DELTA)
         requests = [stage.request() for _ in range(10)]
         stage.wait(50 * MS)
         for each in requests:
@@ -342,7 +345,7 @@
         stage = Stage(seed=seed)
         stage.servers(names(5))
         stage.serve(40, every_us=200 * MS)  # one request a second to each server
-        stage.servers([ListedServer("10.0.0.9:80", zone="east", started_at=stage.now)], ListKind.CHANGES)
+        stage.servers([ListedServer("10.0.0.9:80", zone="east", started_at=stage.now)], ListKind.DELTA)
         began, server = stage.now, stage.balancer.servers["10.0.0.9:80"]
         while not stage.balancer._cold_room(server, 1.0):
             stage.wait(100 * MS)
@@ -369,16 +372,16 @@
     stage.servers(names(3))
     request = stage.balancer._requests[stage.request()]
     server = next(each for each in stage.balancer.servers.values() if each is not request.attempts[0].server)
-    for state in (ServerState.DRAINING, ServerState.GONE):
+    for state in (ServerState.DRAINING, ServerState.REMOVED):
         stage.drain(server.name, state)
         assert not stage.balancer._send(request, server)
-    stage.servers([server.name], ListKind.CHANGES)
+    stage.servers([server.name], ListKind.DELTA)
     assert stage.balancer._send(request, stage.balancer.servers[server.name])
 
 
 def test_the_gate_lets_no_second_copy_out_where_only_one_is_allowed() -> None:
     for allowed in (False, True):
-        stage = Stage(settings(limits={"second_copies": allowed}))
+        stage = Stage(settings(limits={"may_hedge": allowed}))
         stage.servers(names(3))
         request = stage.balancer._requests[stage.request()]
         server = next(
@@ -395,10 +398,10 @@
     stage.servers(names(5))
     request = stage.request("pay")
     stage.wait(10 * MS)
-    stage.end(request, Outcome.FULL)
+    stage.end(request, Outcome.REJECTED)
     assert len(stage.sends(request)) == 1
     assert [each.request for each in stage.said(Fail)] == [request]
-    assert stage.said(Refuse) == []
+    assert stage.said(Reject) == []
 
 
 # Long bodies
@@ -411,12 +414,12 @@
     live = stage.balancer._requests[request]
     server = next(each for each in stage.balancer.servers.values() if each is not live.attempts[0].server)
     assert stage.balancer._send(live, server)
-    stage.play(AnswerStarted(request, 1, server.name, 30 * MS))
-    assert [(each.request, each.attempt) for each in stage.said(Cancel)] == [(request, 0)]
+    stage.play(ResponseStarted(request, 1, server.name, 30 * MS))
+    assert [(each.request, each.attempt) for each in stage.said(CancelAttempt)] == [(request, 0)]
     stage.end(request, Outcome.CANCELLED, attempt=0, answered=True)
     stage.wait(10 * S)
-    assert not stage.said(Refuse) and not stage.said(Fail)
-    stage.play(AttemptEnded(request, 1, server.name, Outcome.DROPPED, 30 * MS, True))
+    assert not stage.said(Reject) and not stage.said(Fail)
+    stage.play(AttemptEnded(request, 1, server.name, Outcome.CONNECTION_LOST, 30 * MS, True))
     assert len(live.attempts) == 2 and request not in stage.balancer._requests
 
 
@@ -428,7 +431,7 @@
     for _ in range(20):
         request = stage.request()
         stage.wait(50 * MS)
-        stage.play(AnswerStarted(request, 0, stage.target(request), 50 * MS))
+        stage.play(ResponseStarted(request, 0, stage.target(request), 50 * MS))
     assert stage.balancer._load() == 0
     assert all(each.in_flight == 0 for each in stage.balancer.servers.values())
     stage.wait(30 * S)
@@ -442,39 +445,41 @@
     stage = Stage()
     stage.servers(names(3))
     number = 77
-    stage.play(RequestArrived(number, "pay", None, None, 1 * S, body_open=True))
+    stage.play(RequestReceived(number, "pay", None, None, 1 * S, body_open=True))
     stage.wait(60 * S)
-    assert not stage.said(Refuse) and not stage.said(Fail) and not stage.balancer._ejected
-    stage.play(BodyEnded(number, 1 * S))
+    assert not stage.said(Reject) and not stage.said(Fail) and not stage.balancer._ejected
+    stage.play(RequestBodyEnded(number, 1 * S))
     ended = stage.now
     stage.wait(2 * S)
     assert [each.request for each in stage.said(Fail)] == [number]
     assert ended < next(at for at, each in stage.log if isinstance(each, Fail)) <= ended + 1 * S
 
 
-@pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.DIAL_FAILED])
+@pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.CONNECT_FAILED])
 def test_a_request_whose_body_is_spent_is_refused_and_not_sent_again(outcome: Outcome) -> None:
     stage = Stage()
     stage.servers(names(3))
-    stage.play(RequestArrived(77, "pay", None, None, 1 * S, body_open=True))
+    stage.play(RequestReceived(77, "pay", None, None, 1 * S, body_open=True))
     stage.wait(20 * MS)
-    stage.play(AttemptEnded(77, 0, stage.target(77), outcome, 20 * MS, False, None, spent=True))
-    assert len(stage.sends(77)) == 1 and [each.request for each in stage.said(Refuse)] == [77]
+    stage.play(AttemptEnded(77, 0, stage.target(77), outcome, 20 * MS, False, None, body_consumed=True))
+    assert len(stage.sends(77)) == 1 and [each.request for each in stage.said(Reject)] == [77]
 
 
 def test_a_watch_that_fell_silent_is_opened_anew_twice_at_once_and_then_as_after_a_failed_call() -> None:
     # join+mass: 11 of 200 sidecars asked again only 13 s later, and sent to servers that had left meanwhile.
-    stage = Stage(settings(group_size=200))
+    stage = Stage(settings(fleet_size=200))
     stage.servers(names(3))
-    before = len(stage.said(Follow))
+    before = len(stage.said(WatchEndpoints))
     for silent in (
         1,
         2,
     ):  # the first call after a silent watch may be silent too: its news soon counts as told
-        stage.play(ServersListed(ListKind.SILENT))
-        assert len(stage.said(Follow)) == before + silent
-    stage.play(ServersListed(ListKind.SILENT))  # a service that is overbooked is not asked in step by all
-    assert len(stage.said(Follow)) == before + 2
+        stage.play(EndpointListReceived(ListKind.TIMED_OUT))
+        assert len(stage.said(WatchEndpoints)) == before + silent
+    stage.play(
+        EndpointListReceived(ListKind.TIMED_OUT)
+    )  # a service that is overbooked is not asked in step by all
+    assert len(stage.said(WatchEndpoints)) == before + 2
     stage.servers(names(3))
-    stage.play(ServersListed(ListKind.SILENT))
-    assert len(stage.said(Follow)) == before + 3
+    stage.play(EndpointListReceived(ListKind.TIMED_OUT))
+    assert len(stage.said(WatchEndpoints)) == before + 3
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -12,7 +12,8 @@
 import pytest
 
 from helpers import MS, START, S, Stage, names, settings
-from sidecar_balancer.policy.interface import ListedServer, ListKind
+from sidecar_balancer.policy.events import ListedServer
+from sidecar_balancer.policy.types import ListKind
 
 COLD_FROM = 0.2  # of its capacity: where a cold server begins
 COLD_US = 10 * S  # and until when it is warm
@@ -66,7 +67,9 @@
 def test_what_all_send_a_cold_server_stays_within_its_budget(
     processes: int, per_s: float, burst: float, seed: int
 ) -> None:
-    given = settings(group_size=processes, rules={"cold_from": COLD_FROM, "cold_us": COLD_US})
+    given = settings(
+        fleet_size=processes, rules={"slow_start_min_ratio": COLD_FROM, "slow_start_us": COLD_US}
+    )
     stages = [Stage(given, seed=100 * seed + number) for number in range(processes)]
     warm = names(10)
     for stage in stages:
@@ -75,7 +78,7 @@
     play_fleet(stages, arrivals(stages, per_s, seed, joined), joined)
     for stage in stages:
         stage.wait(joined - stage.now)
-        stage.servers([ListedServer(JOINER, zone="east", started_at=joined)], ListKind.CHANGES)
+        stage.servers([ListedServer(JOINER, zone="east", started_at=joined)], ListKind.DELTA)
     end = joined + COLD_US
     play_fleet(stages, arrivals(stages, burst * per_s, seed + 50, end), end)
     sent = sorted(at for stage in stages for at, each in stage.sends() if each.server == JOINER)
--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -21,7 +21,7 @@
 from sidecar_balancer.discovery.endpoint_list import EndpointList, ListUpdate, parse_list
 from sidecar_balancer.discovery.sources import RelayAddress, SourceSelector, in_order_of_preference
 from sidecar_balancer.observability.logs import LogConfig
-from sidecar_balancer.policy.interface import ServerState
+from sidecar_balancer.policy.types import ServerState
 from sidecar_balancer.relay import caller as relay_caller
 from sidecar_balancer.relay.app import Relay
 from sidecar_balancer.relay.changelog import ChangeLog
--- a/tests/runtime/test_close_range.py
+++ b/tests/runtime/test_close_range.py
@@ -34,16 +34,15 @@
 from sidecar_balancer.admin.overrides import Orders
 from sidecar_balancer.discovery.client import Discovery
 from sidecar_balancer.discovery.endpoint_list import ListUpdate
-from sidecar_balancer.policy.interface import (
+from sidecar_balancer.policy.actions import HealthCheck
+from sidecar_balancer.policy.events import (
     AttemptEnded,
-    ExclusionAsked,
-    Outcome,
-    Probe,
-    ProbeEnded,
-    RequestGone,
-    ServerState,
+    ClientDisconnected,
+    HealthCheckEnded,
+    ServerOverrideRequested,
     TimerFired,
 )
+from sidecar_balancer.policy.types import Outcome, ServerState
 from sidecar_balancer.runtime.streams import STALLED_S
 from sidecar_balancer.upstream import connection as upstream
 from virtual import play_on_clock, stall
@@ -514,8 +513,8 @@
                 assert (await w.ask(kind="pay", body=b"x"))[0] == 200
             ended = [each.outcome for each in heard if isinstance(each, AttemptEnded)]
             assert set(ended) == {Outcome.UNSENT, Outcome.DELIVERED}
-            w.sidecar.proxy.probe(Probe("s-0"))
-            assert isinstance(heard[-1], ProbeEnded) and heard[-1].outcome is Outcome.UNSENT
+            w.sidecar.proxy.probe(HealthCheck("s-0"))
+            assert isinstance(heard[-1], HealthCheckEnded) and heard[-1].outcome is Outcome.UNSENT
 
     on_clock(scene())
 
@@ -552,7 +551,7 @@
             asking = asyncio.create_task(w.ask(kind="pay", body=b"x"))
             await until(w.sent)
             if change == "excluded":
-                w.sidecar._engine.handle(ExclusionAsked("s-0", True))
+                w.sidecar._engine.handle(ServerOverrideRequested("s-0", True))
             elif change == "missing":
                 w.discovery.say(42, [], snapshot=True)
             else:
@@ -600,7 +599,7 @@
         until_s = asyncio.get_running_loop().time() + 30
         pool.send("s", order, until_s, lambda outcome, _: outcomes.append(outcome))
         await until(lambda: outcomes and pool.open_count <= 0)
-        assert outcomes == [Outcome.DIAL_FAILED] and pool.open_count == 0
+        assert outcomes == [Outcome.CONNECT_FAILED] and pool.open_count == 0
         await pool.close()
         await server.end()
 
@@ -650,7 +649,7 @@
         assert not pool._endpoints["closing"].idle  # nor is a timer left for what is over
         for _ in range(3):
             send("other")
-        assert pool.open_count == 2 and outcomes[2:] == [Outcome.DIAL_FAILED]
+        assert pool.open_count == 2 and outcomes[2:] == [Outcome.CONNECT_FAILED]
         await until(lambda: len(other.requests) == 2)
         await pool.close()
         assert pool.open_count == 0 and len(outcomes) == 5
@@ -800,7 +799,7 @@
     body = bytes(range(251)) * 1000  # too long to be held whole
 
     async def scene() -> None:
-        limits: dict[str, Any] = {"max_attempts": 3, "second_copies": True, "may_cancel": may_cancel}
+        limits: dict[str, Any] = {"max_attempts": 3, "may_hedge": True, "may_cancel": may_cancel}
         limits["dial_timeout_us"] = 600_000_000
         async with world(hung, hung, drained=True, limits=limits) as w:
             with deaf() as address:
@@ -854,7 +853,7 @@
             status, _, _ = await read_answer(reader)
             assert status == 503  # it never ran, and its body is gone
             ended = [each.outcome for each in heard if isinstance(each, AttemptEnded)]
-            assert ended == [Outcome.DIAL_FAILED]
+            assert ended == [Outcome.CONNECT_FAILED]
             writer.close()
 
     on_clock(scene())
@@ -1297,7 +1296,7 @@
 
 def test_two_sidecars_of_one_process_go_each_by_its_own_settings(on_clock: Play) -> None:
     other = [UNSAFE | {"name": "look", "deadline_us": 1 * S}, SAFE | {"name": "pay"}]
-    limits = {"max_attempts": 1, "second_copies": False, "may_cancel": False}
+    limits = {"max_attempts": 1, "may_hedge": False, "may_cancel": False}
 
     async def scene() -> None:
         def fails(*_: object) -> bytes:
@@ -1348,9 +1347,9 @@
                 if at == "backstop":
                     monkeypatch.setattr(w.sidecar._engine.balancer, "handle", real)
                     for number in list(w.sidecar._engine.balancer._requests):
-                        w.sidecar._engine.handle(RequestGone(number))
+                        w.sidecar._engine.handle(ClientDisconnected(number))
                         w.sidecar._engine.handle(
-                            AttemptEnded(number, 0, w.servers[0].name, Outcome.EXPIRED, 1, True)
+                            AttemptEnded(number, 0, w.servers[0].name, Outcome.TIMED_OUT, 1, True)
                         )
                 await until(lambda: w.sidecar._upstream.open_count == 0 and not w.sidecar.proxy.in_flight)
 
--- a/tests/runtime/test_streams.py
+++ b/tests/runtime/test_streams.py
@@ -13,7 +13,8 @@
 from loopback import PATIENCE_S, Listening, World, answer, play, request, reset, until, world
 from sidecar_balancer.downstream import frontend
 from sidecar_balancer.downstream.frontend import ClientConnection
-from sidecar_balancer.policy.interface import AnswerStarted, AttemptEnded, Outcome, RequestArrived
+from sidecar_balancer.policy.events import AttemptEnded, RequestReceived, ResponseStarted
+from sidecar_balancer.policy.types import Outcome
 from sidecar_balancer.runtime import streams
 from sidecar_balancer.runtime.streams import HELD_WHOLE, Budget
 from sidecar_balancer.upstream import connection as upstream
@@ -106,7 +107,7 @@
             assert got == LONG
             await until(lambda: any(isinstance(each, AttemptEnded) for each in heard))
             assert [each.outcome for each in heard if isinstance(each, AttemptEnded)] == [Outcome.DELIVERED]
-            assert sum(isinstance(each, AnswerStarted) for each in heard) == 1
+            assert sum(isinstance(each, ResponseStarted) for each in heard) == 1
             writer.write(request())  # the connection goes on
             more.clear()
             await read_head(reader)
@@ -355,7 +356,7 @@
             writer.write(data)
             assert "200 ok" in await read_head(reader)
             assert await reader.readexactly(5) == b"whole"
-            assert [each.body_open for each in heard if isinstance(each, RequestArrived)] == [True]
+            assert [each.body_open for each in heard if isinstance(each, RequestReceived)] == [True]
             writer.write(request("pay", body=LONG))  # the connection goes on
             assert "200 ok" in await read_head(reader)
             writer.close()
@@ -437,7 +438,7 @@
             assert "503" in await read_head(reader)
             assert server.connections == 1
             ended = [each for each in heard if isinstance(each, AttemptEnded)]
-            assert [(each.outcome, each.spent) for each in ended] == [(Outcome.DIAL_FAILED, True)]
+            assert [(each.outcome, each.body_consumed) for each in ended] == [(Outcome.CONNECT_FAILED, True)]
             writer.close()
 
     play(scene())
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -15,14 +15,21 @@
 from hypothesis import settings as how
 from hypothesis import strategies as st
 
-from sidecar_balancer.simulator.adapter import run, settings_from_wire
+from sidecar_balancer.config.wire_names import settings_from_wire
+from sidecar_balancer.simulator.adapter import run
 
 BOOT: dict[str, Any] = {
     "bounds": {"sendCap": 3, "secondCopies": True, "mayCancel": True, "streamsPerConn": 1},
     "discovery": "on_request",
     "guarantees": {"askWithinUs": 10_000_000, "coldFrom": 0.3, "coldUs": 8_000_000},
     "lanes": [
-        {"name": "look", "giveUpUs": 2_000_000, "promiseUs": 500_000, "repeat": "read_like", "group": "all"}
+        {
+            "name": "look",
+            "giveUpUs": 2_000_000,
+            "promiseUs": 500_000,
+            "repeat": "read_like",
+            "group": "all",
+        }
     ],
     "report": {"source": "piggyback", "columns": ["util"]},
     "something_new": [1, 2],
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -6,35 +6,43 @@
 from typing import Any, TypeVar
 
 from sidecar_balancer import Balancer, Settings
-from sidecar_balancer.policy.interface import (
-    Action,
+from sidecar_balancer.policy.actions import Action, SendAttempt, SetTimer
+from sidecar_balancer.policy.events import (
     AttemptEnded,
+    EndpointListReceived,
     Event,
     ListedServer,
-    ListKind,
-    Outcome,
-    RequestArrived,
-    Send,
-    ServersListed,
-    ServerState,
-    SetTimer,
+    RequestReceived,
     TimerFired,
 )
+from sidecar_balancer.policy.types import ListKind, Outcome, ServerState
 
 MS = 1_000
 S = 1_000_000
 START = 50 * S
 
-SAFE = {"name": "look", "deadline_us": 2 * S, "aim_us": 500 * MS, "worth": 1, "repeat": "safe"}
-UNSAFE = {"name": "pay", "deadline_us": 2 * S, "aim_us": 500 * MS, "worth": 10, "repeat": "unsafe"}
+SAFE = {
+    "name": "look",
+    "deadline_us": 2 * S,
+    "latency_objective_us": 500 * MS,
+    "priority_weight": 1,
+    "idempotency": "idempotent",
+}
+UNSAFE = {
+    "name": "pay",
+    "deadline_us": 2 * S,
+    "latency_objective_us": 500 * MS,
+    "priority_weight": 10,
+    "idempotency": "non_idempotent",
+}
 KEYED = {
     "name": "amend",
     "deadline_us": 4 * S,
-    "aim_us": 500 * MS,
-    "worth": 3,
-    "repeat": "keyed",
-    "group": "cell",
-    "memory_us": 2 * S,
+    "latency_objective_us": 500 * MS,
+    "priority_weight": 3,
+    "idempotency": "idempotency_key",
+    "deduplication_scope": "cell",
+    "deduplication_window_us": 2 * S,
 }
 
 _Kind = TypeVar("_Kind")
@@ -46,14 +54,14 @@
         "classes": [SAFE, UNSAFE, KEYED],
         "zone": "east",
         "tick_us": 5 * MS,
-        "limits": {"max_attempts": 5, "second_copies": True, "may_cancel": True},
+        "limits": {"max_attempts": 5, "may_hedge": True, "may_cancel": True},
         "rules": {
-            "cold_from": 0.2,
-            "cold_us": 10 * S,
+            "slow_start_min_ratio": 0.2,
+            "slow_start_us": 10 * S,
             "drain_grace_us": 500 * MS,
-            "fall_multiple": 3,
-            "fall_us": 2 * S,
-            "ask_within_us": 10 * S,
+            "overload_multiple": 3,
+            "overload_window_us": 2 * S,
+            "poll_interval_us": 10 * S,
         },
     }
     for key, value in changes.items():
@@ -84,13 +92,13 @@
         return actions
 
     def servers(
-        self, listed: Iterable[str | ListedServer], kind: ListKind = ListKind.COMPLETE
+        self, listed: Iterable[str | ListedServer], kind: ListKind = ListKind.SNAPSHOT
     ) -> list[Action]:
         lines = [ListedServer(each, zone="east") if isinstance(each, str) else each for each in listed]
-        return self.play(ServersListed(kind, lines, 1))
+        return self.play(EndpointListReceived(kind, lines, 1))
 
     def drain(self, server: str, state: ServerState = ServerState.DRAINING) -> list[Action]:
-        return self.servers([ListedServer(server, zone="east", state=state)], ListKind.CHANGES)
+        return self.servers([ListedServer(server, zone="east", state=state)], ListKind.DELTA)
 
     def request(
         self,
@@ -101,7 +109,7 @@
         tenant: str | None = None,
     ) -> int:
         number, self._next = self._next, self._next + 1
-        self.play(RequestArrived(number, name, tenant, key, remaining_us, cost_us))
+        self.play(RequestReceived(number, name, tenant, key, remaining_us, cost_us))
         return number
 
     def end(
@@ -131,11 +139,11 @@
             self.play(TimerFired(due[0][1]))
         self.now = until
 
-    def sends(self, request: int | None = None) -> list[tuple[int, Send]]:
+    def sends(self, request: int | None = None) -> list[tuple[int, SendAttempt]]:
         return [
             (at, each)
             for at, each in self.log
-            if isinstance(each, Send) and (request is None or each.request == request)
+            if isinstance(each, SendAttempt) and (request is None or each.request == request)
         ]
 
     def target(self, request: int) -> str:
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -15,7 +15,8 @@
 from helpers import settings
 from sidecar_balancer.config.sidecar import Config
 from sidecar_balancer.discovery.endpoint_list import parse_list
-from sidecar_balancer.policy.interface import Action, Event
+from sidecar_balancer.policy.actions import Action
+from sidecar_balancer.policy.events import Event
 from sidecar_balancer.runtime.sidecar import Sidecar
 from sidecar_balancer.upstream.connection import Address
 
@@ -213,7 +214,7 @@
         return await ask(self.sidecar.frontend.address, request(**changes))
 
 
-LIMITS = {"max_attempts": 3, "second_copies": False, "may_cancel": True}
+LIMITS = {"max_attempts": 3, "may_hedge": False, "may_cancel": True}
 
 
 @contextlib.asynccontextmanager
--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -25,7 +25,13 @@
 
 LANES = [
     {"name": "look", "giveUpUs": 2_000_000, "promiseUs": 1_000_000, "repeat": "read_like", "worth": 3.0},
-    {"name": "pay", "giveUpUs": 3_000_000, "promiseUs": 1_500_000, "repeat": "non_idempotent", "worth": 10.0},
+    {
+        "name": "pay",
+        "giveUpUs": 3_000_000,
+        "promiseUs": 1_500_000,
+        "repeat": "non_idempotent",
+        "worth": 10.0,
+    },
 ]
 BOUNDS = {"sendCap": 4, "mayCancel": True, "secondCopies": True, "probing": True, "dialTimeoutUs": 250_000}
 COLD_S = 4.0  # how long a server that started is cold
--- a/tests/upstream/test_attempts.py
+++ b/tests/upstream/test_attempts.py
@@ -21,7 +21,8 @@
     until,
     world,
 )
-from sidecar_balancer.policy.interface import AttemptEnded, Outcome, ServerState
+from sidecar_balancer.policy.events import AttemptEnded
+from sidecar_balancer.policy.types import Outcome, ServerState
 from sidecar_balancer.upstream import connection as upstream
 from sidecar_balancer.upstream.connection import (
     Exchange,
@@ -107,7 +108,7 @@
 
 @pytest.mark.parametrize(
     ("reply", "outcome"),
-    [*((reply, Outcome.ERROR) for reply in UNREADABLE.values()), (b"", Outcome.DROPPED)],
+    [*((reply, Outcome.APPLICATION_ERROR) for reply in UNREADABLE.values()), (b"", Outcome.CONNECTION_LOST)],
     ids=[*UNREADABLE, "a reset and no answer"],
 )
 def test_an_answer_that_cannot_be_read_is_an_error_and_no_lost_connection(
@@ -289,7 +290,7 @@
         assert not connection.written
         other.close()  # with bytes unread: a reset
         assert await asyncio.wait_for(ended, PATIENCE_S) is None
-        assert judge(None, connection.written, connection.heard) is Outcome.DIAL_FAILED
+        assert judge(None, connection.written, connection.heard) is Outcome.CONNECT_FAILED
         listener.close()
 
     play(scene())
@@ -310,7 +311,7 @@
         await until(lambda: connection.written)
         reset(writer)
         assert await asyncio.wait_for(ended, PATIENCE_S) is None
-        assert judge(None, connection.written, connection.heard) is Outcome.DROPPED
+        assert judge(None, connection.written, connection.heard) is Outcome.CONNECTION_LOST
         listener.close()
 
     play(scene())
@@ -324,13 +325,13 @@
         with deaf() as address:
             upstream = Upstream(dial_limit, 60.0, 10)
             upstream.update("s", address, None, ServerState.READY)
-            assert await outcome_of(upstream, seconds) is Outcome.DIAL_FAILED
+            assert await outcome_of(upstream, seconds) is Outcome.CONNECT_FAILED
             await until(lambda: upstream.open_count == 0)
 
     play(scene())
 
 
-@pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.GONE])
+@pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.REMOVED])
 def test_a_dial_under_way_to_a_server_that_leaves_is_ended(state: ServerState) -> None:
     # Guards rule 3: a slow dial would write its request after the grace.
     async def scene() -> None:
@@ -340,7 +341,7 @@
             sending = asyncio.create_task(outcome_of(upstream))
             await until(lambda: upstream.open_count == 1)
             upstream.update("s", address, None, state)
-            assert await sending is Outcome.DIAL_FAILED
+            assert await sending is Outcome.CONNECT_FAILED
             await until(lambda: upstream.open_count == 0)
 
     play(scene())
@@ -410,7 +411,7 @@
         await until(lambda: ended)
         upstream.send("s", order(), loop.time() + 30, lambda o, _: ended.append(o))
         await until(lambda: servers[1].requests)
-        assert await outcome_of(upstream) is Outcome.DIAL_FAILED
+        assert await outcome_of(upstream) is Outcome.CONNECT_FAILED
         for each in servers:
             each.stop()
 
