--- a/tests/policy/test_any_sequence.py
+++ b/tests/policy/test_any_sequence.py
@@ -116,8 +116,12 @@
         if maybe and kind.idempotency is Idempotency.IDEMPOTENCY_KEY:
             assert self.now < maybe[0]["at"] + kind.deduplication_window_us, "sent after servers forgot"
             for each in maybe:
-                assert kind.deduplication_scope.value != "zone" or each["line"].zone == line.zone, "left the zone"
-                assert kind.deduplication_scope.value != "cell" or each["line"].cell == line.cell, "left the cell"
+                assert kind.deduplication_scope.value != "zone" or each["line"].zone == line.zone, (
+                    "left the zone"
+                )
+                assert kind.deduplication_scope.value != "cell" or each["line"].cell == line.cell, (
+                    "left the cell"
+                )
         earlier.append(
             {
                 "server": action.server,
@@ -139,7 +143,8 @@
                 each for each in request["attempts"] if each["pending"] or each["outcome"] not in self.proofs
             ]
             whole = (
-                request["kind"].idempotency is Idempotency.IDEMPOTENCY_KEY and request["kind"].deduplication_scope.value == "all"
+                request["kind"].idempotency is Idempotency.IDEMPOTENCY_KEY
+                and request["kind"].deduplication_scope.value == "all"
             )
             assert not maybe or whole, "a refusal that may have run"
         request["over"] = True
