--- a/sidecar_balancer/admin/server.py
+++ b/sidecar_balancer/admin/server.py
@@ -89,13 +89,13 @@
             said = operation(ident)
         except Declined as no:
             if method != "GET":  # who waits for a start asks many times a second
-                log.info("operators: %s %.100s: no, %s", method, target, no, extra={"kind": "operators_no"})
+                log.info("operators: %s %.100s: no, %s", method, target, no, extra={"event": "operators_no"})
             return no.status, str(no)
         except Exception:
             log.exception("the call %s %.100s failed", method, target)  # a defect; the door goes on
             return 500, "internal error"
         if method != "GET":
-            log.info("operators: %s %.100s: yes", method, target, extra={"kind": "operators_yes"})
+            log.info("operators: %s %.100s: yes", method, target, extra={"event": "operators_yes"})
         return 200, "yes" if said is None else said
 
     def _named(self, target: str) -> tuple[str, str]:
--- a/sidecar_balancer/discovery/client.py
+++ b/sidecar_balancer/discovery/client.py
@@ -270,7 +270,7 @@
 
     def _note_switch(self, why: str) -> None:
         self._switched = True
-        extra = {"kind": "discovery_source"}
+        extra = {"event": "discovery_source"}
         log.warning("discovery: now at %s:%d: %.100s", *self._sources.current, why, extra=extra)
 
     def _tell(self, update: ListUpdate | None, silent: bool) -> bool:
--- a/sidecar_balancer/observability/logs.py
+++ b/sidecar_balancer/observability/logs.py
@@ -80,10 +80,10 @@
 
 
 def event_of(record: logging.LogRecord) -> str:
-    """The event's name: the record's `kind`, else its unformatted words as one."""
-    kind = getattr(record, "kind", "")
-    if kind:
-        return str(kind)
+    """The event's name: the record's `event` (`extra={"event": ...}`), else its unformatted words as one."""
+    event = getattr(record, "event", "")
+    if event:
+        return str(event)
     template = str(record.msg)
     name = _names.get(template)
     if name is None:
--- a/sidecar_balancer/relay/app.py
+++ b/sidecar_balancer/relay/app.py
@@ -50,7 +50,7 @@
         if self.door is not None:
             self.door.start()
         self._discovery.follow(True)
-        log.info("relay: serving at %s:%d", *self.address(), extra={"kind": "relay_start"})
+        log.info("relay: serving at %s:%d", *self.address(), extra={"event": "relay_start"})
         reporting = loop.create_task(self._report())
         try:
             await stop.wait()
@@ -91,7 +91,7 @@
     async def _report(self) -> None:
         while True:
             await asyncio.sleep(_STATUS_EVERY_S)
-            log.info("relay: %s", self._tell_status(""), extra={"kind": "relay_state"})
+            log.info("relay: %s", self._tell_status(""), extra={"event": "relay_state"})
 
 
 async def _serve(config: RelayConfig) -> None:
--- a/sidecar_balancer/relay/service.py
+++ b/sidecar_balancer/relay/service.py
@@ -219,11 +219,11 @@
     def rejected(self, caller: Caller, bad: Declined) -> None:
         self._unasked.pop(caller, None)
         self.counters.rejected += 1
-        log.info("a call was refused: %d %.80s", bad.status, bad, extra={"kind": "relay_rejected"})
+        log.info("a call was refused: %d %.80s", bad.status, bad, extra={"event": "relay_rejected"})
 
     def dropped(self, caller: Caller) -> None:
         self.counters.too_slow += 1
-        log.info("a caller did not read its answer in time", extra={"kind": "relay_slow_caller"})
+        log.info("a caller did not read its answer in time", extra={"event": "relay_slow_caller"})
 
     def lost(self, caller: Caller) -> None:
         self._callers.discard(caller)
--- a/sidecar_balancer/runtime/proxy.py
+++ b/sidecar_balancer/runtime/proxy.py
@@ -170,7 +170,7 @@
             return
         call = request.call
         took_ms = (self._engine.clock.now() - request.taken_at) / 1000
-        about = {"kind": "request_ended", "request": call.ident[:40], "class": call.service_class[:40]}
+        about = {"event": "request_ended", "request": call.ident[:40], "class": call.service_class[:40]}
         log.info(
             "%s %s from port %d, %.3f s given: %s -> %s after %.1f ms",
             call.ident[:40],
--- a/sidecar_balancer/runtime/sidecar.py
+++ b/sidecar_balancer/runtime/sidecar.py
@@ -207,7 +207,7 @@
     @staticmethod
     def _log(action: LogEvent) -> None:
         subject_key = "zone" if action.name.startswith("zone") else "server"
-        log.info("%s", action.text, extra={"kind": action.name, subject_key: action.subject})
+        log.info("%s", action.text, extra={"event": action.name, subject_key: action.subject})
 
     def _log_state(self) -> None:
         """Tell how things stand, where anything was answered since it was last told."""
@@ -221,7 +221,7 @@
             cpu_s = time.process_time() - self._cpu_told_s
             self._cpu_told_s += cpu_s
             told = "answered %s; %d clients, %d held, %d connections to servers, %.2f s of CPU; %s"
-            about = {"kind": "state", "answered": answered}
+            about = {"event": "state", "answered": answered}
             log.info(told, counts, clients, held, self._upstream.open_count, cpu_s, state, extra=about)
 
     def _is_ready(self) -> bool:
--- a/tests/runtime/test_life.py
+++ b/tests/runtime/test_life.py
@@ -107,7 +107,7 @@
 def test_a_json_line_names_its_event_and_what_it_is_about(capsys: pytest.CaptureFixture[str]) -> None:
     start_log(LogConfig(format="json"))
     log = logging.getLogger("sidecar_balancer.runtime.sidecar")
-    log.info("%s: %d", "ejected s-1", 3, extra={"kind": "ejected", "server": "s-1"})
+    log.info("%s: %d", "ejected s-1", 3, extra={"event": "ejected", "server": "s-1"})
     log.warning("the event loop was %.0f ms late", 70.2)
     try:
         raise ValueError("odd")
@@ -115,7 +115,7 @@
         log.exception("it failed on %r", "x")
     first, second, third = [json.loads(line) for line in capsys.readouterr().err.splitlines()]
     assert first["event"] == "ejected" and first["server"] == "s-1" and first["msg"] == "ejected s-1: 3"
-    assert first["level"] == "info" and first["subsystem"] == "net.sidecar" and first["ts"].endswith("Z")
+    assert first["level"] == "info" and first["subsystem"] == "runtime.sidecar" and first["ts"].endswith("Z")
     assert second["event"] == "the_event_loop_was_ms_late" and second["level"] == "warning"
     assert "ValueError: odd" in third["exception"]
     start_log(LogConfig(format="plain", level="warning"))
