--- a/sidecar_balancer/admin/handlers.py
+++ b/sidecar_balancer/admin/handlers.py
@@ -134,7 +134,7 @@
 
     def _order_zone(self, zone: str, order: ZoneOverride | None) -> None:
         zones = self._engine.balancer.zones
-        if not zones.on:
+        if not zones.enabled:
             raise Declined(404, "zones are off")
         if zone not in zones.by_name:
             raise Declined(404, "no such zone is listed")
@@ -191,7 +191,7 @@
             self._engine.handle(DisabledServersChanged(wanted))
 
     def _hear_zone_orders(self) -> None:
-        if not self._engine.balancer.zones.on:
+        if not self._engine.balancer.zones.enabled:
             return
         try:
             stored = self._orders.zones()
--- a/sidecar_balancer/admin/views.py
+++ b/sidecar_balancer/admin/views.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from collections import Counter
 from typing import Any
 
 from sidecar_balancer.policy.balancer import Balancer
@@ -12,41 +11,44 @@
 
 def zones_view(zones: Zones, now: int) -> dict[str, Any]:
     """Each zone's state and the share of requests that leaves the own one (docs/zones.md); `now` in us."""
-    told = {"on": zones.on, "here": zones.here, "probing": zones.probing}
-    if not zones.on:
+    told = {"on": zones.enabled, "here": zones.own_zone, "probing": zones.is_health_checker}
+    if not zones.enabled:
         return told
     each = {name: _zone(zones, zone, now) for name, zone in sorted(zones.by_name.items())}
-    return told | {"spill": round(1.0 - zones.reckon()[0], 3), "panic": zones.panicking, "zones": each}
+    return told | {
+        "spill": round(1.0 - zones.load_shares()[0], 3),
+        "panic": zones.is_panicking,
+        "zones": each,
+    }
 
 
 def _zone(zones: Zones, zone: Zone, now: int) -> dict[str, Any]:
     return {
-        "servers": zone.listed,
+        "servers": zone.ready_count,
         "failing": len(zone.failing),
-        "failed_share": round(zones.failed(now, zone), 3),
-        "left_for_ms": None if zone.left_at is None else (now - zone.left_at) // 1000,
-        "ramp": round(zones.ramp(now, zone.ramp_at), 3),
-        "peers_left": zone.told,
-        "order": zone.order.value if zone.order else None,
+        "failed_share": round(zones.failure_ratio(now, zone), 3),
+        "left_for_ms": None if zone.evacuated_at is None else (now - zone.evacuated_at) // 1000,
+        "ramp": round(zones.recovery_weight(now, zone.recovering_since), 3),
+        "peers_left": zone.peers_evacuated,
+        "order": zone.override.value if zone.override else None,
     }
 
 
 def state_line(balancer: Balancer) -> str:
     """The state behind refusals, for the operators' log."""
-    ready = balancer.ready
+    ready = balancer.ready_servers
     return (
-        f"load {balancer._load()} of window {balancer._window:.1f}, aim spent {balancer._spent:.2f}, "
-        f"late {balancer._late:.2f}; of {len(ready)} ready {len(balancer._ejected)} ejected, "
-        f"{sum(balancer._is_cold(each) for each in ready)} cold, {len(balancer._excluded)} excluded"
+        f"load {balancer.load} of window {balancer.window:.1f}, "
+        f"aim spent {balancer.typical_latency_ratio:.2f}, "
+        f"late {balancer.late_ratio:.2f}; of {len(ready)} ready {len(balancer.ejected_servers)} ejected, "
+        f"{sum(balancer.is_warming_up(each) for each in ready)} cold, "
+        f"{len(balancer.disabled_servers)} excluded"
     )
 
 
 def asked_per_s(balancer: Balancer, now: int) -> dict[str, float]:
     """What the balancer was asked of late by tenant, requests a second: for the others of the tier."""
-    asked = Counter[str]()
-    for (_, tenant), rate in balancer.mix.items():
-        asked[tenant or ""] += int(rate.per_us(now) * 1e8)
-    return {tenant: hundredths / 100.0 for tenant, hundredths in asked.items()}
+    return balancer.demand_per_s_by_tenant(now)
 
 
 def servers_view(balancer: Balancer, now: int) -> dict[str, dict[str, Any]]:
@@ -59,12 +61,12 @@
     return {
         "zone": server.zone,
         "state": server.state.value,
-        "excluded": server.excluded,
+        "excluded": server.disabled,
         "in_flight": server.in_flight,
-        "pace": round(server.pace, 2),
-        "warmth": round(balancer._slow_start_weight(server), 2),
-        "strikes": server.strikes,
+        "pace": round(server.relative_latency, 2),
+        "warmth": round(balancer.slow_start_weight(server), 2),
+        "strikes": server.consecutive_failures,
         "ejected_for_ms": None if until is None else max(until - now, 0) // 1000,
-        "peers_against": max(server.doubts.values(), default=0),
-        "told": {name or "all": verdict.name.lower() for name, verdict in server.told.items()},
+        "peers_against": max(server.peer_verdicts.values(), default=0),
+        "told": {name or "all": verdict.name.lower() for name, verdict in server.published_verdicts.items()},
     }
--- a/sidecar_balancer/persistence/persister.py
+++ b/sidecar_balancer/persistence/persister.py
@@ -142,14 +142,22 @@
 
 def _records(balancer: Balancer, now: int, plane: PeerPlane | None) -> Iterator[tuple[str, bytes]]:
     pack = msgpack.packb
-    for server in balancer.ready[:SERVERS_MOST]:
-        if server.last_answer_at >= 0 or server.ejected_until is not None:
-            pace, until = round(server.pace / _FINE) * _FINE, server.ejected_until
+    for server in balancer.ready_servers[:SERVERS_MOST]:
+        if server.last_response_at >= 0 or server.ejected_until is not None:
+            pace, until = round(server.relative_latency / _FINE) * _FINE, server.ejected_until
             # In whole seconds, so that it is no change each time; one at least, while it waits for its trial.
             left = 0 if until is None else max((until - now) // 1_000_000, 1) * 1_000_000
             yield f"server/{server.name}", pack([round(pace, 2), left, server.started_at])
-    yield "usual", pack([[name, size, int(us // 1000) * 1000] for (name, size), us in balancer.norms.items()])
-    yield "bearable", pack(float(f"{balancer.bearable:.2g}"))
+    yield (
+        "usual",
+        pack(
+            [
+                [name, size, int(us // 1000) * 1000]
+                for (name, size), us in balancer.latency_baselines_us.items()
+            ]
+        ),
+    )
+    yield "bearable", pack(float(f"{balancer.capacity_per_us:.2g}"))
     if plane is not None:
         yield from plane.with_core(lambda swim, at: list(_plane_records(swim, at)))
         if plane.duties is not None:
--- a/sidecar_balancer/policy/balancer.py
+++ b/sidecar_balancer/policy/balancer.py
@@ -12,6 +12,7 @@
 import heapq
 import math
 import random
+from collections import Counter
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass, field
 from typing import Any
@@ -161,7 +162,7 @@
         self._left: dict[str, None] = {}  # names that were listed once, the last to leave at the end
         self._leaving: dict[Server, None] = {}  # gone, but something is out or the operators hold on to it
         self.zones = Zones(settings.locality, settings.zone, self._longest_aim, settings.rules.slow_start_us)
-        self.ready = self.zones.ready  # in this balancer's own order
+        self.ready_servers = self.zones.ready  # in this balancer's own order
         self._doubted = False  # whether peers hold anything against any server
         self._tier_asked: Mapping[str, float] = {}  # of the other balancers, by tenant, a second
         self._requests: dict[int, Request] = {}
@@ -184,7 +185,9 @@
         self._ghosts: list[int] = []  # when each attempt given up on stops counting, soonest first
         self._ejected = self.zones.ejected
         self._remote = 1.0  # odds of a server in another zone, as of _remote_at
-        self.bearable = 0.0  # what a warm server of mean size serves for this balancer, as of _bearable_at
+        self.capacity_per_us = (
+            0.0  # what a warm server of mean size serves for this balancer, as of _bearable_at
+        )
         self._bearable_at = self._remote_at = -1
         self._answers = 0  # answers so far, from all servers
         self._extra = EXTRA_PER_REQUEST * EXTRA_SAVED / 2
@@ -192,7 +195,9 @@
         self._mean_cost: dict[str, float] = {}
         self._arrivals = Rate(RATE_SPANS * settings.rules.overload_window_us)
         self._served_warm = Rate(RATE_SPANS * settings.rules.overload_window_us)
-        self.norms: dict[tuple[str, int], float] = {}  # usual time of a class and size, over all servers
+        self.latency_baselines_us: dict[
+            tuple[str, int], float
+        ] = {}  # usual time of a class and size, over all servers
         self._spent = 0.0  # running median of the part of its aim that an answer takes
         self._late = 0.0  # part of the answers that come after their aim
         self._floor: float | None = None  # the least that median has been of late
@@ -203,7 +208,7 @@
         self._bound = False  # whether the window refused anything since it was last sized
         self._mean_load = 0.0  # own requests in flight, averaged
         self._load_at = self._sized_at = 0
-        self.mix: dict[Flow, Rate] = {}  # what is asked, by class and tenant
+        self.demand_by_flow: dict[Flow, Rate] = {}  # what is asked, by class and tenant
         self._handlers: dict[type[Any], Callable[[Any], None]] = {  # by the kind of event
             AttemptEnded: self._attempt_ended,
             RequestReceived: self._request_arrived,
@@ -216,9 +221,9 @@
             DisabledServersChanged: lambda event: self._exclude(frozenset(event.servers)),
             PeerVerdictsReceived: self._verdicts_heard,
             TierDemandReceived: lambda event: setattr(self, "_tier_asked", event.per_s),
-            ZoneOverridesChanged: lambda event: self.zones.ordered(self._now, dict(event.overrides)),
+            ZoneOverridesChanged: lambda event: self.zones.set_overrides(self._now, dict(event.overrides)),
             ZoneHealthCheckerChanged: self._probing_heard,
-            ZoneRecovered: lambda event: self._zone_back(self.zones.may_return(self._now, event.zone)),
+            ZoneRecovered: lambda event: self._zone_back(self.zones.may_recover(self._now, event.zone)),
             HealthCheckEnded: self._probe_ended,
             StateRestored: self._state_restored,
         }
@@ -238,6 +243,65 @@
         self._arm_timer()
         return self.actions
 
+    # -- What views and the state persister read ------------------------------------------------------
+
+    @property
+    def load(self) -> int:
+        """Own requests in flight and abandoned attempts that may still run, ejected servers left out."""
+        return self._load()
+
+    @property
+    def window(self) -> float:
+        """How many own requests in flight the servers answer in time; infinite until it is first sized."""
+        return self._window
+
+    @property
+    def typical_latency_ratio(self) -> float:
+        """Running median of latency over latency objective."""
+        return self._spent
+
+    @property
+    def late_ratio(self) -> float:
+        """Part of the recent responses that missed their latency objective."""
+        return self._late
+
+    @property
+    def ejected_servers(self) -> Sequence[Server]:
+        """Servers ejected as outliers."""
+        return self._ejected
+
+    @property
+    def disabled_servers(self) -> frozenset[str]:
+        """Names of the servers that the operators have disabled, listed or not."""
+        return self._excluded
+
+    @property
+    def open_requests(self) -> Mapping[int, Request]:
+        """Requests without a final answer or with a pending attempt, by their number."""
+        return self._requests
+
+    @property
+    def pending_attempts(self) -> int:
+        """Attempts in flight whose response has not started."""
+        return self._pending
+
+    def is_warming_up(self, server: Server) -> bool:
+        """Whether the server is in slow start."""
+        return self._is_cold(server)
+
+    def slow_start_weight(self, server: Server) -> float:
+        """The part of its full capacity that a server has at least, 1.0 after its slow start."""
+        return self._slow_start_weight(server)
+
+    def demand_per_s_by_tenant(self, now: int) -> dict[str, float]:
+        """Recent requests a second by tenant, "" for none, at clock time `now` in microseconds."""
+        hundredths = Counter[str]()
+        for (_, tenant), rate in self.demand_by_flow.items():
+            hundredths[tenant or ""] += int(rate.per_us(now) * 1e8)
+        return {tenant: count / 100.0 for tenant, count in hundredths.items()}
+
+    # -- Stalls of this balancer ----------------------------------------------------------------------
+
     def _notice_stall(self) -> None:
         """Notice that this balancer itself stood still, so as to learn nothing of what came meanwhile."""
         late = self._now - self._beat_due
@@ -298,8 +362,8 @@
     def _update_ready(self, server: Server) -> None:
         """Bring the lists of servers that may be sent to up to date with one that has changed."""
         zone = server.zone if server.is_ready() else None
-        if server.drawn_in != zone:
-            self.zones.place(server, zone)
+        if server.pooled_zone != zone:
+            self.zones.set_pool_zone(server, zone)
         self._leaving.pop(server, None)
         if server.state is ServerState.REMOVED:
             self._leaving[server] = None
@@ -307,13 +371,13 @@
     def _forget_gone(self) -> None:
         """Forget servers that left: each deploy brings new names.  One that comes back is a new server."""
         for each in list(self._leaving):
-            if not each.in_flight and not each.excluded:
+            if not each.in_flight and not each.disabled:
                 del self.servers[each.name], self._leaving[each]
                 self._left[each.name] = None
                 if len(self._left) > LEFT_KNOWN:
                     del self._left[next(iter(self._left))]
                 self._back.pop(each, None)
-                for name in list(each.told):
+                for name in list(each.published_verdicts):
                     self._tell(each, name, ServerVerdict.CLEARED)
                 if each in self._ejected:
                     self._ejected.remove(each)
@@ -323,10 +387,10 @@
         if server is None:
             server = Server(line.server, self._random.random())
             self.servers[line.server] = server
-            server.excluded = line.server in self._excluded
+            server.disabled = line.server in self._excluded
         server.zone = line.zone or self._settings.locality.server_zones.get(line.server, "")
         if server.state is ServerState.REMOVED:
-            server.pace = 1.0  # until answers tell: this deployment's list is silent on size
+            server.relative_latency = 1.0  # until answers tell: this deployment's list is silent on size
         server.state = line.state
         if line.started_at is not None and line.started_at != server.started_at:
             server.started_at = line.started_at
@@ -345,9 +409,9 @@
         """Leave out just these servers.  One that is used again was restarted meanwhile: it is cold."""
         back, self._excluded = self._excluded - names, names
         for server in self.servers.values():
-            if server.name in names and not server.excluded:
-                server.cold_since = None
-            server.excluded = server.name in names
+            if server.name in names and not server.disabled:
+                server.warming_since = None
+            server.disabled = server.name in names
             if server.name in back:
                 self._back[server] = None
                 if not self._is_cold(server):
@@ -431,8 +495,8 @@
         self._start_clock(request, event.remaining_us)
         for each in request.attempts:
             if each.pending:
-                each.sent_at, each.absent_before = self._now, self._absent_us
-                each.answers_before = self._answers
+                each.sent_at, each.stalled_us_before = self._now, self._absent_us
+                each.responses_before = self._answers
                 self._schedule(self._now + self._patience(request, each.server), request.ident, each.index)
 
     def _note_time_spent(self, spent: float) -> None:
@@ -499,9 +563,9 @@
 
     def _overloaded_for(self, request: Request) -> bool:
         """Whether to refuse a new request: likelier under more pressure, and for less worth."""
-        if request.flow not in self.mix:
-            self.mix[request.flow] = Rate(MIX_AIMS * self._longest_aim)
-        self.mix[request.flow].add(self._now, 1.0)
+        if request.flow not in self.demand_by_flow:
+            self.demand_by_flow[request.flow] = Rate(MIX_AIMS * self._longest_aim)
+        self.demand_by_flow[request.flow].add(self._now, 1.0)
         if max(self._arrivals.per_us(self._now) * self._longest_aim, self._load()) < MANY / 2:
             return self._sheds_by_count(self._standing(request.flow))
         fill = self._window_fill()
@@ -528,7 +592,7 @@
 
     def _standing(self, mine: Flow) -> float:
         """The part of the traffic that is worth less, counting half of what is worth the same."""
-        rates = {flow: rate.per_us(self._now) for flow, rate in self.mix.items()}
+        rates = {flow: rate.per_us(self._now) for flow, rate in self.demand_by_flow.items()}
         all_asked, asked = sum(rates.values()), dict[str | None, float]()
         for (_, tenant), rate in rates.items():
             asked[tenant] = asked.get(tenant, 0.0) + rate
@@ -557,23 +621,26 @@
         if self._remote_at != self._now:
             self._remote_at, self._remote = self._now, self._weigh_zones()
         pool: list[Server] = []
-        if self.zones.on:  # the own zone's pace is its headroom
+        if self.zones.enabled:  # the own zone's pace is its headroom
             strength = (1.0 - self._remote) / (1.0 - REMOTE_LEAST)
-            pool = self._within_reach(self.zones.nearby(self._stagger.random(), strength), request)
+            pool = self._within_reach(self.zones.candidates(self._stagger.random(), strength), request)
         if len(pool) < 2:
-            pool = self._within_reach(self.ready, request)
+            pool = self._within_reach(self.ready_servers, request)
         if not pool:
             return None
         power = min(max(1.0, float(request.size)), HEAVY_POWER)
-        here, away = self.zones.here, self._remote
+        here, away = self.zones.own_zone, self._remote
         odds = [self._odds(each, power) * (1.0 if each.zone == here else away) for each in pool]
         if self._doubted:
             doubts = [DOUBT ** self._doubters(each, request.kind.name) for each in pool]
             odds = [odd * doubt for odd, doubt in zip(odds, doubts, strict=True)]
         drawn = self._drawn(pool, odds, DRAWN << request.said_full)
-        if self.zones.on:  # what eases back in counts as busier than it is, by its weight
-            return min(drawn, key=lambda e: ((self._busy(e) + 1) / self.zones.weight(self._now, e), e.pace))
-        return min(drawn, key=lambda each: (self._busy(each), each.pace))
+        if self.zones.enabled:  # what eases back in counts as busier than it is, by its weight
+            return min(
+                drawn,
+                key=lambda e: ((self._busy(e) + 1) / self.zones.weight(self._now, e), e.relative_latency),
+            )
+        return min(drawn, key=lambda each: (self._busy(each), each.relative_latency))
 
     def _within_reach(self, servers: Sequence[Server], request: Request) -> list[Server]:
         """The first eligible servers in this balancer's own order, as many as its traffic can know."""
@@ -581,7 +648,7 @@
         pool, shut = list[Server](), list[Server]()
         for each in servers:
             if self._eligible(each, request):
-                away = each.turned_away.get(request.flow)
+                away = each.rejections.get(request.flow)
                 (pool if away is None or away[0] <= self._now else shut).append(each)
                 if len(pool) >= reach:
                     break
@@ -592,9 +659,9 @@
 
     def _busy(self, server: Server) -> int:
         """Own requests in flight at a server, with those given up on: they may well run on there."""
-        if server.ghosts:
-            server.ghosts = [until for until in server.ghosts if until > self._now]
-        return server.in_flight + len(server.ghosts)
+        if server.abandoned_until:
+            server.abandoned_until = [until for until in server.abandoned_until if until > self._now]
+        return server.in_flight + len(server.abandoned_until)
 
     def _drawn(self, pool: list[Server], odds: list[float], count: int) -> list[Server]:
         """Draw distinct servers by their odds; the order is random too, so the first of equals is chance."""
@@ -609,24 +676,24 @@
 
     def _odds(self, server: Server, power: float) -> float:
         """Slower servers are drawn less, by heavy requests still less; cold ones by their warmth."""
-        pace = math.pow(max(server.pace, 1.0 / PACE_CLIP), power)
-        return 1.0 / pace if server.cold_since is None else self._slow_start_weight(server) / pace
+        pace = math.pow(max(server.relative_latency, 1.0 / PACE_CLIP), power)
+        return 1.0 / pace if server.warming_since is None else self._slow_start_weight(server) / pace
 
     def _weigh_zones(self) -> float:
         """Odds of servers in other zones: less while the own zone is as quick as theirs and none is late."""
-        priced = self.zones.on or self._settings.prices.cross_zone > 0.0
+        priced = self.zones.enabled or self._settings.prices.cross_zone > 0.0
         if not priced or self._late >= LATE_ALLOWED or self._window_fill() > FREE:
             return 1.0  # room anywhere is worth more than a crossing
-        here, pool = self.zones.here, [each for each in self.ready if each.ejected_until is None]
-        near = [each.pace for each in pool if each.zone == here]
-        far = [each.pace for each in pool if each.zone != here]
+        here, pool = self.zones.own_zone, [each for each in self.ready_servers if each.ejected_until is None]
+        near = [each.relative_latency for each in pool if each.zone == here]
+        far = [each.relative_latency for each in pool if each.zone != here]
         if not near or not far or sum(far) <= 0.0:
             return 1.0
         behind = (sum(near) / len(near)) / (sum(far) / len(far)) - 1.0
         return max(REMOTE_LEAST, min(behind / REMOTE_EVEN, 1.0))
 
     def _eligible(self, server: Server, request: Request) -> bool:
-        if server.ejected_until is not None or (self.zones.on and not self.zones.is_open(server.zone)):
+        if server.ejected_until is not None or (self.zones.enabled and not self.zones.is_open(server.zone)):
             return False
         if request.attempts:
             if server in request.tried:
@@ -635,7 +702,7 @@
                 same = each.server is server or (each.silent and each.server.zone == server.zone)
                 if each.pending and same:
                     return False  # a second copy goes elsewhere
-        return server.cold_since is None or self._cold_room(server, request.cost)
+        return server.warming_since is None or self._cold_room(server, request.cost)
 
     # -- The send gate --------------------------------------------------------------------------------
 
@@ -652,7 +719,7 @@
         if not self._cold_room(server, request.cost):
             return False  # rule 4
         if self._is_cold(server):
-            server.allowance -= request.cost
+            server.slow_start_tokens -= request.cost
         attempt = Attempt(len(request.attempts), server, self._now, self._absent_us, self._answers)
         request.attempts.append(attempt)
         server.in_flight, self._pending = server.in_flight + 1, self._pending + 1
@@ -710,33 +777,36 @@
             self._release(attempt)
         self._judge(request, attempt, event.outcome)
         if event.outcome is Outcome.CANCELLED and attempt.silent and event.answered:
-            if attempt.server.last_answer_at < attempt.sent_at:
+            if attempt.server.last_response_at < attempt.sent_at:
                 self._note_health(attempt.server, attempt.sent_at, False)  # a copy elsewhere was answered
         if event.outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED):
             if not (attempt.counted_late or request.answered or event.answered):
                 self._too_late.add(self._now, 1.0)
             until = self._now + int(GHOST_LIFE * event.elapsed_us)
-            attempt.server.ghosts.append(until)
+            attempt.server.abandoned_until.append(until)
             if attempt.server.ejected_until is None:
                 heapq.heappush(self._ghosts, until)
-            if event.elapsed_us > self._usual(request) * attempt.server.pace and self._now != self._back_at:
+            if (
+                event.elapsed_us > self._usual(request) * attempt.server.relative_latency
+                and self._now != self._back_at
+            ):
                 self._pace(attempt.server, request, event.elapsed_us)
         if event.outcome is Outcome.APPLICATION_ERROR:
             # A quick error must not look like a quick server: it counts as the slowest answer there is.
             self._pace(attempt.server, request, int(PACE_CLIP * self._usual(request)))
-            again = request.flow in attempt.server.turned_away  # none answered between: just these fail
+            again = request.flow in attempt.server.rejections  # none answered between: just these fail
             if again or self._doubters(attempt.server, request.kind.name):  # peers saw it: once is enough
                 self._turned_away(request, attempt.server)
                 self._tell(attempt.server, request.kind.name, ServerVerdict.FAILING, 1 + again)
             else:
-                attempt.server.turned_away[request.flow] = (self._now, 0)
+                attempt.server.rejections[request.flow] = (self._now, 0)
         if event.outcome is Outcome.DELIVERED:
             self._served_aims.add(self._now, request.kind.latency_objective_us)
         if event.outcome is Outcome.DELIVERED and self._now != self._back_at:
             self._time(attempt.server, request, event.elapsed_us)
             if not attempt.counted_late:
                 self._note_time_spent(event.elapsed_us / request.kind.latency_objective_us)
-            attempt.server.turned_away.pop(request.flow, None)
+            attempt.server.rejections.pop(request.flow, None)
         elif event.outcome is Outcome.REJECTED:
             self._turned_away(request, attempt.server)
             self._tell(attempt.server, request.kind.name, ServerVerdict.REJECTING)
@@ -758,45 +828,52 @@
 
     def _turned_away(self, request: Request, server: Server) -> None:
         """Keep a class and tenant away from a server that turned it away, for longer each time."""
-        times = server.turned_away.get(request.flow, (0, 0))[1]
+        times = server.rejections.get(request.flow, (0, 0))[1]
         wait = min(EJECT_AIMS * 2**times, EJECT_AIMS_MOST) * self._longest_aim
         if not self._may_run_again(request):
             wait = EJECT_AIMS_MOST * self._longest_aim  # each further trial would fail a request
         until = self._now + int(wait * (0.75 + 0.5 * self._random.random()))
-        server.turned_away[request.flow] = (until, min(times + 1, 8))
+        server.rejections[request.flow] = (until, min(times + 1, 8))
 
     def _usual(self, request: Request) -> float:
         """The usual time of such a request, over all servers."""
-        return self.norms.get(
+        return self.latency_baselines_us.get(
             (request.kind.name, request.size), UNSEEN_AIMS * request.kind.latency_objective_us
         )
 
     def _pace(self, server: Server, request: Request, elapsed_us: int) -> None:
         ratio = min(elapsed_us / max(self._usual(request), 1.0), PACE_CLIP)
-        server.pace += PACE_STEP * self._stretch() * (ratio - server.pace)
-        if server.pace > SLOW_PACE and None not in server.told:
+        server.relative_latency += PACE_STEP * self._stretch() * (ratio - server.relative_latency)
+        if server.relative_latency > SLOW_PACE and None not in server.published_verdicts:
             self._tell(server, None, ServerVerdict.SLOW)
-        elif server.pace < SLOW_OVER and server.told.get(None) is ServerVerdict.SLOW:
+        elif (
+            server.relative_latency < SLOW_OVER and server.published_verdicts.get(None) is ServerVerdict.SLOW
+        ):
             self._tell(server, None, ServerVerdict.CLEARED)
 
     def _time(self, server: Server, request: Request, elapsed_us: int) -> None:
         kind = (request.kind.name, request.size)
-        usual = self.norms.setdefault(kind, float(elapsed_us))  # the first answer of its kind is usual
+        usual = self.latency_baselines_us.setdefault(
+            kind, float(elapsed_us)
+        )  # the first answer of its kind is usual
         self._pace(server, request, elapsed_us)
-        self.norms[kind] = usual + NORM_STEP * (elapsed_us - usual)
+        self.latency_baselines_us[kind] = usual + NORM_STEP * (elapsed_us - usual)
 
     def _patience(self, request: Request, server: Server) -> int:
-        usual = PATIENCE * self._usual(request) * max(server.pace, 1.0)
+        usual = PATIENCE * self._usual(request) * max(server.relative_latency, 1.0)
         return int(max(usual, PATIENCE_AIMS * request.kind.latency_objective_us, self._settings.tick_us))
 
     def _overdue(self, request: Request, attempt: Attempt) -> None:
         """An attempt takes far longer than usual: its server may be silent, slow or overloaded."""
         server = attempt.server
-        silent, answered = server.last_answer_at <= attempt.sent_at, self._answers - attempt.answers_before
+        silent, answered = (
+            server.last_response_at <= attempt.sent_at,
+            self._answers - attempt.responses_before,
+        )
         if self._now == self._back_at:  # its answer may be among what came meanwhile
             self._schedule(self._now + self._settings.tick_us, request.ident, attempt.index)
             return
-        waited = self._now - attempt.sent_at - (self._absent_us - attempt.absent_before)
+        waited = self._now - attempt.sent_at - (self._absent_us - attempt.stalled_us_before)
         if waited < request.kind.latency_objective_us:
             self._schedule(
                 self._now + request.kind.latency_objective_us - waited, request.ident, attempt.index
@@ -811,7 +888,7 @@
         if silent and waited < enough:
             self._schedule(self._now + int(enough) - waited, request.ident, attempt.index)
         elif silent and not attempt.silent:
-            attempt.silent = self.zones.on  # another zone's answer to a copy will tell
+            attempt.silent = self.zones.enabled  # another zone's answer to a copy will tell
             if answered >= QUIET_PEERS:
                 if server.ejected_until is None:
                     self._eject(server, "silent", SILENT_MOST)
@@ -837,12 +914,12 @@
         if trial:
             server.trial = None
         if outcome is Outcome.DELIVERED:
-            server.strikes = 0
-            server.last_answer_at = self._now
+            server.consecutive_failures = 0
+            server.last_response_at = self._now
             self._answers += 1
             for name in (None, request.kind.name):
-                if name in server.doubts:
-                    server.doubts[name] = 0  # own evidence wins
+                if name in server.peer_verdicts:
+                    server.peer_verdicts[name] = 0  # own evidence wins
             self._tell(server, request.kind.name, ServerVerdict.CLEARED)
             if not self._is_cold(server):
                 self._served_warm.add(self._now, request.cost)  # overload serves the light ones
@@ -850,25 +927,25 @@
                 self._readmit(server)
             self._note_health(server, attempt.sent_at, True)
         elif outcome in _FAILURES:
-            if outcome is Outcome.TIMED_OUT and server.last_answer_at > attempt.sent_at:
+            if outcome is Outcome.TIMED_OUT and server.last_response_at > attempt.sent_at:
                 return  # it is slow, not sick: it answered others meanwhile
-            server.strikes += 1
+            server.consecutive_failures += 1
             doubted = min(self._doubters(server, request.kind.name), STRIKES - 1)
-            if trial or (server.strikes + doubted >= STRIKES and server.ejected_until is None):
+            if trial or (server.consecutive_failures + doubted >= STRIKES and server.ejected_until is None):
                 self._eject(server, outcome.value)
             if outcome is not Outcome.APPLICATION_ERROR:  # who errs is there
                 self._note_health(server, attempt.sent_at, False)
 
     def _eject(self, server: Server, reason: str, most: float = EJECTED_MOST) -> None:
         if server.ejected_until is None:
-            room = most * min(len(self.ready), self._reach())
+            room = most * min(len(self.ready_servers), self._reach())
             if self.servers.get(server.name) is not server or len(self._ejected) + 1 > room:
                 return
             self._ejected.append(server)
             self._stuck += server.in_flight
             self.actions.append(LogEvent(f"ejected {server.name}: {reason}", "ejected", server.name))
-            self._tell(server, None, ServerVerdict.EJECTED, server.strikes)
-            self.zones.changed()
+            self._tell(server, None, ServerVerdict.EJECTED, server.consecutive_failures)
+            self.zones.invalidate_shares()
         aims = min(EJECT_AIMS * 2**server.ejections, EJECT_AIMS_MOST)
         server.ejections = min(server.ejections + 1, 8)
         spread = 0.75 + 0.5 * self._random.random()
@@ -878,61 +955,61 @@
         server.ejected_until = None
         self._ejected.remove(server)
         self._stuck -= server.in_flight
-        server.ejections = server.strikes = 0
+        server.ejections = server.consecutive_failures = 0
         self.actions.append(LogEvent(f"readmitted {server.name}", "readmitted", server.name))
-        server.back_at = self._now
+        server.readmitted_at = self._now
         self._tell(server, None, ServerVerdict.CLEARED)
-        self.zones.changed()
+        self.zones.invalidate_shares()
 
     def _tell(self, server: Server, name: str | None, verdict: ServerVerdict, evidence: int = 1) -> None:
         """Tell peers what is held of a server, for one class or all, where they know otherwise."""
         held = None if verdict is ServerVerdict.CLEARED else verdict
-        if server.told.get(name) is not held:
-            server.told.pop(name, None)
+        if server.published_verdicts.get(name) is not held:
+            server.published_verdicts.pop(name, None)
             if held is not None:
-                server.told[name] = held
+                server.published_verdicts[name] = held
             self.actions.append(PublishServerVerdict(server.name, verdict, name, max(evidence, 1)))
 
     def _verdicts_heard(self, event: PeerVerdictsReceived) -> None:
         """Take what live peers hold: a doubted server is drawn less, an own failure counts for one more."""
         heard: dict[str, dict[str | None, int]] = {}
         for each in event.servers:
-            old = self.servers[each.server].doubts if each.server in self.servers else {}
+            old = self.servers[each.server].peer_verdicts if each.server in self.servers else {}
             name = each.service_class
             heard.setdefault(each.server, {})[name] = 0 if old.get(name) == 0 else each.peers
         for server in self.servers.values():
-            server.doubts = heard.get(server.name, {})
-        self._doubted = any(each.doubts for each in self.servers.values())
+            server.peer_verdicts = heard.get(server.name, {})
+        self._doubted = any(each.peer_verdicts for each in self.servers.values())
         for zone in self.zones.by_name.values():
-            zone.told = event.evacuated_zones.get(zone.name, 0)
+            zone.peers_evacuated = event.evacuated_zones.get(zone.name, 0)
 
     @staticmethod
     def _doubters(server: Server, name: str) -> int:
         """How many peers hold something against a server for a class, as far as it counts."""
-        return min(max(server.doubts.get(None, 0), server.doubts.get(name, 0)), DOUBTERS_MOST)
+        return min(max(server.peer_verdicts.get(None, 0), server.peer_verdicts.get(name, 0)), DOUBTERS_MOST)
 
     def _state_restored(self, event: StateRestored) -> None:
         """Take up what an earlier life or peers learned, where nothing tells otherwise yet."""
-        self.norms = dict(event.baseline_us) | self.norms
-        self.bearable, self._bearable_at = max(self.bearable, event.capacity_per_us), self._now
-        for server in self.ready:
+        self.latency_baselines_us = dict(event.baseline_us) | self.latency_baselines_us
+        self.capacity_per_us, self._bearable_at = max(self.capacity_per_us, event.capacity_per_us), self._now
+        for server in self.ready_servers:
             kept = event.servers.get(server.name)
-            if kept is None or server.last_answer_at >= 0 or kept.started_at != server.started_at:
+            if kept is None or server.last_response_at >= 0 or kept.started_at != server.started_at:
                 continue  # its own answers, or its start since, say more
-            server.pace = min(max(kept.relative_latency, 1.0 / PACE_CLIP), PACE_CLIP)
+            server.relative_latency = min(max(kept.relative_latency, 1.0 / PACE_CLIP), PACE_CLIP)
             if kept.ejected_us > 0 and server.ejected_until is None:
-                self._eject(server, "recalled", EJECTED_MOST * len(self.ready) / self._reach())
+                self._eject(server, "recalled", EJECTED_MOST * len(self.ready_servers) / self._reach())
 
     # -- Zones: left as a whole, tried by one request or by who probes for all ------------------------
 
     def _note_health(self, server: Server, sent_at: int, good: bool) -> None:
-        if not self.zones.on:
+        if not self.zones.enabled:
             return
-        self._zone_back(self.zones.tried(self._now, server, sent_at, good))
-        zone = self.zones.note_health(self._now, server, good)
+        self._zone_back(self.zones.trial_ended(self._now, server, sent_at, good))
+        zone = self.zones.record_outcome(self._now, server, good)
         if zone is None:
             return
-        self.zones.leave(self._now, zone)
+        self.zones.evacuate(self._now, zone)
         span, self._late = SPARSE_AIMS * self._longest_aim, 0.0
         self._too_late, self._shed = Rate(span), Rate(span)  # what was late was there
         self.actions.append(LogEvent(f"left zone {zone.name}: its servers fail", "zone_left", zone.name))
@@ -946,24 +1023,28 @@
         if zone is None:
             return
         self.actions.append(PublishZoneVerdict(zone.name, ZoneVerdict.RECOVERED))
-        if zone.left_at is None:
+        if zone.evacuated_at is None:
             return  # it answers who probes for peers that have left it
-        self.zones.come_back(self._now, zone)
+        self.zones.recover(self._now, zone)
         self.actions.append(LogEvent(f"zone {zone.name} is back, easing in", "zone_back", zone.name))
         for server in [each for each in self._ejected if each.zone == zone.name]:
             self._readmit(server)  # what ejected it is what took its zone
 
     def _probing_heard(self, event: ZoneHealthCheckerChanged) -> None:
         """Who probes zones for the tier; each time it is this balancer it asks one of each zone left."""
-        self.zones.probing = event.is_self
-        for zone in self.zones.doubtful() if event.is_self and self._settings.limits.may_health_check else ():
-            inside = [each.name for each in self.ready if each.zone == zone.name]
+        self.zones.is_health_checker = event.is_self
+        for zone in (
+            self.zones.evacuated_anywhere()
+            if event.is_self and self._settings.limits.may_health_check
+            else ()
+        ):
+            inside = [each.name for each in self.ready_servers if each.zone == zone.name]
             self.actions += [HealthCheck(name) for name in inside and [self._stagger.choice(inside)]]
 
     def _probe_ended(self, event: HealthCheckEnded) -> None:
         server = self.servers.get(event.server)
         if server is not None:
-            self._zone_back(self.zones.probed(server, event.outcome is Outcome.DELIVERED))
+            self._zone_back(self.zones.health_check_ended(server, event.outcome is Outcome.DELIVERED))
 
     def _trial_due(self, request: Request) -> Server | None:
         """The server that this request is to try: an ejected one, or one back from its exclusion."""
@@ -973,13 +1054,13 @@
                 return server
         if request.kind.idempotency is not Idempotency.IDEMPOTENT or request.attempts:
             return None
-        if self.zones.on and (zone := self.zones.due(self._now)):
-            inside = [each for each in self.ready if each.zone == zone.name]
+        if self.zones.enabled and (zone := self.zones.trial_due(self._now)):
+            inside = [each for each in self.ready_servers if each.zone == zone.name]
             fit = [each for each in inside if not each.trial and self._cold_room(each, request.cost)]
             if fit:
                 return self._stagger.choice(fit)
         for server in self._ejected:
-            if self.zones.on and not self.zones.is_open(server.zone):
+            if self.zones.enabled and not self.zones.is_open(server.zone):
                 continue
             waited = server.ejected_until is not None and self._now >= server.ejected_until
             if waited and server.is_ready() and not server.trial and self._cold_room(server, request.cost):
@@ -987,21 +1068,21 @@
         return None
 
     def _turned_cold(self, server: Server, since: int) -> None:
-        server.cold_since = since
-        server.allowance, server.allowance_at = self._stagger.random(), self._now
+        server.warming_since = since
+        server.slow_start_tokens, server.slow_start_tokens_at = self._stagger.random(), self._now
 
     def _is_cold(self, server: Server) -> bool:
         return (
-            server.cold_since is not None
-            and self._now < server.cold_since + self._settings.rules.slow_start_us
+            server.warming_since is not None
+            and self._now < server.warming_since + self._settings.rules.slow_start_us
         )
 
     def _slow_start_weight(self, server: Server) -> float:
         """The least share of its capacity that the server has by now."""
         rules = self._settings.rules
-        if server.cold_since is None or not self._is_cold(server):
+        if server.warming_since is None or not self._is_cold(server):
             return 1.0
-        age = max(self._now - server.cold_since, 0)
+        age = max(self._now - server.warming_since, 0)
         return rules.slow_start_min_ratio + (1.0 - rules.slow_start_min_ratio) * age / rules.slow_start_us
 
     def _cold_room(self, server: Server, cost: float) -> bool:
@@ -1011,22 +1092,22 @@
         rules = self._settings.rules
         limit = rules.overload_multiple * self._slow_start_weight(server) * self._bearable_by_mean()
         most = max(1.0, COLD_BURST * limit * rules.overload_window_us)
-        filled = COLD_SHARE * limit * max(self._now - server.allowance_at, 0)
-        server.allowance = min(server.allowance + filled, most)
-        server.allowance_at = self._now
-        return server.allowance >= min(cost, most)
+        filled = COLD_SHARE * limit * max(self._now - server.slow_start_tokens_at, 0)
+        server.slow_start_tokens = min(server.slow_start_tokens + filled, most)
+        server.slow_start_tokens_at = self._now
+        return server.slow_start_tokens >= min(cost, most)
 
     def _bearable_by_mean(self) -> float:
         """What a warm server serves for this balancer, or has served of late: it can when it does not."""
         if self._bearable_at != self._now:
             faded = math.exp((self._bearable_at - self._now) / self._settings.rules.slow_start_us)
             self._bearable_at = self._now
-            warm = [each for each in self.ready if not self._is_cold(each)]
-            peers = warm or self.ready  # ejected ones too: they served a part of what is counted
+            warm = [each for each in self.ready_servers if not self._is_cold(each)]
+            peers = warm or self.ready_servers  # ejected ones too: they served a part of what is counted
             served = self._served_warm if warm else self._arrivals
             rate = served.per_us(self._now) / max(min(len(peers), self._reach()), 1)
-            self.bearable = max(rate, self.bearable * faded)
-        return self.bearable
+            self.capacity_per_us = max(rate, self.capacity_per_us * faded)
+        return self.capacity_per_us
 
     def _schedule(self, due: int, what: int, index: int) -> None:
         self._agenda_order += 1
--- a/sidecar_balancer/runtime/sidecar.py
+++ b/sidecar_balancer/runtime/sidecar.py
@@ -251,8 +251,12 @@
 
     def _paces(self) -> dict[str, float]:
         """What peers that start may take: of servers that answered and are held nothing against."""
-        sound = (each for each in self._engine.balancer.ready if each.last_answer_at >= 0 and not each.told)
-        return {each.name: each.pace for each in sound if each.ejected_until is None}
+        sound = (
+            each
+            for each in self._engine.balancer.ready_servers
+            if each.last_response_at >= 0 and not each.published_verdicts
+        )
+        return {each.name: each.relative_latency for each in sound if each.ejected_until is None}
 
     def _asked(self) -> dict[str, float]:
         return asked_per_s(self._engine.balancer, self._engine.clock.now())
--- a/tests/admin/test_operators.py
+++ b/tests/admin/test_operators.py
@@ -159,11 +159,11 @@
     async def scene() -> None:
         async with world(served, orders=tmp_path) as one, world(served, orders=tmp_path) as two:
             assert await call(one, "PUT", "/api/exclude/s-0") == 200
-            await until(lambda: two.sidecar._engine.balancer._excluded == {"s-0"})
+            await until(lambda: two.sidecar._engine.balancer.disabled_servers == {"s-0"})
             assert await call(two, "PUT", "/api/evacuate") == 200
             await until(lambda: one.sidecar.frontend.draining)
             assert await call(two, "PUT", "/api/include/s-0") == 200
-            await until(lambda: not one.sidecar._engine.balancer._excluded)
+            await until(lambda: not one.sidecar._engine.balancer.disabled_servers)
 
     play(scene())
 
@@ -173,7 +173,7 @@
         (tmp_path / "excluded").write_text("junk")
         async with world(served, orders=tmp_path) as w:
             assert await call(w, "PUT", "/api/exclude/s-0") == 500
-            assert not w.sidecar._engine.balancer._excluded
+            assert not w.sidecar._engine.balancer.disabled_servers
             assert (await w.ask())[0] == 200
 
     play(scene())
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -85,7 +85,7 @@
             since_ms = w.sidecar._engine.clock.now() // 1000
             w.discovery.say(42, [w.servers[0].entry(since_ms=since_ms)])
             await until(lambda: server.started_at == since_ms * 1000)
-            assert w.sidecar._engine.balancer._is_cold(server)
+            assert w.sidecar._engine.balancer.is_warming_up(server)
 
     play(scene())
 
@@ -226,7 +226,7 @@
     async def scene() -> None:
         async with world(served) as w:
             w.discovery.say(42, [w.servers[0].entry(status=status, address=None)])
-            await until(lambda: not w.sidecar._engine.balancer.ready)
+            await until(lambda: not w.sidecar._engine.balancer.ready_servers)
             assert (await w.ask())[0] == 503
             assert not w.sent()
 
--- a/tests/discovery/test_discovery_waits.py
+++ b/tests/discovery/test_discovery_waits.py
@@ -112,7 +112,7 @@
                 w.discovery.say(42, [w.servers[0].entry(status="leaving")])
                 await until(lambda: w.sidecar._engine.balancer.servers["s-0"].state is ServerState.DRAINING)
                 w.discovery.say(43, [w.servers[0].entry()])
-                await until(lambda: w.sidecar._engine.balancer.ready)
+                await until(lambda: w.sidecar._engine.balancer.ready_servers)
                 assert (await ask(w.sidecar.frontend.address, request()))[0] == 200
 
     play_on_clock(scene(), monkeypatch)
--- a/tests/policy/test_draw.py
+++ b/tests/policy/test_draw.py
@@ -145,14 +145,14 @@
     server = stage.balancer.servers[names(3)[0]]
     for request in [stage.request("pay") for _ in range(6)]:  # two at each
         stage.end(request, outcome if stage.target(request) == server.name else Outcome.DELIVERED)
-    assert server.ejected_until is not None and not stage.balancer._is_cold(server)
+    assert server.ejected_until is not None and not stage.balancer.is_warming_up(server)
     stage.wait(4 * S)
     trial = stage.request()
     assert stage.target(trial) == server.name
     stage.end(trial)
-    assert server.ejected_until is None and not stage.balancer._is_cold(server)
+    assert server.ejected_until is None and not stage.balancer.is_warming_up(server)
     stage.servers([ListedServer(server.name, zone="east", started_at=stage.now)], ListKind.DELTA)
-    assert stage.balancer._is_cold(server)
+    assert stage.balancer.is_warming_up(server)
 
 
 @pytest.mark.parametrize("errors", [1, 2])
@@ -179,7 +179,10 @@
         stage.end(request, Outcome.INVALID_REQUEST)
         assert len(stage.sends(request)) == 1
     assert len(stage.said(Reject)) == 20
-    assert all(each.ejected_until is None and each.pace == 1.0 for each in stage.balancer.servers.values())
+    assert all(
+        each.ejected_until is None and each.relative_latency == 1.0
+        for each in stage.balancer.servers.values()
+    )
 
 
 def test_a_timeout_of_a_server_that_answers_others_is_no_strike() -> None:
@@ -203,7 +206,7 @@
     for _ in range(400):
         stage.wait(MS)
         request = stage.request()
-        while stage.balancer._requests.get(request) is not None:
+        while stage.balancer.open_requests.get(request) is not None:
             stage.end(request, Outcome.CONNECTION_LOST)
     assert len(stage.sends()) <= 400 * 1.25 + 10
 
@@ -247,7 +250,7 @@
                 out.append(request)
         if tick % 2 and out:  # one answer for four requests, oldest first
             request = out.pop(0)
-            if request in stage.balancer._requests and not stage.balancer._requests[request].answered:
+            if request in stage.balancer.open_requests and not stage.balancer.open_requests[request].answered:
                 stage.end(request, attempt=0)
 
 
@@ -268,7 +271,7 @@
     stage.serve(1)
     _overload(stage, 400)
     stage.wait(10 * S)
-    for request in list(stage.balancer._requests.values()):
+    for request in list(stage.balancer.open_requests.values()):
         for attempt in request.attempts:
             if attempt.pending:
                 stage.end(request.ident, Outcome.CANCELLED, attempt.index, answered=True)
@@ -291,7 +294,7 @@
     hung, _ = _with_one_hung(stage, 20)
     stage.servers([ListedServer(hung, "east", started_at=stage.now)], ListKind.DELTA)
     server = stage.balancer.servers[hung]
-    assert server.ejected_until is None and stage.balancer._is_cold(server)
+    assert server.ejected_until is None and stage.balancer.is_warming_up(server)
 
 
 def test_heavy_requests_draw_slow_servers_less_than_light_ones_do(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -425,9 +428,9 @@
         request = stage.request()
         server = stage.balancer.servers[stage.target(request)]
         stage.wait(2 * taking_us)
-        before = server.pace
+        before = server.relative_latency
         stage.end(request)
-        return server.pace - before
+        return server.relative_latency - before
 
     assert change(400 * MS, 60 * MS, True) > 2 * change(5 * MS, 60 * MS, False) > 0.0
 
@@ -445,13 +448,13 @@
     stage = Stage(settings())
     stage.servers(names(4))
     stage.serve(200)
-    paces = {each.name: each.pace for each in stage.balancer.ready}
+    paces = {each.name: each.relative_latency for each in stage.balancer.ready_servers}
     requests = [stage.request() for _ in range(8)]
     stalled(stage, 900 * MS)
     for each in requests:
         stage.end(each)
     stage.wait(100 * MS)
-    assert {each.name: each.pace for each in stage.balancer.ready} == paces
+    assert {each.name: each.relative_latency for each in stage.balancer.ready_servers} == paces
     assert [each for each in stage.said(LogEvent) if "ejected" in each.text] == []
 
 
@@ -459,12 +462,12 @@
     stage = Stage(settings())
     stage.servers(names(4))
     stage.serve(200)
-    paces = {each.name: each.pace for each in stage.balancer.ready}
+    paces = {each.name: each.relative_latency for each in stage.balancer.ready_servers}
     requests = [stage.request() for _ in range(8)]
     stage.wait(900 * MS)
     for each in requests:
         stage.end(each)
-    assert all(each.pace > paces[each.name] for each in stage.balancer.ready)
+    assert all(each.relative_latency > paces[each.name] for each in stage.balancer.ready_servers)
 
 
 def test_what_waited_out_its_aim_in_a_stall_is_refused_where_late_is_worth_nothing() -> None:
@@ -561,9 +564,9 @@
     stage = Stage(settings(classes=[SAFE, slow]))
     stage.servers(names(8))
     assert late_answers(stage, 1 * S) and not stage.said(Reject)
-    assert stage.balancer._window == math.inf
+    assert stage.balancer.window == math.inf
     late_answers(stage, 4 * S)
-    assert stage.balancer._window < math.inf  # later on they tell of overload
+    assert stage.balancer.window < math.inf  # later on they tell of overload
 
 
 def late_answers(stage: Stage, span_us: int) -> int:
--- a/tests/policy/test_exclusions.py
+++ b/tests/policy/test_exclusions.py
@@ -52,7 +52,7 @@
             stage.end(request)
             request = stage.request()
         stage.end(request, Outcome.CONNECTION_LOST)
-    assert stage.balancer._ejected and ask(stage, SERVERS[0], True)
+    assert stage.balancer.ejected_servers and ask(stage, SERVERS[0], True)
     stage.wait(60 * S)  # its trial is long due
     assert targets(stage) == {SERVERS[1]}
     request = stage.request()
@@ -67,9 +67,9 @@
         assert ask(stage, SERVERS[0], True)
     assert ask(stage, SERVERS[0], False)
     server = stage.balancer.servers[SERVERS[0]]
-    assert stage.balancer._is_cold(server)
+    assert stage.balancer.is_warming_up(server)
     stage.wait(11 * S)
-    assert targets(stage) == set(SERVERS) and not stage.balancer._is_cold(server)
+    assert targets(stage) == set(SERVERS) and not stage.balancer.is_warming_up(server)
 
 
 def test_a_server_back_from_its_ban_is_used_within_five_seconds() -> None:
@@ -95,8 +95,8 @@
     stage.wait(5 * S)
     ask(stage, SERVERS[0], False)
     server = stage.balancer.servers[SERVERS[0]]
-    assert server.cold_since is not None
-    assert server.cold_since + 10 * S == stage.now + waited_s * S
+    assert server.warming_since is not None
+    assert server.warming_since + 10 * S == stage.now + waited_s * S
 
 
 def test_a_server_back_from_its_ban_is_used_at_once_where_requests_are_few_and_others_quicker() -> None:
@@ -105,7 +105,7 @@
         stage.servers(names(8))
         stage.serve(60)
         server = stage.balancer.servers[SERVERS[0]]
-        server.pace = 3.0
+        server.relative_latency = 3.0
         ask(stage, server.name, True)
         stage.wait(1 * S)
         ask(stage, server.name, False)
--- a/tests/policy/test_locality.py
+++ b/tests/policy/test_locality.py
@@ -57,7 +57,7 @@
 
 
 def left(stage: Stage) -> set[str]:
-    return {zone.name for zone in stage.balancer.zones.by_name.values() if zone.left_at is not None}
+    return {zone.name for zone in stage.balancer.zones.by_name.values() if zone.evacuated_at is not None}
 
 
 def test_traffic_stays_in_the_own_zone_while_that_is_healthy() -> None:
@@ -87,11 +87,11 @@
     stage = stage_of({"a": 10, "b": 10})
     spills = []
     for gone in range(8):
-        spills.append(round(1.0 - stage.balancer.zones.reckon()[0], 3))
+        spills.append(round(1.0 - stage.balancer.zones.load_shares()[0], 3))
         ejected = stage.balancer.servers[f"a-{gone}"]
         ejected.ejected_until = stage.now + SECOND
         stage.balancer.zones.ejected.append(ejected)
-        stage.balancer.zones.changed()
+        stage.balancer.zones.invalidate_shares()
     assert spills == [0.0, 0.0, 0.0, 0.02, 0.16, 0.3, 0.44, 0.58]  # 1 - 1.4 x the healthy part
 
 
@@ -123,8 +123,8 @@
         while not left(stage):
             serve(stage, 1, lost="a")
         zone = stage.balancer.zones.by_name["a"]
-        assert zone.left_at is not None
-        away.append(zone.retry_at - zone.left_at)
+        assert zone.evacuated_at is not None
+        away.append(zone.next_trial_at - zone.evacuated_at)
         while left(stage):
             serve(stage, 5)
     assert away == sorted(away) and away[-1] >= 4 * away[0]
@@ -218,7 +218,7 @@
     request = stage.request()
     failed = stage.target(request)
     stage.end(request, Outcome.CONNECTION_LOST)
-    assert [each.name for each in stage.balancer._ejected] == [failed]
+    assert [each.name for each in stage.balancer.ejected_servers] == [failed]
 
 
 def test_a_class_that_peers_saw_fail_is_kept_away_after_one_own_error() -> None:
@@ -232,7 +232,7 @@
     request = stage.request()
     failed = stage.target(request)
     stage.end(request, Outcome.APPLICATION_ERROR)
-    assert stage.balancer.servers[failed].turned_away[("look", None)][0] > stage.now
+    assert stage.balancer.servers[failed].rejections[("look", None)][0] > stage.now
     told = [each for each in stage.said(PublishServerVerdict) if each.verdict is ServerVerdict.FAILING]
     assert [(each.server, each.service_class) for each in told] == [(failed, "look")]
 
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -201,7 +201,7 @@
     stage.servers(names(3))
     stage.wait(60 * S)
     assert len(stage.balancer.servers) == 3
-    assert stage.balancer._ejected == [] and stage.balancer._load() == 0
+    assert stage.balancer.ejected_servers == [] and stage.balancer.load == 0
     assert stage.sends(stage.request())
 
 
@@ -370,7 +370,7 @@
 def test_the_gate_lets_nothing_out_to_a_draining_or_gone_server() -> None:
     stage = Stage()
     stage.servers(names(3))
-    request = stage.balancer._requests[stage.request()]
+    request = stage.balancer.open_requests[stage.request()]
     server = next(each for each in stage.balancer.servers.values() if each is not request.attempts[0].server)
     for state in (ServerState.DRAINING, ServerState.REMOVED):
         stage.drain(server.name, state)
@@ -383,7 +383,7 @@
     for allowed in (False, True):
         stage = Stage(settings(limits={"may_hedge": allowed}))
         stage.servers(names(3))
-        request = stage.balancer._requests[stage.request()]
+        request = stage.balancer.open_requests[stage.request()]
         server = next(
             each for each in stage.balancer.servers.values() if each is not request.attempts[0].server
         )
@@ -411,7 +411,7 @@
     stage = Stage()
     stage.servers(names(4))
     request = stage.request()
-    live = stage.balancer._requests[request]
+    live = stage.balancer.open_requests[request]
     server = next(each for each in stage.balancer.servers.values() if each is not live.attempts[0].server)
     assert stage.balancer._send(live, server)
     stage.play(ResponseStarted(request, 1, server.name, 30 * MS))
@@ -420,25 +420,25 @@
     stage.wait(10 * S)
     assert not stage.said(Reject) and not stage.said(Fail)
     stage.play(AttemptEnded(request, 1, server.name, Outcome.CONNECTION_LOST, 30 * MS, True))
-    assert len(live.attempts) == 2 and request not in stage.balancer._requests
+    assert len(live.attempts) == 2 and request not in stage.balancer.open_requests
 
 
 def test_an_answer_under_way_is_no_load_and_its_length_is_no_slowness() -> None:
     stage = Stage()
     stage.servers(names(3))
     stage.serve(60)
-    spent = stage.balancer._spent
+    spent = stage.balancer.typical_latency_ratio
     for _ in range(20):
         request = stage.request()
         stage.wait(50 * MS)
         stage.play(ResponseStarted(request, 0, stage.target(request), 50 * MS))
-    assert stage.balancer._load() == 0
+    assert stage.balancer.load == 0
     assert all(each.in_flight == 0 for each in stage.balancer.servers.values())
     stage.wait(30 * S)
-    for request in list(stage.balancer._requests):
+    for request in list(stage.balancer.open_requests):
         target = stage.target(request)
         stage.play(AttemptEnded(request, 0, target, Outcome.DELIVERED, 50 * MS, True))
-    assert stage.balancer._spent <= spent + 0.05 and not stage.balancer._requests
+    assert stage.balancer.typical_latency_ratio <= spent + 0.05 and not stage.balancer.open_requests
 
 
 def test_while_its_body_comes_a_request_has_all_the_time_and_then_its_own() -> None:
@@ -447,7 +447,7 @@
     number = 77
     stage.play(RequestReceived(number, "pay", None, None, 1 * S, body_open=True))
     stage.wait(60 * S)
-    assert not stage.said(Reject) and not stage.said(Fail) and not stage.balancer._ejected
+    assert not stage.said(Reject) and not stage.said(Fail) and not stage.balancer.ejected_servers
     stage.play(RequestBodyEnded(number, 1 * S))
     ended = stage.now
     stage.wait(2 * S)
--- a/tests/runtime/test_close_range.py
+++ b/tests/runtime/test_close_range.py
@@ -98,7 +98,7 @@
             assert again - fell_silent <= SILENT_S - 2.0  # time for the service's queue
             assert third - fell_silent <= SILENT_S  # and the grace is left where that is silent too
             w.discovery.say(43, [w.servers[0].entry(status="leaving")])
-            await until(lambda: not w.sidecar._engine.balancer.ready)
+            await until(lambda: not w.sidecar._engine.balancer.ready_servers)
 
     on_clock(scene())
 
@@ -126,7 +126,7 @@
             again, third = w.discovery.called_at[-2:]
             assert again - fell_silent <= SILENT_S - 2.0 and third - fell_silent <= SILENT_S
             w.discovery.say(43, [w.servers[0].entry(status="leaving")])
-            await until(lambda: not w.sidecar._engine.balancer.ready)
+            await until(lambda: not w.sidecar._engine.balancer.ready_servers)
 
     on_clock(scene())
 
@@ -211,7 +211,7 @@
 
 
 def is_over(w: World) -> Callable[[], bool]:
-    return lambda: not w.sidecar.proxy.in_flight and not w.sidecar._engine.balancer._requests
+    return lambda: not w.sidecar.proxy.in_flight and not w.sidecar._engine.balancer.open_requests
 
 
 async def over_soon(w: World) -> None:
@@ -346,7 +346,7 @@
     await server.start()
     async with world(drained=True, **changes) as w:
         w.discovery.say(42, [server.entry()])
-        await until(lambda: w.sidecar._engine.balancer.ready)
+        await until(lambda: w.sidecar._engine.balancer.ready_servers)
         yield w, server
     await server.end()
 
@@ -458,7 +458,7 @@
                 w.discovery.say(42, places, snapshot=True)
                 await until(lambda: w.sidecar._upstream._endpoints["s-0"].address == address)
                 w.discovery.say(43, [w.servers[1].entry(status="leaving")])
-                await until(lambda: len(w.sidecar._engine.balancer.ready) == 1)
+                await until(lambda: len(w.sidecar._engine.balancer.ready_servers) == 1)
                 asking = asyncio.create_task(w.ask(kind="pay", body=b"x"))
                 await until(lambda: w.sidecar._upstream._dials)
                 heard = w.hear()
@@ -469,7 +469,9 @@
                 assert (await asking)[0] == 200 and not w.servers[0].requests
                 ended = [each for each in heard if isinstance(each, AttemptEnded)]
                 assert [each.outcome for each in ended] == [Outcome.UNSENT, Outcome.DELIVERED]
-                assert w.sidecar._engine.balancer.servers["s-0"].strikes == 0  # it did nothing wrong
+                assert (
+                    w.sidecar._engine.balancer.servers["s-0"].consecutive_failures == 0
+                )  # it did nothing wrong
 
     on_clock(scene())
 
@@ -527,9 +529,9 @@
             asking = asyncio.create_task(w.ask(kind="pay", body=b"x", budget="1.5"))
             await until(w.sent)
             w.discovery.say(42, [server.entry(status="left")])
-            await until(lambda: not w.sidecar._engine.balancer.ready)
+            await until(lambda: not w.sidecar._engine.balancer.ready_servers)
             w.discovery.say(43, [server.entry()])
-            await until(lambda: w.sidecar._engine.balancer.ready)
+            await until(lambda: w.sidecar._engine.balancer.ready_servers)
             if outcome == "answer":
                 server.writers[0].write(answer(200, b"served"))
             elif outcome == "break":
@@ -556,7 +558,7 @@
                 w.discovery.say(42, [], snapshot=True)
             else:
                 w.discovery.say(42, [server.entry(status=change)])
-            await until(lambda: not w.sidecar._engine.balancer.ready)
+            await until(lambda: not w.sidecar._engine.balancer.ready_servers)
             server.writers[0].write(answer(200, b"served"))
             assert (await asking)[2] == b"served"
             await until(lambda: w.sidecar._upstream.open_count == 0)  # it is not kept for another
@@ -811,7 +813,7 @@
                 client.send(request(budget="5.0"))
                 await until(lambda: w.sidecar.proxy.in_flight)
                 (live,), balancer = w.sidecar.proxy.in_flight.values(), w.sidecar._engine.balancer
-                (asked,) = balancer._requests.values()
+                (asked,) = balancer.open_requests.values()
                 if first == "dialling":
                     for name, each in w.sidecar._upstream._endpoints.items():
                         each.address = places[name]
@@ -981,7 +983,7 @@
                 await asyncio.sleep(0)
             assert [type(each) for each in faults] == [ZeroDivisionError]
             Orders(tmp_path).exclude("s-0")  # as the other process of an upgrade may
-            await until(lambda: not w.sidecar._engine.balancer.ready)
+            await until(lambda: not w.sidecar._engine.balancer.ready_servers)
 
     on_clock(scene())
 
@@ -1045,7 +1047,7 @@
             monkeypatch.setattr(whose, what, real)
             seen = len(w.discovery.targets)
             w.discovery.say(43, [w.servers[0].entry(status="leaving")], snapshot=True)
-            await until(lambda: not w.sidecar._engine.balancer.ready)
+            await until(lambda: not w.sidecar._engine.balancer.ready_servers)
             if where == "hearing":  # half of it may have been taken
                 assert w.discovery.targets[seen] == "/registry/instances"
 
@@ -1139,13 +1141,13 @@
         async with world(served, served, drained=True) as w:
             gone, stays = w.servers
             w.discovery.say(43, [gone.entry(status="leaving")])
-            await until(lambda: len(w.sidecar._engine.balancer.ready) == 1)
+            await until(lambda: len(w.sidecar._engine.balancer.ready_servers) == 1)
             w.discovery.say(42, [gone.entry()])  # an older version of the service's list, late
             await until(lambda: w.discovery.targets[-1] == "/registry/instances")
-            assert len(w.sidecar._engine.balancer.ready) == 1
+            assert len(w.sidecar._engine.balancer.ready_servers) == 1
             w.discovery.say(3, [stays.entry()], snapshot=True)  # it counts anew: the whole list is right
             await until(lambda: w.discovery.targets[-1].startswith("/registry/instances?after=3&"))
-            assert [each.name for each in w.sidecar._engine.balancer.ready] == [stays.name]
+            assert [each.name for each in w.sidecar._engine.balancer.ready_servers] == [stays.name]
 
     on_clock(scene())
 
@@ -1346,7 +1348,7 @@
                     assert status == 500 and 0.98 <= took < 1.05 and len(w.sent()) == 1
                 if at == "backstop":
                     monkeypatch.setattr(w.sidecar._engine.balancer, "handle", real)
-                    for number in list(w.sidecar._engine.balancer._requests):
+                    for number in list(w.sidecar._engine.balancer.open_requests):
                         w.sidecar._engine.handle(ClientDisconnected(number))
                         w.sidecar._engine.handle(
                             AttemptEnded(number, 0, w.servers[0].name, Outcome.TIMED_OUT, 1, True)
--- a/tests/runtime/test_streams.py
+++ b/tests/runtime/test_streams.py
@@ -275,7 +275,9 @@
             writer.close()
             await asyncio.wait_for(ended.wait(), PATIENCE_S)
             await until(lambda: not w.sidecar.proxy.in_flight and not w.sidecar.proxy.by_call)
-            assert w.sidecar._engine.balancer._pending == 0 and w.sidecar._upstream._budget.streams == 0
+            assert (
+                w.sidecar._engine.balancer.pending_attempts == 0 and w.sidecar._upstream._budget.streams == 0
+            )
 
     play(scene())
 
