--- a/sidecar_balancer/policy/endpoint.py
+++ b/sidecar_balancer/policy/endpoint.py
@@ -1,60 +1,54 @@
-"""What a balancer knows of each server, and of each attempt at one.  A part of the decisions (`policy`)."""
+"""What a balancer knows of one server."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
-from sidecar_balancer.policy.types import ServerState, ServerVerdict
+from sidecar_balancer.policy.types import Flow, ServerState, ServerVerdict
 
-Flow = tuple[str, str | None]  # the class and tenant of a request
+
+class RejectionBackoff(NamedTuple):
+    """How long requests of one class and tenant stay away from a server that rejects them."""
+
+    until: int  # clock time in microseconds
+    rejections: int  # in a row
 
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """What this balancer knows of one server."""
+    """What this balancer knows of one server.  Times are clock times in microseconds, -1: never."""
 
     name: str
-    order_key: float  # chance, drawn once: this balancer's order of the servers
+    order_key: float  # random, drawn once: this balancer's own order of the servers
     zone: str = ""
-    relative_latency: float = 1.0  # how long it takes, relative to the usual
+    relative_latency: float = 1.0  # by the baseline of all servers
     state: ServerState = ServerState.REMOVED
-    disabled: bool = False  # by the operators: it counts as draining, whatever its state
-    started_at: int | None = None
-    warming_since: int | None = None
-    slow_start_tokens: float = 0.0  # of a cold server: what may be sent to it now, in requests of mean cost
+    disabled: bool = False  # by the operators: treated as draining, whatever its state
+    forgotten: bool = False  # removed from the endpoint table: a later one of this name is another server
+    started_at: int | None = None  # of the server process
+    warming_since: int | None = None  # None: no slow start
+    slow_start_tokens: float = 0.0  # what may be sent while warming up, in requests of mean cost
     slow_start_tokens_at: int = 0
     in_flight: int = 0
-    abandoned_until: list[int] = field(default_factory=list)  # when each attempt given up on stops counting
+    abandoned_until: list[int] = field(default_factory=list)  # when abandoned attempts stop counting
     last_response_at: int = -1
     consecutive_failures: int = 0
-    ejections: int = 0
+    ejections: int = 0  # in a row
     ejected_until: int | None = None  # None: not ejected
-    rejections: dict[Flow, tuple[int, int]] = field(default_factory=dict)  # until when, how often in a row
-    trial: Attempt | None = None  # the single attempt that may bring it back
-    peer_verdicts: dict[str | None, int] = field(
-        default_factory=dict
-    )  # peers against it by class; 0: proved wrong
-    published_verdicts: dict[str | None, ServerVerdict] = field(
-        default_factory=dict
-    )  # what peers know from here, by class
-    readmitted_at: int | None = None  # when it was readmitted: it eases in, where zones are on
-    pooled_zone: str | None = None  # the zone in which it counts as ready; None: it does not
+    trial_pending: bool = False  # whether the single attempt that may end the ejection is out
+    rejections: dict[Flow, RejectionBackoff] = field(default_factory=dict)
+    peer_verdicts: dict[str | None, int] = field(default_factory=dict)  # peers by class; 0: disproved here
+    published_verdicts: dict[str | None, ServerVerdict] = field(default_factory=dict)  # by class
+    readmitted_at: int | None = None  # its recovery ramp starts then, where zones are enabled
+    pooled_zone: str | None = None  # the zone that it counts as ready in; None: not ready
 
     def is_ready(self) -> bool:
+        """Whether new attempts may be sent to it."""
         return self.state is ServerState.READY and not self.disabled
 
-
-@dataclass(slots=True, eq=False)
-class Attempt:
-    """One attempt of a request; it is pending until it has an outcome."""
-
-    index: int
-    server: Server
-    sent_at: int
-    stalled_us_before: int  # how long the balancer had stalled by then
-    responses_before: int  # how many answers had come by then, from all servers
-    pending: bool = True
-    may_have_run: bool = True  # until an outcome proves that it did not
-    started: bool = False
-    counted_late: bool = False  # whether its lateness was counted as a sign of overload
-    silent: bool = False  # whether its server was found silent by it
+    def load(self, now: int) -> int:
+        """Own attempts in flight, with abandoned ones, which may still run on the server."""
+        if self.abandoned_until:
+            self.abandoned_until = [until for until in self.abandoned_until if until > now]
+        return self.in_flight + len(self.abandoned_until)
--- /dev/null
+++ b/sidecar_balancer/policy/intake.py
@@ -0,0 +1,98 @@
+"""What clients do: requests arrive, their bodies end, and clients disconnect."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Iterable
+
+from sidecar_balancer.config.settings import ServiceClass
+from sidecar_balancer.policy.admission import AdmissionControl
+from sidecar_balancer.policy.events import ClientDisconnected, RequestBodyEnded, RequestReceived
+from sidecar_balancer.policy.latency import LatencyTracker
+from sidecar_balancer.policy.outliers import OutlierDetector
+from sidecar_balancer.policy.placement import Placement
+from sidecar_balancer.policy.rates import Rate
+from sidecar_balancer.policy.request import DEADLINE_OPEN_US, Request
+from sidecar_balancer.policy.request_table import RequestTable
+from sidecar_balancer.policy.retry_budget import RetryBudget
+from sidecar_balancer.policy.stalls import StallDetector
+from sidecar_balancer.policy.timer_queue import TimerKind, TimerQueue
+from sidecar_balancer.policy.types import Flow
+
+ANSWER_EARLY_TICKS = 2  # a final answer leaves this many clock ticks before the client's deadline
+COST_EXPONENT_MIN, COST_EXPONENT_MAX = -3, 4
+
+
+class RequestIntake:
+    """Admits requests and starts their deadlines."""
+
+    def __init__(
+        self,
+        classes: Iterable[ServiceClass],
+        clock_tick_us: int,
+        received: Rate,
+        latency: LatencyTracker,
+        admission: AdmissionControl,
+        placement: Placement,
+        table: RequestTable,
+        budget: RetryBudget,
+        outliers: OutlierDetector,
+        stalls: StallDetector,
+        timers: TimerQueue,
+    ) -> None:
+        self._classes = {service_class.name: service_class for service_class in classes}
+        self._early_us = ANSWER_EARLY_TICKS * clock_tick_us
+        self._received = received
+        self._latency = latency
+        self._admission = admission
+        self._placement = placement
+        self._table = table
+        self._budget = budget
+        self._outliers = outliers
+        self._stalls = stalls
+        self._timers = timers
+
+    def request_received(self, now: int, event: RequestReceived) -> None:
+        """Send the request to a server or reject it."""
+        service_class = self._classes.get(event.service_class)
+        if service_class is None:  # the settings do not name it: the least is assumed of it
+            allowed_us = max(event.remaining_us, 1)
+            service_class = ServiceClass(event.service_class, allowed_us, allowed_us)
+        self._received.add(now, 1.0)
+        self._budget.request_received()
+        cost = self._latency.relative_cost(service_class, event.cost_us)
+        exponent = max(COST_EXPONENT_MIN, min(math.frexp(cost)[1], COST_EXPONENT_MAX))
+        flow = Flow(service_class.name, event.tenant)
+        request = Request(event.request, service_class, DEADLINE_OPEN_US, cost, flow, exponent)
+        self._table.requests[event.request] = request
+        if not event.body_open:
+            self._start_deadline(now, request, event.remaining_us)
+        if self._admission.should_reject(now, request, event.remaining_us):
+            self._table.finish(request)
+        else:
+            self._placement.place(now, request)
+
+    def body_ended(self, now: int, event: RequestBodyEnded) -> None:
+        """A request's deadline counts from its last byte, and so does a server's latency."""
+        request = self._table.requests.get(event.request)
+        if request is None or request.answered:
+            return
+        self._start_deadline(now, request, event.remaining_us)
+        for attempt in request.attempts:
+            if attempt.pending:
+                attempt.sent_at, attempt.stalled_us_before = now, self._stalls.stalled_us
+                attempt.responses_before = self._outliers.responses
+                overdue_at = now + self._latency.overdue_after_us(request, attempt.server)
+                self._timers.schedule(
+                    overdue_at, TimerKind.ATTEMPT_OVERDUE, request.request_id, attempt.index
+                )
+
+    def client_disconnected(self, _now: int, event: ClientDisconnected) -> None:
+        """No answer is owed to a client that has gone."""
+        request = self._table.requests.get(event.request)
+        if request is not None and not request.answered:
+            self._table.close(request)
+
+    def _start_deadline(self, now: int, request: Request, remaining_us: int) -> None:
+        request.answer_by = now + remaining_us - self._early_us
+        self._timers.schedule(request.answer_by, TimerKind.REQUEST_DEADLINE, request.request_id)
--- /dev/null
+++ b/sidecar_balancer/policy/overdue.py
@@ -0,0 +1,86 @@
+"""Overdue attempts: whether their server is unresponsive, slow, or just one of many under overload."""
+
+from __future__ import annotations
+
+from enum import Enum, unique
+
+from sidecar_balancer.policy.admission import AdmissionControl
+from sidecar_balancer.policy.latency import LatencyTracker
+from sidecar_balancer.policy.outliers import UNRESPONSIVE_MAX_RATIO, OutlierDetector
+from sidecar_balancer.policy.request import Attempt, Request
+from sidecar_balancer.policy.stalls import StallDetector
+from sidecar_balancer.policy.timer_queue import TimerKind, TimerQueue
+
+UNRESPONSIVE_OVERDUE_RATIO = 2.0  # overdue again by this factor, a silent server counts as unresponsive
+UNRESPONSIVE_MIN_OBJECTIVE_RATIO = 0.5  # but never before this part of the objective
+RESPONSES_FROM_OTHERS = 4  # since the attempt was sent, that make the silence its server's own
+
+
+@unique
+class OverdueFinding(Enum):
+    """What an overdue attempt shows."""
+
+    NOTHING = "nothing"  # its server answered others meanwhile, or the balancer itself stood still
+    SILENT = "silent"  # no response from its server since it was sent
+    UNRESPONSIVE = "unresponsive"  # found now: silent for long, while other servers responded
+
+
+class OverdueMonitor:
+    """Examines attempts that take far longer than expected."""
+
+    def __init__(
+        self,
+        zones_enabled: bool,
+        clock_tick_us: int,
+        latency: LatencyTracker,
+        admission: AdmissionControl,
+        outliers: OutlierDetector,
+        stalls: StallDetector,
+        timers: TimerQueue,
+    ) -> None:
+        self._zones_enabled = zones_enabled
+        self._clock_tick_us = clock_tick_us
+        self._latency = latency
+        self._admission = admission
+        self._outliers = outliers
+        self._stalls = stalls
+        self._timers = timers
+
+    def check(self, now: int, request: Request, attempt: Attempt) -> OverdueFinding:
+        """Examine an overdue attempt; schedules the next look at it."""
+        if now == self._stalls.recovered_at:  # its response may be among what waited
+            self._check_again(now + self._clock_tick_us, request, attempt)
+            return OverdueFinding.NOTHING
+        server = attempt.server
+        is_silent = server.last_response_at <= attempt.sent_at
+        waited_us = now - attempt.sent_at - (self._stalls.stalled_us - attempt.stalled_us_before)
+        self._check_objective(now, request, attempt, waited_us)
+        if not is_silent:
+            return OverdueFinding.NOTHING
+        enough_us = max(
+            UNRESPONSIVE_OVERDUE_RATIO * self._latency.overdue_after_us(request, server),
+            UNRESPONSIVE_MIN_OBJECTIVE_RATIO * request.service_class.latency_objective_us,
+        )
+        if waited_us < enough_us:
+            self._check_again(now + int(enough_us) - waited_us, request, attempt)
+            return OverdueFinding.SILENT
+        if attempt.unresponsive:
+            return OverdueFinding.SILENT
+        attempt.unresponsive = self._zones_enabled  # the response to a hedge in another zone will show it
+        if self._outliers.responses - attempt.responses_before < RESPONSES_FROM_OTHERS:
+            return OverdueFinding.SILENT
+        if server.ejected_until is None:
+            self._outliers.eject(now, server, "silent", UNRESPONSIVE_MAX_RATIO)
+        return OverdueFinding.UNRESPONSIVE
+
+    def _check_objective(self, now: int, request: Request, attempt: Attempt, waited_us: int) -> None:
+        """Count the attempt as late once its objective is missed: a response would show a surge too late."""
+        objective_us = request.service_class.latency_objective_us
+        if waited_us < objective_us:
+            self._check_again(now + objective_us - waited_us, request, attempt)
+        elif not attempt.counted_late and attempt.server.ejected_until is None:
+            attempt.counted_late = True
+            self._admission.objective_missed(now)
+
+    def _check_again(self, due_at: int, request: Request, attempt: Attempt) -> None:
+        self._timers.schedule(due_at, TimerKind.ATTEMPT_OVERDUE, request.request_id, attempt.index)
--- a/sidecar_balancer/policy/rates.py
+++ b/sidecar_balancer/policy/rates.py
@@ -6,7 +6,7 @@
 
 
 class Rate:
-    """What was added over about the last `span_us`."""
+    """What was added over about the last `span_us`, for times that never go back."""
 
     __slots__ = ("_at", "_count", "_span_us")
 
@@ -14,21 +14,23 @@
         self._span_us = span_us
         self._count, self._at = 0.0, 0
 
-    def over(self, span_us: float) -> None:
+    def set_span(self, span_us: float) -> None:
         """Average over another span from now on."""
         self._count *= span_us / self._span_us
         self._span_us = span_us
 
     def add(self, now: int, amount: float) -> None:
+        """Add an amount at clock time `now`."""
         self._fade(now)
         self._count += amount
 
     def per_us(self, now: int) -> float:
+        """The rate at clock time `now`, per microsecond."""
         self._fade(now)
         return self._count / self._span_us
 
     def count(self, now: int) -> float:
-        """The faded count itself."""
+        """The faded count at clock time `now`."""
         self._fade(now)
         return self._count
 
--- /dev/null
+++ b/sidecar_balancer/policy/request_table.py
@@ -0,0 +1,54 @@
+"""The open requests and their final answers."""
+
+from __future__ import annotations
+
+from sidecar_balancer.config.settings import Idempotency
+from sidecar_balancer.policy.action_queue import ActionQueue
+from sidecar_balancer.policy.actions import CancelAttempt, Fail, Reject
+from sidecar_balancer.policy.request import Request
+
+
+class RequestTable:
+    """Keeps each request until it has its final answer and its last attempt has ended.
+
+    Attributes:
+        requests: by their number.
+    """
+
+    def __init__(self, may_cancel: bool, actions: ActionQueue) -> None:
+        self.requests: dict[int, Request] = {}
+        self._may_cancel = may_cancel
+        self._actions = actions
+
+    def finish(self, request: Request) -> None:
+        """Give the final answer where no server's response can be it: the only way out for these.
+
+        The request is rejected where a retry is harmless, else it fails.
+        """
+        if request.answered:
+            return
+        is_idempotent = request.service_class.idempotency is Idempotency.IDEMPOTENT
+        if is_idempotent or not request.may_have_run():
+            self._actions.append(Reject(request.request_id))
+        else:
+            self._actions.append(Fail(request.request_id))
+        self.close(request)
+
+    def close(self, request: Request) -> None:
+        """Note that no answer is owed any more."""
+        request.answered = True
+        self.cancel_attempts(request)
+        self.drop_if_complete(request)
+
+    def cancel_attempts(self, request: Request) -> None:
+        """Cancel the pending attempts whose response has not started, where that is permitted."""
+        if not self._may_cancel:
+            return
+        for attempt in request.attempts:
+            if attempt.pending and not attempt.response_started:
+                self._actions.append(CancelAttempt(request.request_id, attempt.index))
+
+    def drop_if_complete(self, request: Request) -> None:
+        """Forget the request if nothing of it is open."""
+        if request.answered and not request.has_pending_attempt():
+            self.requests.pop(request.request_id, None)
--- /dev/null
+++ b/sidecar_balancer/policy/selection.py
@@ -0,0 +1,206 @@
+"""Selection of the server for an attempt: best of k random candidates, redrawn wider after rejections.
+
+Of k distinct servers, drawn by their odds, the one with the lowest load gets the attempt.
+"""
+
+from __future__ import annotations
+
+import math
+import random
+from collections.abc import Sequence
+
+from sidecar_balancer.config.settings import Idempotency, Prices
+from sidecar_balancer.policy.endpoint import Server
+from sidecar_balancer.policy.latency import RELATIVE_LATENCY_MAX
+from sidecar_balancer.policy.load import LoadTracker
+from sidecar_balancer.policy.locality import Zones
+from sidecar_balancer.policy.outliers import OutlierDetector
+from sidecar_balancer.policy.overrides import DisabledServers
+from sidecar_balancer.policy.request import Request
+from sidecar_balancer.policy.slow_start import SlowStart
+from sidecar_balancer.policy.verdicts import VerdictExchange, peers_against
+from sidecar_balancer.policy.window import FREE_RATIO, LATE_MAX_RATIO, ConcurrencyWindow
+
+CANDIDATES = 4  # k: loads are mostly small here, where two candidates find too little
+COST_POWER_MAX = 3.0  # of relative latency, in the odds for a request of four times the mean cost or more
+PEER_VERDICT_FACTOR = 0.5  # of a server's odds, for each peer with a verdict against it
+REMOTE_MIN_ODDS = 0.25  # odds of a server in another zone while the own zone is as quick
+REMOTE_EVEN_RATIO = 0.3  # the own zone this much slower than the others, all zones have even odds
+
+
+class EndpointSelector:
+    """Selects servers."""
+
+    def __init__(
+        self,
+        prices: Prices,
+        zones: Zones,
+        load: LoadTracker,
+        window: ConcurrencyWindow,
+        slow_start: SlowStart,
+        outliers: OutlierDetector,
+        verdicts: VerdictExchange,
+        disabled: DisabledServers,
+        draws: random.Random,
+        side_draws: random.Random,
+    ) -> None:
+        self._weighs_zones = zones.enabled or prices.cross_zone > 0.0
+        self._zones = zones
+        self._load = load
+        self._window = window
+        self._slow_start = slow_start
+        self._outliers = outliers
+        self._verdicts = verdicts
+        self._disabled = disabled
+        self._draws = draws
+        self._side_draws = side_draws
+        self._remote_odds = 1.0  # of a server in another zone
+        self._remote_odds_at = -1  # when that was computed
+
+    def select(self, now: int, request: Request) -> Server | None:
+        """The server that the next attempt should go to, None if there is none."""
+        trial = self._trial_due(now, request)
+        if trial is not None:
+            return trial
+        pool = self._pool(now, request)
+        if not pool:
+            return None
+        odds = self._odds(now, pool, request)
+        drawn = self.draw(pool, odds, CANDIDATES << request.rejections)
+        if self._zones.enabled:  # what recovers counts as more loaded than it is, by its weight
+            weight = self._zones.weight
+            return min(
+                drawn,
+                key=lambda server: ((server.load(now) + 1) / weight(now, server), server.relative_latency),
+            )
+        return min(drawn, key=lambda server: (server.load(now), server.relative_latency))
+
+    def draw(self, pool: list[Server], odds: list[float], count: int) -> list[Server]:
+        """Draw distinct servers by their odds, in random order, so that the first of equals is random."""
+        drawn, left, total = list[Server](), list(range(len(pool))), sum(odds)
+        for _ in range(min(count, len(pool))):
+            point, at = self._draws.random() * total, 0
+            while at < len(left) - 1 and point >= odds[left[at]]:
+                point, at = point - odds[left[at]], at + 1
+            total -= odds[left[at]]
+            drawn.append(pool[left.pop(at)])
+        return drawn
+
+    def _trial_due(self, now: int, request: Request) -> Server | None:
+        """A server that this request should try: just enabled, in an evacuated zone, or ejected."""
+        for server in self._disabled.unused:
+            if server.is_ready() and self._is_eligible(now, server, request):
+                del self._disabled.unused[server]
+                return server
+        if request.attempts or request.service_class.idempotency is not Idempotency.IDEMPOTENT:
+            return None
+        if self._zones.enabled:
+            server_in_zone = self._zone_trial_due(now, request)
+            if server_in_zone is not None:
+                return server_in_zone
+        if not self._outliers.ejected:
+            return None
+        for server in self._outliers.trials_due(now):
+            is_open = not self._zones.enabled or self._zones.is_open(server.zone)
+            if is_open and self._slow_start.has_capacity(now, server, request.cost):
+                return server
+        return None
+
+    def _zone_trial_due(self, now: int, request: Request) -> Server | None:
+        zone = self._zones.trial_due(now)
+        if zone is None:
+            return None
+        fit = [
+            server
+            for server in self._zones.ready_servers
+            if server.zone == zone.name
+            and not server.trial_pending
+            and self._slow_start.has_capacity(now, server, request.cost)
+        ]
+        return self._side_draws.choice(fit) if fit else None
+
+    def _pool(self, now: int, request: Request) -> list[Server]:
+        """The servers to draw from: near ones where zones are enabled and enough of them are left."""
+        if self._remote_odds_at != now:
+            self._remote_odds_at, self._remote_odds = now, self._compute_remote_odds(now)
+        zones = self._zones
+        if zones.enabled:
+            strength = (1.0 - self._remote_odds) / (1.0 - REMOTE_MIN_ODDS)  # the own zone's headroom
+            near = self._subset(now, zones.candidates(self._side_draws.random(), strength), request)
+            if len(near) >= 2:
+                return near
+        return self._subset(now, zones.ready_servers, request)
+
+    def _subset(self, now: int, servers: Sequence[Server], request: Request) -> list[Server]:
+        """The first eligible servers in this balancer's own order, as many as its traffic can know.
+
+        Servers that reject the request's class and tenant are left out while enough others remain.
+        """
+        size = self._load.subset_size()
+        pool, rejecting = list[Server](), list[Server]()
+        for server in servers:
+            if self._is_eligible(now, server, request):
+                backoff = server.rejections.get(request.flow)
+                (pool if backoff is None or backoff.until <= now else rejecting).append(server)
+                if len(pool) >= size:
+                    break
+        return pool if len(pool) >= min(CANDIDATES, size) else pool + rejecting[: size - len(pool)]
+
+    def _is_eligible(self, now: int, server: Server, request: Request) -> bool:
+        if server.ejected_until is not None:
+            return False
+        if self._zones.enabled and not self._zones.is_open(server.zone):
+            return False
+        if request.attempts and not _is_fresh(server, request):
+            return False
+        return server.warming_since is None or self._slow_start.has_capacity(now, server, request.cost)
+
+    def _odds(self, now: int, pool: list[Server], request: Request) -> list[float]:
+        """Slower servers have lower odds, for heavy requests still lower; warming ones by their weight."""
+        power = min(max(1.0, float(request.cost_exponent)), COST_POWER_MAX)
+        own_zone, remote_odds = self._zones.own_zone, self._remote_odds
+        odds = [
+            self._server_odds(now, server, power) * (1.0 if server.zone == own_zone else remote_odds)
+            for server in pool
+        ]
+        if self._verdicts.has_peer_verdicts:
+            name = request.service_class.name
+            odds = [
+                odd * PEER_VERDICT_FACTOR ** peers_against(server, name)
+                for odd, server in zip(odds, pool, strict=True)
+            ]
+        return odds
+
+    def _server_odds(self, now: int, server: Server, power: float) -> float:
+        latency = math.pow(max(server.relative_latency, 1.0 / RELATIVE_LATENCY_MAX), power)
+        if server.warming_since is None:
+            return 1.0 / latency
+        return self._slow_start.weight(now, server) / latency
+
+    def _compute_remote_odds(self, now: int) -> float:
+        """Odds of servers in other zones: lower while the own zone is as quick and nothing is late."""
+        if not self._weighs_zones:
+            return 1.0
+        if self._window.late_ratio >= LATE_MAX_RATIO or self._window.fill(now) > FREE_RATIO:
+            return 1.0  # spare capacity anywhere is worth more than local traffic
+        own_zone = self._zones.own_zone
+        servers = [server for server in self._zones.ready_servers if server.ejected_until is None]
+        near = [server.relative_latency for server in servers if server.zone == own_zone]
+        far = [server.relative_latency for server in servers if server.zone != own_zone]
+        if not near or not far or sum(far) <= 0.0:
+            return 1.0
+        excess = (sum(near) / len(near)) / (sum(far) / len(far)) - 1.0
+        return max(REMOTE_MIN_ODDS, min(excess / REMOTE_EVEN_RATIO, 1.0))
+
+
+def _is_fresh(server: Server, request: Request) -> bool:
+    """Whether no attempt of the request has failed there, is pending there or found its zone unresponsive."""
+    if server in request.failed_servers:
+        return False
+    for attempt in request.attempts:
+        in_same_place = attempt.server is server or (
+            attempt.unresponsive and attempt.server.zone == server.zone
+        )
+        if attempt.pending and in_same_place:
+            return False
+    return True
--- /dev/null
+++ b/sidecar_balancer/policy/slow_start.py
@@ -0,0 +1,95 @@
+"""Slow start: servers whose process has just started get a growing part of the traffic."""
+
+from __future__ import annotations
+
+import math
+import random
+from collections.abc import Sequence
+
+from sidecar_balancer.config.settings import Rules
+from sidecar_balancer.policy.endpoint import Server
+from sidecar_balancer.policy.load import LoadTracker
+from sidecar_balancer.policy.rates import Rate
+
+REFILL_RATIO = 0.5  # part of the load that would overload the server: its true capacity is unknown
+BURST_RATIO = 0.18  # part of that load that may come at once
+
+
+class SlowStart:
+    """Token buckets of the servers that warm up, sized by what warm servers serve for this balancer."""
+
+    def __init__(
+        self,
+        rules: Rules,
+        ready_servers: Sequence[Server],
+        load: LoadTracker,
+        received: Rate,
+        served: Rate,
+        start_jitter: random.Random,
+    ) -> None:
+        self._rules = rules
+        self._duration_us = rules.slow_start_us
+        self._ready_servers = ready_servers
+        self._load = load
+        self._received = received  # requests, whatever server they went to
+        self._served_by_warm = served  # responses of warm servers, by cost
+        self._start_jitter = start_jitter
+        self.capacity_per_us = 0.0  # what a warm server serves for this balancer, in requests of mean cost
+        self._capacity_at = -1  # when that was estimated
+
+    def start(self, now: int, server: Server, since: int) -> None:
+        """The server's process started at `since`.
+
+        The bucket starts with a random part of a request, so that small balancers do not all send at once.
+        """
+        server.warming_since = since
+        server.slow_start_tokens, server.slow_start_tokens_at = self._start_jitter.random(), now
+
+    def is_warming_up(self, now: int, server: Server) -> bool:
+        """Whether the server is in slow start."""
+        return server.warming_since is not None and now < server.warming_since + self._duration_us
+
+    def weight(self, now: int, server: Server) -> float:
+        """The part of its full capacity that a server has at least, 1.0 after its slow start."""
+        if server.warming_since is None or not self.is_warming_up(now, server):
+            return 1.0
+        least = self._rules.slow_start_min_ratio
+        age_us = max(now - server.warming_since, 0)
+        return least + (1.0 - least) * age_us / self._duration_us
+
+    def has_capacity(self, now: int, server: Server, cost: float) -> bool:
+        """Whether the server's bucket has the tokens for a request of this cost, after a refill."""
+        if not self.is_warming_up(now, server):
+            return True
+        limit = self._rules.overload_multiple * self.weight(now, server) * self.estimate_capacity(now)
+        most = max(1.0, BURST_RATIO * limit * self._rules.overload_window_us)
+        refill = REFILL_RATIO * limit * max(now - server.slow_start_tokens_at, 0)
+        server.slow_start_tokens = min(server.slow_start_tokens + refill, most)
+        server.slow_start_tokens_at = now
+        return server.slow_start_tokens >= min(cost, most)
+
+    def attempt_sent(self, now: int, server: Server, cost: float) -> None:
+        """Take the tokens of an attempt."""
+        if self.is_warming_up(now, server):
+            server.slow_start_tokens -= cost
+
+    def response_received(self, now: int, server: Server, cost: float) -> None:
+        """Count what a warm server has served; servers that warm up get light requests first."""
+        if not self.is_warming_up(now, server):
+            self._served_by_warm.add(now, cost)
+
+    def estimate_capacity(self, now: int) -> float:
+        """What a warm server serves for this balancer now, or has served of late, per microsecond."""
+        if self._capacity_at != now:
+            faded = math.exp((self._capacity_at - now) / self._duration_us)
+            self._capacity_at = now
+            warm = [server for server in self._ready_servers if not self.is_warming_up(now, server)]
+            counted = warm or self._ready_servers  # ejected ones too: they served a part of what is counted
+            served = self._served_by_warm if warm else self._received
+            rate = served.per_us(now) / max(min(len(counted), self._load.subset_size()), 1)
+            self.capacity_per_us = max(rate, self.capacity_per_us * faded)
+        return self.capacity_per_us
+
+    def restore_capacity(self, now: int, capacity_per_us: float) -> None:
+        """Take over what an earlier process or peers had estimated."""
+        self.capacity_per_us, self._capacity_at = max(self.capacity_per_us, capacity_per_us), now
--- /dev/null
+++ b/sidecar_balancer/policy/timer_queue.py
@@ -0,0 +1,68 @@
+"""The balancer's timers: one queue of typed entries behind the single timer that the caller runs."""
+
+from __future__ import annotations
+
+import heapq
+from collections.abc import Callable, Iterator
+from enum import Enum, unique
+from typing import NamedTuple
+
+from sidecar_balancer.policy.action_queue import ActionQueue
+from sidecar_balancer.policy.actions import SetTimer
+
+TIMER_TOKEN = "agenda"  # as on the simulator's wire
+
+
+@unique
+class TimerKind(Enum):
+    """What falls due."""
+
+    REQUEST_DEADLINE = "request_deadline"
+    ATTEMPT_OVERDUE = "attempt_overdue"
+    DISCOVERY_POLL = "discovery_poll"
+    STALL_TICK = "stall_tick"
+
+
+class TimerEntry(NamedTuple):
+    """An entry of the queue; entries that are due at the same time fire in the order of scheduling."""
+
+    due_at: int  # clock time in microseconds
+    sequence: int
+    kind: TimerKind
+    request_id: int
+    attempt_index: int
+
+
+class TimerQueue:
+    """A priority queue of timer entries."""
+
+    def __init__(self, actions: ActionQueue) -> None:
+        self._actions = actions
+        self._entries: list[TimerEntry] = []
+        self._sequence = 0
+        self._armed_for: int | None = None  # when the caller's timer fires
+
+    def schedule(self, due_at: int, kind: TimerKind, request_id: int = -1, attempt_index: int = -1) -> None:
+        """Add an entry; requests and attempts are given where the kind concerns one."""
+        self._sequence += 1
+        heapq.heappush(self._entries, TimerEntry(due_at, self._sequence, kind, request_id, attempt_index))
+
+    def pop_due(self, now: int) -> Iterator[TimerEntry]:
+        """Remove and yield the entries that are due, those included that are scheduled meanwhile."""
+        if self._armed_for is not None and now >= self._armed_for:
+            self._armed_for = None
+        entries = self._entries
+        while entries and entries[0].due_at <= now:
+            yield heapq.heappop(entries)
+
+    def arm(self, now: int, is_obsolete: Callable[[TimerEntry], bool]) -> None:
+        """Drop obsolete entries from the front and request a timer if the next one is due earlier."""
+        entries = self._entries
+        while entries and is_obsolete(entries[0]):
+            heapq.heappop(entries)
+        if not entries:
+            return
+        due_at = entries[0][0]
+        if self._armed_for is None or due_at < self._armed_for:
+            self._armed_for = due_at
+            self._actions.append(SetTimer(max(due_at - now, 0), TIMER_TOKEN))
--- a/sidecar_balancer/policy/types.py
+++ b/sidecar_balancer/policy/types.py
@@ -1,8 +1,9 @@
-"""Enumerations that the balancer's events and actions share."""
+"""Plain types that the balancer's events, actions and components share."""
 
 from __future__ import annotations
 
 from enum import Enum, unique
+from typing import NamedTuple
 
 
 @unique
@@ -66,3 +67,10 @@
 
     DRAIN = "drain"  # no new requests
     NEVER_EVACUATE = "pin"  # it stays in use, whatever fails there
+
+
+class Flow(NamedTuple):
+    """Requests of one class and tenant."""
+
+    service_class: str
+    tenant: str | None
--- /dev/null
+++ b/sidecar_balancer/policy/verdicts.py
@@ -0,0 +1,62 @@
+"""Verdicts on servers: published to peers, and received from them."""
+
+from __future__ import annotations
+
+from collections.abc import Collection, Mapping
+
+from sidecar_balancer.policy.action_queue import ActionQueue
+from sidecar_balancer.policy.actions import PublishServerVerdict
+from sidecar_balancer.policy.endpoint import Server
+from sidecar_balancer.policy.events import PeerServerVerdict
+from sidecar_balancer.policy.types import ServerVerdict
+
+PEERS_MAX = 2  # further peers change nothing, so that a few that lie have no more effect than this
+
+
+class VerdictExchange:
+    """Publishes changes of this balancer's verdicts and applies those of its peers."""
+
+    def __init__(self, actions: ActionQueue) -> None:
+        self._actions = actions
+        self.has_peer_verdicts = False  # on any server
+
+    def publish(
+        self, server: Server, service_class: str | None, verdict: ServerVerdict, evidence: int = 1
+    ) -> None:
+        """Publish a verdict for one class, or all (None), unless peers have it from here already."""
+        current = None if verdict is ServerVerdict.CLEARED else verdict
+        if server.published_verdicts.get(service_class) is not current:
+            server.published_verdicts.pop(service_class, None)
+            if current is not None:
+                server.published_verdicts[service_class] = current
+            self._actions.append(PublishServerVerdict(server.name, verdict, service_class, max(evidence, 1)))
+
+    def withdraw_all(self, server: Server) -> None:
+        """Clear everything that peers have on a server from here."""
+        for service_class in list(server.published_verdicts):
+            self.publish(server, service_class, ServerVerdict.CLEARED)
+
+    def receive(self, verdicts: Collection[PeerServerVerdict], servers: Mapping[str, Server]) -> None:
+        """Replace the peers' verdicts; what an own response disproved stays disproved."""
+        received: dict[str, dict[str | None, int]] = {}
+        for verdict in verdicts:
+            server = servers.get(verdict.server)
+            is_disproved = server is not None and server.peer_verdicts.get(verdict.service_class) == 0
+            by_class = received.setdefault(verdict.server, {})
+            by_class[verdict.service_class] = 0 if is_disproved else verdict.peers
+        for server in servers.values():
+            server.peer_verdicts = received.get(server.name, {})
+        self.has_peer_verdicts = any(server.peer_verdicts for server in servers.values())
+
+    def response_received(self, server: Server, service_class: str) -> None:
+        """A response disproves the peers' verdicts and ends the own one for its class."""
+        for name in (None, service_class):
+            if name in server.peer_verdicts:
+                server.peer_verdicts[name] = 0
+        self.publish(server, service_class, ServerVerdict.CLEARED)
+
+
+def peers_against(server: Server, service_class: str) -> int:
+    """How many peers have a verdict against a server for a class, as far as they count."""
+    verdicts = server.peer_verdicts
+    return min(max(verdicts.get(None, 0), verdicts.get(service_class, 0)), PEERS_MAX)
--- /dev/null
+++ b/sidecar_balancer/policy/zone_evacuation.py
@@ -0,0 +1,74 @@
+"""Evacuation of zones that fail as a whole, and their recovery."""
+
+from __future__ import annotations
+
+import random
+
+from sidecar_balancer.policy.action_queue import ActionQueue
+from sidecar_balancer.policy.actions import HealthCheck, LogEvent, PublishZoneVerdict
+from sidecar_balancer.policy.admission import AdmissionControl
+from sidecar_balancer.policy.endpoint import Server
+from sidecar_balancer.policy.events import ZoneHealthCheckerChanged, ZoneRecovered
+from sidecar_balancer.policy.locality import Zone, Zones
+from sidecar_balancer.policy.outliers import OutlierDetector
+from sidecar_balancer.policy.types import ZoneVerdict
+
+
+class ZoneEvacuation:
+    """Evacuates zones by the outcomes of attempts, and brings them back by trials and health checks."""
+
+    def __init__(
+        self,
+        may_health_check: bool,
+        zones: Zones,
+        outliers: OutlierDetector,
+        admission: AdmissionControl,
+        choices: random.Random,
+        actions: ActionQueue,
+    ) -> None:
+        self._may_health_check = may_health_check
+        self._zones = zones
+        self._outliers = outliers
+        self._admission = admission
+        self._choices = choices
+        self._actions = actions
+
+    def outcome_recorded(self, now: int, server: Server, sent_at: int, success: bool) -> Zone | None:
+        """Learn whether a server responded to an attempt; return its zone if that is evacuated now."""
+        self._recover(now, self._zones.trial_ended(now, server, sent_at, success))
+        zone = self._zones.record_outcome(now, server, success)
+        if zone is None:
+            return None
+        self._zones.evacuate(now, zone)
+        self._admission.zone_evacuated()
+        self._actions.append(LogEvent(f"left zone {zone.name}: its servers fail", "zone_left", zone.name))
+        self._actions.append(PublishZoneVerdict(zone.name, ZoneVerdict.EVACUATED, len(zone.failing)))
+        return zone
+
+    def zone_recovered(self, now: int, event: ZoneRecovered) -> None:
+        """The zone's health checker reports that it responds again."""
+        self._recover(now, self._zones.may_recover(now, event.zone))
+
+    def health_checker_changed(self, _now: int, event: ZoneHealthCheckerChanged) -> None:
+        """Note who health-checks; this balancer checks a server of each evacuated zone if it is the one."""
+        self._zones.is_health_checker = event.is_self
+        if not event.is_self or not self._may_health_check:
+            return
+        for zone in self._zones.evacuated_anywhere():
+            names = [server.name for server in self._zones.ready_servers if server.zone == zone.name]
+            if names:
+                self._actions.append(HealthCheck(self._choices.choice(names)))
+
+    def health_check_ended(self, now: int, server: Server, success: bool) -> None:
+        """A health check of a server ended."""
+        self._recover(now, self._zones.health_check_ended(server, success))
+
+    def _recover(self, now: int, zone: Zone | None) -> None:
+        if zone is None:
+            return
+        self._actions.append(PublishZoneVerdict(zone.name, ZoneVerdict.RECOVERED))
+        if zone.evacuated_at is None:
+            return  # checked on behalf of peers that have evacuated it
+        self._zones.recover(now, zone)
+        self._actions.append(LogEvent(f"zone {zone.name} is back, easing in", "zone_back", zone.name))
+        self._outliers.readmit_zone(now, zone.name)
--- a/tests/downstream/test_frontend.py
+++ b/tests/downstream/test_frontend.py
@@ -5,17 +5,17 @@
 import asyncio
 import contextlib
 import errno
-import inspect
 import socket
+from pathlib import Path
 from typing import get_args
 
 import pytest
 
 from helpers import settings
 from loopback import PATIENCE_S, answer, ask, is_closed, play, read_answer, request, until, world
+from sidecar_balancer import policy
 from sidecar_balancer.downstream import frontend
 from sidecar_balancer.downstream.frontend import ClientConnection, Frontend, Hooks
-from sidecar_balancer.policy import balancer
 from sidecar_balancer.policy.actions import Action, Reject
 from sidecar_balancer.policy.events import ClientDisconnected, Event, RequestReceived
 from sidecar_balancer.runtime.streams import LONGEST
@@ -253,9 +253,9 @@
 def test_every_action_that_the_module_knows_is_carried_out() -> None:
     async def scene() -> None:
         async with world() as w:
-            emitted = {
-                kind for kind in get_args(Action) if f"api.{kind.__name__}(" in inspect.getsource(balancer)
-            }
+            modules = Path(policy.__path__[0]).glob("*.py")
+            source = "".join(path.read_text() for path in modules if path.name != "actions.py")
+            emitted = {kind for kind in get_args(Action) if f"{kind.__name__}(" in source}
             assert len(emitted) > 5 and emitted <= set(w.sidecar._engine.executors)
 
     play(scene())
--- a/tests/policy/test_draw.py
+++ b/tests/policy/test_draw.py
@@ -64,7 +64,7 @@
     again = stage.request("pay")
     assert stage.target(again) in names(2)
     stage.wait(S)
-    assert stage.balancer._busy(stage.balancer.servers[hung]) <= 1
+    assert stage.balancer.servers[hung].load(stage.now) <= 1
 
 
 def _with_one_hung(stage: Stage, rounds: int) -> tuple[str, list[int]]:
@@ -274,7 +274,7 @@
     for request in list(stage.balancer.open_requests.values()):
         for attempt in request.attempts:
             if attempt.pending:
-                stage.end(request.ident, Outcome.CANCELLED, attempt.index, answered=True)
+                stage.end(request.request_id, Outcome.CANCELLED, attempt.index, answered=True)
     stage.wait(11 * S)  # what was given up on counts for as long again
     stage.serve(150)  # a small window takes some aims to grow
     refused = len(stage.said(Reject))
@@ -303,7 +303,7 @@
         [ListedServer(name, "east", nominal=0.5 if name == names(5)[0] else 1.0) for name in names(5)]
     )
     seen: list[float] = []
-    drawn = stage.balancer._drawn
+    drawn = stage.balancer.selector.draw
 
     def watch(pool: list[Server], odds: list[float], count: int) -> list[Server]:
         by_name = {each.name: chance for each, chance in zip(pool, odds, strict=True)}
@@ -311,7 +311,7 @@
         seen.append(slow / max(by_name.values()))
         return drawn(pool, odds, count)
 
-    monkeypatch.setattr(stage.balancer, "_drawn", watch)
+    monkeypatch.setattr(stage.balancer.selector, "draw", watch)
     for cost in (20 * MS, 20 * MS, 100 * MS):
         stage.end(stage.request(cost_us=cost))
     assert seen[2] < 0.5 * seen[0]
@@ -392,8 +392,8 @@
 def test_two_at_once_are_no_overload_for_a_small_balancer() -> None:
     stage = Stage()
     stage.servers(names(8))
-    stage.balancer._window = 1.0
-    stage.balancer._sized_at = stage.now
+    stage.balancer.concurrency_window.size = 1.0
+    stage.balancer.concurrency_window.sized_at = stage.now
     for _ in range(10):
         pair = (stage.request(), stage.request())
         stage.wait(50 * MS)
--- a/tests/runtime/test_close_range.py
+++ b/tests/runtime/test_close_range.py
@@ -819,9 +819,9 @@
                         each.address = places[name]
                 else:
                     await until(w.sent)
-                seen, balancer.actions = len(w.sent()), []
-                balancer._place(asked)  # a second copy, as once the first is overdue
-                w.sidecar._engine.execute(balancer.actions)
+                seen, earlier = len(w.sent()), len(balancer.actions)
+                balancer.placement.place(w.sidecar._engine.clock.now(), asked)  # a hedged request
+                w.sidecar._engine.execute(balancer.actions[earlier:])
                 await until(lambda: len(w.sent()) > seen)
                 name = asked.attempts[1].server.name
                 (there,) = [each for each in w.servers if each.name == name]
@@ -882,24 +882,25 @@
 ) -> None:
     async def scene() -> None:
         async with world(hung, hung, drained=True) as w:
-            real, failed = w.sidecar._engine.balancer._finish, list[int]()
+            requests, failed = w.sidecar._engine.balancer.requests, list[int]()
+            real = requests.finish
 
             def finish(given: Any) -> None:
                 if len(failed) == 1:
-                    failed.append(given.ident)
+                    failed.append(given.request_id)
                     raise ZeroDivisionError
-                failed.append(given.ident)
+                failed.append(given.request_id)
                 real(given)
 
             asking = [asyncio.create_task(w.ask(kind="pay", body=b"x", budget="1.0")) for _ in range(4)]
             await until(lambda: len(w.sent()) == 4)
-            monkeypatch.setattr(w.sidecar._engine.balancer, "_finish", finish)
+            monkeypatch.setattr(requests, "finish", finish)
             began = asyncio.get_running_loop().time()
             stall(2.0)  # all fall due in one event
             assert [(await each)[0] for each in asking] == [500] * 4
             assert asyncio.get_running_loop().time() - began < 2.2 and len(failed) >= 3
             assert is_over(w)()
-            monkeypatch.setattr(w.sidecar._engine.balancer, "_finish", real)
+            monkeypatch.setattr(requests, "finish", real)
 
     on_clock(scene())
 
@@ -909,15 +910,16 @@
 ) -> None:
     async def scene() -> None:
         async with world(hung, drained=True) as w:
-            real = w.sidecar._engine.balancer._timer_fired
+            timers = w.sidecar._engine.balancer.timers
+            real = timers.pop_due
 
-            def fails() -> None:
-                monkeypatch.setattr(w.sidecar._engine.balancer, "_timer_fired", real)
+            def fails(_: int) -> None:
+                monkeypatch.setattr(timers, "pop_due", real)
                 raise ZeroDivisionError
 
             await until(lambda: w.discovery.targets)
             heard = w.hear()
-            monkeypatch.setattr(w.sidecar._engine.balancer, "_timer_fired", fails)
+            monkeypatch.setattr(timers, "pop_due", fails)
             w.sidecar._engine.handle(TimerFired("agenda"))
             await asyncio.sleep(0.1)
             assert [type(each) for each in heard] == [TimerFired, TimerFired]
@@ -931,16 +933,17 @@
     async def scene() -> None:
         async with world(hung, drained=True) as w:
 
-            def fails(_: object) -> None:
+            def fails(_now: int, _request: object) -> None:
                 raise ZeroDivisionError
 
-            real = w.sidecar._engine.balancer._place
-            monkeypatch.setattr(w.sidecar._engine.balancer, "_place", fails)
+            placement = w.sidecar._engine.balancer.placement
+            real = placement.place
+            monkeypatch.setattr(placement, "place", fails)
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(request("pay", body=bytes(100_000))[:-1])  # its body is still coming: it has no time
             assert (await read_answer(reader))[0] == 500
             assert is_over(w)()
-            monkeypatch.setattr(w.sidecar._engine.balancer, "_place", real)
+            monkeypatch.setattr(placement, "place", real)
             writer.close()
 
     on_clock(scene())
@@ -951,13 +954,14 @@
 ) -> None:
     async def scene() -> None:
         async with world(hung, drained=True) as w:
-            real = w.sidecar._engine.balancer._keep_beat
+            timers = w.sidecar._engine.balancer.timers
+            real = timers.arm
 
-            def fails() -> None:
-                monkeypatch.setattr(w.sidecar._engine.balancer, "_keep_beat", real)
+            def fails(*_: object) -> None:
+                monkeypatch.setattr(timers, "arm", real)
                 raise ZeroDivisionError
 
-            monkeypatch.setattr(w.sidecar._engine.balancer, "_keep_beat", fails)
+            monkeypatch.setattr(timers, "arm", fails)
             assert (await w.ask())[0] == 500  # it was sent by then, and then given up
             await until(is_over(w))
             assert sum(each.in_flight for each in w.sidecar._engine.balancer.servers.values()) == 0
@@ -1130,7 +1134,8 @@
             w.sidecar._discovery._tell(None, silent=True)  # it is told in the next turn
             w.move_discovery(moved.address)
             await until(lambda: moved.targets)
-            assert w.sidecar._engine.balancer._failed_calls == w.sidecar._engine.balancer._silent_calls == 0
+            schedule = w.sidecar._engine.balancer.discovery
+            assert schedule.failed_calls == schedule.unanswered_watches == 0
             await moved.end()
 
     on_clock(scene())
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -238,7 +238,7 @@
         config = replace(config, orders=orders, mgmt=("127.0.0.1", 0))
     made = World(config, servers, discovery)
     running = asyncio.create_task(made.sidecar.run(made.stop))
-    await until(lambda: made.sidecar._engine.balancer._begun >= 0)
+    await until(lambda: made.sidecar._engine.balancer.is_started)
     try:
         yield made
         if drained:
@@ -256,7 +256,11 @@
     """Module, driver and sockets agree that all is over."""
     balancer, upstream = sidecar._engine.balancer, sidecar._upstream
     assert not sidecar.proxy.in_flight and not sidecar.proxy.by_call
-    assert not balancer.open_requests and balancer.pending_attempts == 0 and balancer._stuck == 0
+    assert (
+        not balancer.open_requests
+        and balancer.pending_attempts == 0
+        and balancer.load_tracker.pending_at_ejected == 0
+    )
     assert [each.in_flight for each in balancer.servers.values() if each.in_flight] == []
     assert upstream.open_count == 0 and sidecar.frontend.is_empty()
     assert (sidecar.frontend.budget.streams, sidecar.frontend.budget.held) == (0, 0)
