--- a/sidecar_balancer/__main__.py
+++ b/sidecar_balancer/__main__.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from sidecar_balancer.config.settings import Locality
+from sidecar_balancer.config.settings import read_locality
 from sidecar_balancer.config.sidecar import Config, StateConfig
 from sidecar_balancer.config.wire_names import settings_from_wire
 from sidecar_balancer.discovery.endpoint_list import ListUpdate, parse_list
@@ -98,7 +98,7 @@
         "sockets": lambda: _limit(given.get("limits"), "sockets", _SOCKETS),
         "memory_mb": lambda: _limit(given.get("limits"), "memory_mb", _MEMORY_MB),
         "settings": lambda: settings_from_wire(given.get("settings")),
-        "locality": lambda: Locality.from_mapping(given.get("locality")),
+        "locality": lambda: read_locality(given.get("locality")),
         "known": lambda: ListUpdate(0, True, []) if known is None else parse_list(known),
         "orders": lambda: Path(environ.get("TMPDIR") or tempfile.gettempdir()),
         "mgmt": lambda: _address(mgmt, "mgmt") if mgmt is not None else None,
--- a/sidecar_balancer/config/wire_names.py
+++ b/sidecar_balancer/config/wire_names.py
@@ -8,8 +8,9 @@
 from collections.abc import Mapping
 from typing import Any
 
-from sidecar_balancer.config.settings import Settings
+from sidecar_balancer.config.settings import read_settings
 from sidecar_balancer.config.values import ConfigurationError
+from sidecar_balancer.policy.settings import Settings
 
 # Their name -> the name in Settings; keys without an entry are ignored.
 _TOP_LEVEL_NAMES = {
@@ -94,7 +95,7 @@
     domain = given.get("domain")
     if isinstance(domain, Mapping):
         named["warm_keys"] = domain.get("warmKeys")
-    return Settings.from_mapping(named)
+    return read_settings(named)
 
 
 def _renamed(given: Mapping[str, Any], names: Mapping[str, str]) -> dict[str, Any]:
--- a/sidecar_balancer/downstream/frontend.py
+++ b/sidecar_balancer/downstream/frontend.py
@@ -13,7 +13,7 @@
 
 import h11
 
-from sidecar_balancer.config.settings import Idempotency, Settings
+from sidecar_balancer.policy.settings import Idempotency, Settings
 from sidecar_balancer.runtime.queueing import BacklogAge, PollTimes, since_last_data_s
 from sidecar_balancer.runtime.streams import (
     EVENTS_AT_ONCE,
--- a/sidecar_balancer/policy/balancer.py
+++ b/sidecar_balancer/policy/balancer.py
@@ -16,7 +16,6 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from sidecar_balancer.config.settings import DiscoveryMode, Idempotency, ServiceClass, Settings
 from sidecar_balancer.policy.actions import (
     Action,
     ApplyDisabledServers,
@@ -54,6 +53,7 @@
 )
 from sidecar_balancer.policy.locality import Zone, Zones
 from sidecar_balancer.policy.rates import Rate
+from sidecar_balancer.policy.settings import DiscoveryMode, Idempotency, ServiceClass, Settings
 from sidecar_balancer.policy.types import ListKind, Outcome, ServerState, ServerVerdict, ZoneVerdict
 
 DRAWN = 4  # k: counts are mostly small here, where two looks find too little
--- a/sidecar_balancer/policy/locality.py
+++ b/sidecar_balancer/policy/locality.py
@@ -10,9 +10,9 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from sidecar_balancer.config.settings import Locality
 from sidecar_balancer.policy.endpoint import Server
 from sidecar_balancer.policy.rates import Rate
+from sidecar_balancer.policy.settings import Locality
 from sidecar_balancer.policy.types import ZoneOverride
 
 HEALTH_AIMS = 1.0  # what a zone answers and fails is counted over this many of the longest aim
--- a/sidecar_balancer/runtime/engine.py
+++ b/sidecar_balancer/runtime/engine.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable, Iterator, Sequence
 from typing import Any
 
-from sidecar_balancer.config.settings import Settings
 from sidecar_balancer.policy.actions import Action, SetTimer
 from sidecar_balancer.policy.balancer import Balancer
 from sidecar_balancer.policy.events import Event, TimerFired
+from sidecar_balancer.policy.settings import Settings
 from sidecar_balancer.runtime.clock import Clock
 from sidecar_balancer.runtime.timers import Timers
 
--- a/sidecar_balancer/runtime/proxy.py
+++ b/sidecar_balancer/runtime/proxy.py
@@ -14,7 +14,6 @@
 
 import h11
 
-from sidecar_balancer.config.settings import ReportSource, Settings
 from sidecar_balancer.downstream.frontend import Call
 from sidecar_balancer.policy.actions import CancelAttempt, Fail, HealthCheck, Reject, SendAttempt
 from sidecar_balancer.policy.events import (
@@ -25,6 +24,7 @@
     RequestReceived,
     ResponseStarted,
 )
+from sidecar_balancer.policy.settings import ReportSource, Settings
 from sidecar_balancer.policy.types import Outcome
 from sidecar_balancer.runtime.engine import Engine
 from sidecar_balancer.runtime.streams import Sink, Source
--- a/sidecar_balancer/runtime/sidecar.py
+++ b/sidecar_balancer/runtime/sidecar.py
@@ -13,7 +13,6 @@
 from sidecar_balancer.admin.overrides import Orders
 from sidecar_balancer.admin.server import Door
 from sidecar_balancer.admin.views import asked_per_s, state_line
-from sidecar_balancer.config.settings import DiscoveryMode, Settings
 from sidecar_balancer.config.sidecar import Config
 from sidecar_balancer.discovery.client import Discovery
 from sidecar_balancer.discovery.endpoint_list import EndpointList, ListUpdate, parse_list
@@ -27,6 +26,7 @@
     WatchEndpoints,
 )
 from sidecar_balancer.policy.events import EndpointListReceived
+from sidecar_balancer.policy.settings import DiscoveryMode, Settings
 from sidecar_balancer.policy.types import ListKind
 from sidecar_balancer.runtime.engine import Engine
 from sidecar_balancer.runtime.proxy import Proxy, by_status
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -9,15 +9,16 @@
 from hypothesis import settings as how
 from hypothesis import strategies as st
 
-from sidecar_balancer import Balancer, Settings
-from sidecar_balancer.config.settings import DiscoveryMode, Idempotency
+from sidecar_balancer import Balancer
+from sidecar_balancer.config.settings import read_settings
 from sidecar_balancer.policy.events import RequestReceived
+from sidecar_balancer.policy.settings import DiscoveryMode, Idempotency
 
 LEAST = {"classes": [{"name": "a", "deadline_us": 1_000_000}]}
 
 
 def test_absent_keys_get_the_cautious_default() -> None:
-    given = Settings.from_mapping(LEAST)
+    given = read_settings(LEAST)
     assert given.classes[0].idempotency is Idempotency.NON_IDEMPOTENT
     assert given.classes[0].latency_objective_us == 1_000_000
     assert given.discovery is DiscoveryMode.POLL
@@ -26,9 +27,7 @@
 
 
 def test_unknown_keys_are_skipped_and_null_counts_as_absent() -> None:
-    assert Settings.from_mapping(
-        {**LEAST, "news": 1, "limits": {"x": 2}, "rules": None}
-    ) == Settings.from_mapping(LEAST)
+    assert read_settings({**LEAST, "news": 1, "limits": {"x": 2}, "rules": None}) == read_settings(LEAST)
 
 
 @pytest.mark.parametrize(
@@ -53,7 +52,7 @@
 )
 def test_nonsense_is_named(given: dict[str, Any], key: str) -> None:
     with pytest.raises(ValueError) as complaint:
-        Settings.from_mapping(given)
+        read_settings(given)
     assert str(complaint.value).startswith(key + ":")
 
 
@@ -100,7 +99,7 @@
     kind: dict[str, Any], rest: dict[str, Any]
 ) -> None:
     try:
-        given = Settings.from_mapping({"classes": [{"name": "a", **kind}], "limits": rest, "rules": rest})
+        given = read_settings({"classes": [{"name": "a", **kind}], "limits": rest, "rules": rest})
     except ValueError:
         return
     balancer = Balancer(given, 1)
--- a/tests/policy/test_any_sequence.py
+++ b/tests/policy/test_any_sequence.py
@@ -11,7 +11,6 @@
 
 from helpers import KEYED, MS, SAFE, START, UNSAFE, S, names, settings
 from sidecar_balancer import Balancer
-from sidecar_balancer.config.settings import Idempotency
 from sidecar_balancer.policy.actions import (
     ApplyDisabledServers,
     CancelAttempt,
@@ -34,6 +33,7 @@
     ServerOverrideRequested,
     TimerFired,
 )
+from sidecar_balancer.policy.settings import Idempotency
 from sidecar_balancer.policy.types import ListKind, Outcome, ServerState
 
 SERVERS = names(7)
--- a/tests/policy/test_locality.py
+++ b/tests/policy/test_locality.py
@@ -9,7 +9,7 @@
 
 from helpers import MS, Stage, settings
 from helpers import S as SECOND
-from sidecar_balancer.config.settings import Locality
+from sidecar_balancer.config.settings import read_locality
 from sidecar_balancer.policy.actions import HealthCheck, PublishServerVerdict, PublishZoneVerdict
 from sidecar_balancer.policy.events import (
     HealthCheckEnded,
@@ -250,4 +250,4 @@
 )
 def test_a_bad_locality_is_named(bad: Any) -> None:
     with pytest.raises(ValueError, match="locality"):
-        Locality.from_mapping(bad)
+        read_locality(bad)
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -6,6 +6,7 @@
 from typing import Any, TypeVar
 
 from sidecar_balancer import Balancer, Settings
+from sidecar_balancer.config.settings import read_settings
 from sidecar_balancer.policy.actions import Action, SendAttempt, SetTimer
 from sidecar_balancer.policy.events import (
     AttemptEnded,
@@ -66,7 +67,7 @@
     }
     for key, value in changes.items():
         given[key] = {**given[key], **value} if isinstance(given.get(key), dict) else value
-    return Settings.from_mapping(given)
+    return read_settings(given)
 
 
 def names(count: int) -> list[str]:
