--- a/bench/logging_cost.py
+++ b/bench/logging_cost.py
@@ -21,7 +21,7 @@
 
 from earlier import ROOT, cpu_s, sources
 
-from sidecar_balancer.observability.logs import LogConfig, start_log
+from sidecar_balancer.observability.logs import LogConfig, configure_logging
 from world import Catalogue, world
 
 _log = logging.getLogger(__name__)
@@ -55,7 +55,7 @@
 
 def a_line(format: str, lines: int = 5000) -> float:
     """CPU us to render one line of the log, with all that is told of a request that ended badly."""
-    start_log(LogConfig(format=format, lines_per_s=100_000, repeats_per_s=100_000))
+    configure_logging(LogConfig(format=format, lines_per_s=100_000, repeats_per_s=100_000))
     handler = logging.getLogger().handlers[0]
     assert isinstance(handler, logging.StreamHandler)
     handler.setStream(io.StringIO())
--- a/bench/scale_edge.py
+++ b/bench/scale_edge.py
@@ -19,7 +19,7 @@
 from scale_fit import Series
 
 from helpers import settings
-from sidecar_balancer.config.sidecar import Config
+from sidecar_balancer.config.sidecar import SidecarConfig
 from sidecar_balancer.discovery.endpoint_list import ListUpdate, parse_list, read_list
 from sidecar_balancer.policy.types import ListKind
 from sidecar_balancer.runtime.sidecar import Sidecar
@@ -74,7 +74,7 @@
 
 async def _measure(size: int) -> Cost:
     nothing = ListUpdate(0, True, [])
-    config = Config(("127.0.0.1", 0), ("127.0.0.1", 1), 7, 256, settings(zone="zone-00"), nothing)
+    config = SidecarConfig(("127.0.0.1", 0), ("127.0.0.1", 1), 7, 256, settings(zone="zone-00"), nothing)
     sidecar = Sidecar(config)
     body = whole(size)
     gc.collect()
--- a/sidecar_balancer/__main__.py
+++ b/sidecar_balancer/__main__.py
@@ -20,12 +20,12 @@
 from typing import TYPE_CHECKING, Any
 
 from sidecar_balancer.config.settings import Locality
-from sidecar_balancer.config.sidecar import Config, StateConfig
+from sidecar_balancer.config.sidecar import SidecarConfig, StateConfig
 from sidecar_balancer.config.wire_names import settings_from_wire
 from sidecar_balancer.discovery.endpoint_list import ListUpdate, parse_list
 from sidecar_balancer.discovery.sources import RelayAddress
 from sidecar_balancer.downstream import frontend
-from sidecar_balancer.observability.logs import Flood, LogConfig, start_log
+from sidecar_balancer.observability.logs import LogConfig, LogRateLimiter, configure_logging
 from sidecar_balancer.runtime.queueing import TimedLoop
 from sidecar_balancer.runtime.sidecar import Sidecar
 from sidecar_balancer.upstream.connection import parse_address
@@ -43,7 +43,7 @@
 _REJECTED_LINES = 10  # a second, for what is not a proper request
 
 
-def read_config(environ: Mapping[str, str]) -> Config:
+def read_config(environ: Mapping[str, str]) -> SidecarConfig:
     """Read what the sidecar is told; raise ValueError or OSError, saying what is wrong."""
     given = _given(environ)
     parts = {name: read() for name, read in _readers(given, environ).items()}
@@ -118,9 +118,23 @@
     }
 
 
-def _config(parts: dict[str, Any]) -> Config:
+def _config(parts: dict[str, Any]) -> SidecarConfig:
     settings = replace(parts.pop("settings"), locality=parts.pop("locality"))
-    return Config(settings=settings, **parts)
+    fields = {_FIELDS.get(key, key): value for key, value in parts.items()}
+    return SidecarConfig(settings=settings, **fields)
+
+
+_FIELDS = {
+    "sockets": "max_sockets",
+    "known": "initial_endpoints",
+    "orders": "overrides_folder",
+    "mgmt": "admin_address",
+    "accept_fd": "inherited_listener_fd",
+    "peer_listen": "membership_address",
+    "peers": "member_addresses",
+    "peer_plane": "membership",
+    "duties": "leases",
+}
 
 
 _PLATFORM_KEYS = set(
@@ -193,7 +207,11 @@
     memory_mb = _limit(given.get("limits"), "memory_mb", _MEMORY_MB)
     most = memory_mb * 1024 * 1024 // _STATE_PART
     shared = Path(tier) if tier is not None else None
-    return StateConfig(Path(folder), most, shared, **times) if value.get("on", False) is True else None
+    return (
+        StateConfig(Path(folder), most, shared, times.get("every_ms", 1000), times.get("warm_ms", 500))
+        if value.get("on", False) is True
+        else None
+    )
 
 
 def _relays(value: Any) -> tuple[RelayAddress, ...]:
@@ -242,13 +260,13 @@
     return int(value)
 
 
-async def serve(config: Config, flood: Flood) -> None:
+async def serve(config: SidecarConfig, limiter: LogRateLimiter) -> None:
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for each in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(each, stop.set)  # before clients can connect: none is left without an answer
     sidecar = Sidecar(config)
-    sidecar.operations.flood = flood
+    sidecar.operations.log_rate_limiter = limiter
     loop.add_signal_handler(signal.SIGHUP, reload, sidecar)
     await sidecar.run(stop)
 
@@ -272,12 +290,12 @@
     except (OSError, ValueError, RecursionError) as bad:
         print(f"bad configuration: {bad}".replace("\n", " "), file=sys.stderr)
         return 2
-    flood = start_log(config.logging)
-    frontend.log.addFilter(Flood(_REJECTED_LINES, _REJECTED_LINES))
+    limiter = configure_logging(config.logging)
+    frontend.log.addFilter(LogRateLimiter(_REJECTED_LINES, _REJECTED_LINES))
     gc.freeze()  # what is loaded by now stays; collections look at requests alone
     try:
         with asyncio.Runner(loop_factory=TimedLoop) as runner:
-            runner.run(serve(config, flood))
+            runner.run(serve(config, limiter))
     except OSError as fault:
         print(f"can't serve: {fault}", file=sys.stderr)
         return 1
--- a/sidecar_balancer/admin/handlers.py
+++ b/sidecar_balancer/admin/handlers.py
@@ -11,9 +11,9 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from sidecar_balancer.admin.overrides import Orders
-from sidecar_balancer.admin.server import Declined, Operation
-from sidecar_balancer.admin.views import servers_view, state_line, zones_view
+from sidecar_balancer.admin.overrides import OperatorOverrides
+from sidecar_balancer.admin.server import Operation, RequestRejectedError
+from sidecar_balancer.admin.views import servers_view, state_summary, zones_view
 from sidecar_balancer.discovery.client import Discovery
 from sidecar_balancer.downstream.frontend import Frontend
 from sidecar_balancer.policy.actions import ApplyDisabledServers
@@ -29,15 +29,15 @@
 
 if TYPE_CHECKING:
     from sidecar_balancer.membership.bridge import PeerLink
-    from sidecar_balancer.observability.latency import Latencies
-    from sidecar_balancer.observability.logs import Flood
+    from sidecar_balancer.observability.latency import LatencyHistograms
+    from sidecar_balancer.observability.logs import LogRateLimiter
 
 log = logging.getLogger(__name__)
 
 EVACUATION_KEPT_S = 0.4  # where others take the clients, how long resting connections may end by an answer
 
 
-class Operations:
+class AdminHandlers:
     """Carries out the operators' calls, and follows the orders that are stored."""
 
     def __init__(
@@ -47,30 +47,30 @@
         frontend: Frontend,
         connections: Upstream,
         discovery: Discovery,
-        orders: Orders,
+        overrides: OperatorOverrides,
         link: PeerLink | None,
-        latencies: Latencies | None,
+        latencies: LatencyHistograms | None,
     ) -> None:
         self._engine = engine
         self._proxy = proxy
         self._frontend = frontend
         self._upstream = connections
         self._discovery = discovery
-        self._orders = orders
+        self._overrides = overrides
         self._link = link
         self._latencies = latencies
-        self.flood: Flood | None = None  # what bounds the log
-        self.takes_clients = False
-        self.is_stopping = False
-        self.ordered: frozenset[str] = frozenset()  # exclusions in this sidecar's own orders
+        self.log_rate_limiter: LogRateLimiter | None = None  # what bounds the log
+        self.accepts_clients = False
+        self.is_shutting_down = False
+        self.disabled_servers: frozenset[str] = frozenset()  # exclusions in this sidecar's own orders
         self._excluded: frozenset[str] = frozenset()  # servers left out, as the balancer last said
-        self._orders_fault = False
+        self._overrides_fault = False
         self._knows_server = False  # whether the balancer took the call that it was last asked about
         self._evacuated = False
         self._zone_orders: dict[str, ZoneOverride] = {}
         engine.executors[ApplyDisabledServers] = self._exclude
 
-    def calls(self) -> dict[str, tuple[str, Operation]]:
+    def routes(self) -> dict[str, tuple[str, Operation]]:
         """The door's calls by name: method and operation."""
         return {
             "ready": ("GET", self._tell_ready),
@@ -84,41 +84,42 @@
             "free-zone/": ("PUT", partial(self._order_zone, order=None)),
             "exclude/": ("PUT", partial(self._ask_exclusion, excluded=True)),
             "include/": ("PUT", partial(self._ask_exclusion, excluded=False)),
-            "evacuate": ("PUT", lambda _: self._order(self._orders.evacuate)),
-            "rejoin": ("PUT", lambda _: self._order(self._orders.rejoin)),
+            "evacuate": ("PUT", lambda _: self._order(self._overrides.start_drain)),
+            "rejoin": ("PUT", lambda _: self._order(self._overrides.end_drain)),
         }
 
     # -- What they are told -------------------------------------------------------------------------------
 
     def _tell_ready(self, _: str) -> None:
-        if not self.takes_clients:
-            raise Declined(503, "this process takes no clients")
+        if not self.accepts_clients:
+            raise RequestRejectedError(503, "this process takes no clients")
 
     def _tell_members(self, _: str) -> str:
         if self._link is None:
-            raise Declined(404, "the peer plane is off")
+            raise RequestRejectedError(404, "the peer plane is off")
         return json.dumps(self._link.describe() | {"excluded": sorted(self._excluded)})
 
     def _tell_status(self, _: str) -> str:
         """The whole of this sidecar at a glance; latencies in ms."""
+        limiter = self.log_rate_limiter
         told = {
-            "ready": self.takes_clients and not self._frontend.draining,
+            "ready": self.accepts_clients and not self._frontend.draining,
             "held": len(self._proxy.by_call),
             "clients": len(self._frontend.connections),
             "connections_to_servers": self._upstream.open_count,
             "answered": by_status(self._proxy.answers),
-            "state": state_line(self._engine.balancer),
+            "state": state_summary(self._engine.balancer),
             "discovery": asdict(self._discovery.status()),
             "cpu_s": round(time.process_time(), 3),
-            "log_lines_suppressed": self.flood.suppressed if self.flood is not None else 0,
-            "latency_ms": self._latencies.classes() if self._latencies is not None else {},
+            "log_lines_suppressed": limiter.suppressed if limiter is not None else 0,
+            "latency_ms": self._latencies.by_class() if self._latencies is not None else {},
         }
         return json.dumps(told)
 
     def _tell_servers(self, _: str) -> str:
         told = servers_view(self._engine.balancer, self._engine.clock.now())
         for name, server in told.items():
-            server["latency_ms"] = self._latencies.server(name) if self._latencies is not None else None
+            server["latency_ms"] = self._latencies.for_server(name) if self._latencies is not None else None
         return json.dumps(told)
 
     def _tell_zones(self, _: str) -> str:
@@ -127,7 +128,7 @@
     def _tell_duties(self, _: str) -> str:
         told = self._link.duties() if self._link is not None else None
         if told is None:
-            raise Declined(404, "there are no duties: the peer plane or its leases are off")
+            raise RequestRejectedError(404, "there are no duties: the peer plane or its leases are off")
         return json.dumps(told)
 
     # -- What they order ----------------------------------------------------------------------------------
@@ -135,47 +136,47 @@
     def _order_zone(self, zone: str, order: ZoneOverride | None) -> None:
         zones = self._engine.balancer.zones
         if not zones.on:
-            raise Declined(404, "zones are off")
+            raise RequestRejectedError(404, "zones are off")
         if zone not in zones.by_name:
-            raise Declined(404, "no such zone is listed")
+            raise RequestRejectedError(404, "no such zone is listed")
         with _storing():
-            self._orders.order_zone(zone, order.value if order is not None else None)
-        self.read_orders()
+            self._overrides.set_zone_override(zone, order.value if order is not None else None)
+        self.apply_stored_overrides()
 
     def _ask_exclusion(self, server: str, excluded: bool) -> None:
         """Yes once the order is stored and in force; where it can't be stored, nothing has changed."""
         with _storing():
-            (self._orders.exclude if excluded else self._orders.include)(server)
+            (self._overrides.disable_server if excluded else self._overrides.enable_server)(server)
         self._knows_server = False
         self._engine.handle(ServerOverrideRequested(server, excluded))
         if not self._knows_server:
             with _storing():
-                self._orders.include(server)
-            raise Declined(404, "no such server was ever listed")
+                self._overrides.enable_server(server)
+            raise RequestRejectedError(404, "no such server was ever listed")
 
     def _order(self, store: Callable[[], None]) -> None:
         with _storing():
             store()
-        self.read_orders()
+        self.apply_stored_overrides()
 
     # -- The orders in force ------------------------------------------------------------------------------
 
-    def read_orders(self) -> None:
+    def apply_stored_overrides(self) -> None:
         """Follow what is stored; of two processes in an upgrade either may have been told."""
         try:
-            excluded, evacuated = self._orders.read()
+            excluded, evacuated = self._overrides.load()
         except OSError as fault:
-            if not self._orders_fault:
+            if not self._overrides_fault:
                 log.error("the operators' orders can't be read, what is in force stays: %s", fault)
-            self._orders_fault = True
+            self._overrides_fault = True
             return
-        self._orders_fault = False
-        changed, self.ordered = excluded != self.ordered, excluded
+        self._overrides_fault = False
+        changed, self.disabled_servers = excluded != self.disabled_servers, excluded
         if changed and self._link is not None:
             self._link.ban(excluded)
-        self.hear_exclusions()
+        self.apply_disabled_servers()
         self._hear_zone_orders()
-        if evacuated == self._evacuated or self.is_stopping:
+        if evacuated == self._evacuated or self.is_shutting_down:
             return
         self._evacuated = evacuated
         log.info("evacuated" if evacuated else "back at work")
@@ -184,9 +185,9 @@
         else:
             self._frontend.undrain()
 
-    def hear_exclusions(self) -> None:
+    def apply_disabled_servers(self) -> None:
         """The module hears this sidecar's own orders and the bans that the plane holds for the tier."""
-        wanted = self.ordered | (self._link.bans() if self._link is not None else frozenset())
+        wanted = self.disabled_servers | (self._link.bans() if self._link is not None else frozenset())
         if wanted != self._excluded:
             self._engine.handle(DisabledServersChanged(wanted))
 
@@ -194,7 +195,7 @@
         if not self._engine.balancer.zones.on:
             return
         try:
-            stored = self._orders.zones()
+            stored = self._overrides.zone_overrides()
         except OSError:
             return  # the orders' own reading has said so
         known = {each.value: each for each in ZoneOverride}
@@ -217,4 +218,4 @@
     try:
         yield
     except OSError as fault:
-        raise Declined(500, f"the order could not be stored: {fault}") from None
+        raise RequestRejectedError(500, f"the order could not be stored: {fault}") from None
--- a/sidecar_balancer/admin/overrides.py
+++ b/sidecar_balancer/admin/overrides.py
@@ -13,7 +13,7 @@
 from urllib.parse import quote, unquote
 
 
-class Orders:
+class OperatorOverrides:
     """The folder of orders.  All may raise OSError: then nothing has changed."""
 
     def __init__(self, folder: Path) -> None:
@@ -21,7 +21,7 @@
         self._evacuated = folder / "evacuated"
         self._zones = folder / "zones"
 
-    def read(self) -> tuple[frozenset[str], bool]:
+    def load(self) -> tuple[frozenset[str], bool]:
         """The servers left out, and whether the sidecar is to be empty."""
         try:
             names = os.listdir(self._excluded)
@@ -30,15 +30,15 @@
         excluded = frozenset(unquote(name, errors="replace") for name in names)
         return excluded, self._evacuated.exists()
 
-    def exclude(self, server: str) -> None:
+    def disable_server(self, server: str) -> None:
         self._excluded.mkdir(exist_ok=True)
         (self._excluded / _file_name(server)).touch()
 
-    def include(self, server: str) -> None:
+    def enable_server(self, server: str) -> None:
         with contextlib.suppress(FileNotFoundError):
             (self._excluded / _file_name(server)).unlink()
 
-    def zones(self) -> dict[str, str]:
+    def zone_overrides(self) -> dict[str, str]:
         """What is ordered of zones, by name; a file `NAME=ORDER` each."""
         try:
             names = os.listdir(self._zones)
@@ -47,7 +47,7 @@
         pairs = (name.partition("=") for name in sorted(names))
         return {unquote(zone, errors="replace"): order for zone, _, order in pairs}
 
-    def order_zone(self, zone: str, order: str | None) -> None:
+    def set_zone_override(self, zone: str, order: str | None) -> None:
         """Order something of a zone, in place of any earlier order; None ends it."""
         self._zones.mkdir(exist_ok=True)
         kept = f"{_file_name(zone)}={order}" if order is not None else ""
@@ -58,10 +58,10 @@
                 with contextlib.suppress(FileNotFoundError):
                     (self._zones / name).unlink()
 
-    def evacuate(self) -> None:
+    def start_drain(self) -> None:
         self._evacuated.touch()
 
-    def rejoin(self) -> None:
+    def end_drain(self) -> None:
         self._evacuated.unlink(missing_ok=True)
 
 
--- a/sidecar_balancer/admin/server.py
+++ b/sidecar_balancer/admin/server.py
@@ -28,7 +28,7 @@
 _PATH = "/api/"
 
 
-class Declined(Exception):
+class RequestRejectedError(Exception):
     """The answer to a call is no; the status tells what kind of no."""
 
     def __init__(self, status: int, why: str) -> None:
@@ -37,11 +37,11 @@
 
 
 Operation = Callable[[str], str | None]
-"""What a call does with the id in its path, empty where the call has none; raises Declined for a no.
-What it gives back is the answer's body; None: "yes"."""
+"""What a call does with the id in its path, empty where the call has none;
+raises RequestRejectedError for a no.  What it gives back is the answer's body; None: "yes"."""
 
 
-class Door:
+class AdminServer:
     """Listens for the operators.  `operations` gives method and operation by the call's name; those whose
     name ends in a slash take an id."""
 
@@ -85,9 +85,9 @@
             name, ident = self._named(target)
             needed, operation = self._operations[name]
             if method != needed:
-                raise Declined(405, f"{needed} is needed")
+                raise RequestRejectedError(405, f"{needed} is needed")
             said = operation(ident)
-        except Declined as no:
+        except RequestRejectedError as no:
             if method != "GET":  # who waits for a start asks many times a second
                 log.info("operators: %s %.100s: no, %s", method, target, no, extra={"event": "operators_no"})
             return no.status, str(no)
@@ -102,7 +102,7 @@
         path = target.partition("?")[0]
         name, slash, ident = path.removeprefix(_PATH).partition("/")
         if not path.startswith(_PATH) or name + slash not in self._operations or (slash and not ident):
-            raise Declined(404, "no such call")
+            raise RequestRejectedError(404, "no such call")
         return name + slash, unquote(ident)
 
 
@@ -144,7 +144,7 @@
             self._read_events()
         except h11.RemoteProtocolError as bad:
             self._answer(400, str(bad))
-        except Declined as no:
+        except RequestRejectedError as no:
             self._answer(no.status, str(no))
 
     def _read_events(self) -> None:
@@ -157,7 +157,7 @@
             elif isinstance(event, h11.Data):
                 self._body += len(event.data)
                 if self._body > _BODY_MOST:
-                    raise Declined(413, "the body is too large")
+                    raise RequestRejectedError(413, "the body is too large")
             elif isinstance(event, h11.EndOfMessage):
                 assert self._head is not None
                 self._answer(*self._call(self._head))
--- a/sidecar_balancer/admin/views.py
+++ b/sidecar_balancer/admin/views.py
@@ -31,7 +31,7 @@
     }
 
 
-def state_line(balancer: Balancer) -> str:
+def state_summary(balancer: Balancer) -> str:
     """The state behind refusals, for the operators' log."""
     ready = balancer.ready
     return (
@@ -41,7 +41,7 @@
     )
 
 
-def asked_per_s(balancer: Balancer, now: int) -> dict[str, float]:
+def request_rates_per_s(balancer: Balancer, now: int) -> dict[str, float]:
     """What the balancer was asked of late by tenant, requests a second: for the others of the tier."""
     asked = Counter[str]()
     for (_, tenant), rate in balancer.mix.items():
--- a/sidecar_balancer/config/sidecar.py
+++ b/sidecar_balancer/config/sidecar.py
@@ -22,36 +22,36 @@
     """What is kept across a crash, and where (docs/recovery.md)."""
 
     folder: Path
-    most_bytes: int
+    max_bytes: int
     tier_folder: Path | None = None  # one that all sidecars of the tier see, for the tier's snapshot
-    every_ms: int = 1000
-    warm_ms: int = 500  # how long a start with nothing kept waits for its peers' state
+    interval_ms: int = 1000
+    warm_start_timeout_ms: int = 500  # how long a start with nothing kept waits for its peers' state
 
 
 @dataclass(frozen=True, slots=True)
-class Config:
+class SidecarConfig:
     """All that a sidecar is told."""
 
     listen: Address
     discovery: Address
     seed: int
-    sockets: int
+    max_sockets: int
     settings: Settings
-    known: ListUpdate
+    initial_endpoints: ListUpdate
     memory_mb: int = 64
-    orders: Path = Path()  # a folder that outlasts this process
-    mgmt: Address | None = None  # where the operators call; None: nowhere
-    accept_fd: int | None = None  # the listening socket, where the platform holds it
-    peer_listen: Address | None = None  # where peers' datagrams come in
-    peers: tuple[Address, ...] = ()  # the tier's, this one's own included, by number
-    peer_plane: Tuning | None = None  # None: the peer plane is off
+    overrides_folder: Path = Path()  # a folder that outlasts this process
+    admin_address: Address | None = None  # where the operators call; None: nowhere
+    inherited_listener_fd: int | None = None  # the listening socket, where the platform holds it
+    membership_address: Address | None = None  # where peers' datagrams come in
+    member_addresses: tuple[Address, ...] = ()  # the tier's, this one's own included, by number
+    membership: Tuning | None = None  # None: the peer plane is off
     logging: LogConfig = field(default_factory=LogConfig)
     state: StateConfig | None = None  # None: nothing is kept across a crash but the orders
-    duties: Terms | None = None  # of the leases of the tier's duties; None: there are none
+    leases: Terms | None = None  # of the leases of the tier's duties; None: there are none
     identity: str = ""  # this sidecar's name, by which it spreads over the relays
     relays: tuple[RelayAddress, ...] = ()  # asked in place of discovery, where there are any
 
-    def sources(self) -> list[Address]:
+    def discovery_addresses(self) -> list[Address]:
         """Where the list of servers is asked for, in order of preference."""
         if not self.relays:
             return [self.discovery]
--- a/sidecar_balancer/observability/latency.py
+++ b/sidecar_balancer/observability/latency.py
@@ -17,14 +17,14 @@
 QUANTILES = {"p50": 50.0, "p90": 90.0, "p99": 99.0, "p999": 99.9}
 
 
-class Latencies:
+class LatencyHistograms:
     """`answered` takes a client's whole wait, by class; `served` what a server took."""
 
     def __init__(self) -> None:
         self._classes: dict[str, Any] = {}
         self._servers: OrderedDict[str, Any] = OrderedDict()
 
-    def answered(self, name: str, took_us: int) -> None:
+    def record_response(self, name: str, took_us: int) -> None:
         histogram = self._classes.get(name)
         if histogram is None:
             if len(self._classes) >= CLASSES_MOST:
@@ -32,7 +32,7 @@
             histogram = self._classes[name] = HdrHistogram(LOWEST_US, HIGHEST_US, 2)
         histogram.record_value(min(max(took_us, LOWEST_US), HIGHEST_US))
 
-    def served(self, server: str, took_us: int) -> None:
+    def record_attempt(self, server: str, took_us: int) -> None:
         histogram = self._servers.get(server)
         if histogram is None:
             histogram = self._servers[server] = HdrHistogram(LOWEST_US, HIGHEST_US, 1)
@@ -42,11 +42,11 @@
             self._servers.move_to_end(server)
         histogram.record_value(min(max(took_us, LOWEST_US), HIGHEST_US))
 
-    def classes(self) -> dict[str, dict[str, float]]:
+    def by_class(self) -> dict[str, dict[str, float]]:
         """By class: `count`, and p50, p90, p99, p999 in ms."""
         return {name: _told(histogram) for name, histogram in sorted(self._classes.items())}
 
-    def server(self, name: str) -> dict[str, float] | None:
+    def for_server(self, name: str) -> dict[str, float] | None:
         histogram = self._servers.get(name)
         return None if histogram is None else _told(histogram)
 
--- a/sidecar_balancer/observability/logs.py
+++ b/sidecar_balancer/observability/logs.py
@@ -44,7 +44,7 @@
         return LogConfig(**given)
 
 
-class Flood(logging.Filter):
+class LogRateLimiter(logging.Filter):
     """Lets through so many lines a second, and so many of one event; tells later how many it kept back.
 
     Guards against junk from outside that would fill the log, and against a day on which all goes wrong.
@@ -124,12 +124,12 @@
 _EXTRAS = ("request", "class", "server", "zone", "status", "took_ms", "attempts", "answered", "suppressed")
 
 
-def start_log(config: LogConfig) -> Flood:
+def configure_logging(config: LogConfig) -> LogRateLimiter:
     """Write the log to standard error as `config` says; give the filter that counts what is kept back."""
     plain = config.format == "plain" or (not config.format and sys.stderr.isatty())
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(_Plain("%(asctime)s %(name)s %(message)s") if plain else _json())
-    flood = Flood(config.lines_per_s, config.repeats_per_s)
-    handler.addFilter(flood)
+    limiter = LogRateLimiter(config.lines_per_s, config.repeats_per_s)
+    handler.addFilter(limiter)
     logging.basicConfig(level=config.level.upper(), handlers=[handler], force=True)
-    return flood
+    return limiter
--- a/sidecar_balancer/persistence/persister.py
+++ b/sidecar_balancer/persistence/persister.py
@@ -43,31 +43,31 @@
 
 
 @dataclass(slots=True)
-class Kept:
+class RestoredState:
     """What was on disk."""
 
-    recalled: StateRestored = field(default_factory=StateRestored)
-    listed: tuple[str, dict[str, Any]] | None = None  # discovery's address, and its list
-    plane: tuple[int, int] | None = None
+    learned: StateRestored = field(default_factory=StateRestored)
+    endpoint_list: tuple[str, dict[str, Any]] | None = None  # discovery's address, and its list
+    membership: tuple[int, int] | None = None
     members: dict[int, tuple[Status, int]] = field(default_factory=dict)
     verdicts: list[VerdictUpdate] = field(default_factory=list)
-    epochs: dict[int, int] = field(default_factory=dict)
+    lease_epochs: dict[int, int] = field(default_factory=dict)
 
 
-class Keeper:
+class StatePersister:
     """Gathers into `store` and reads back; a disk that fails is logged once, and serving goes on."""
 
     def __init__(self, store: Store, tier_folder: Path | None = None) -> None:
         self.store, self._tier = store, tier_folder
         self._fault = self._tier_fault = False
 
-    def open(self) -> Kept:
+    def restore(self) -> RestoredState:
         """Read what an earlier life left; whatever is wrong with it is one log line, never an error."""
         try:
             found = self.store.open()
         except OSError as fault:
             log.warning("the state can't be read, it starts cold: %s", fault)
-            return Kept()
+            return RestoredState()
         for note in found.notes:
             log.warning("state: %s", note)
         kept = _read(found.records)
@@ -76,12 +76,12 @@
             "state: life %d, %d records, %d servers and %d verdicts recalled",
             self.store.life,
             len(found.records),
-            len(kept.recalled.servers),
+            len(kept.learned.servers),
             len(kept.verdicts),
         )
         return kept
 
-    def _read_tier(self, kept: Kept) -> None:
+    def _read_tier(self, kept: RestoredState) -> None:
         """The tier's snapshot: its token always, what it knows where this sidecar kept nothing."""
         if self._tier is None:
             return
@@ -92,13 +92,13 @@
             return
         for note in notes:
             log.warning("state: %s", note)
-        kept.epochs[SNAPSHOT] = max(kept.epochs.get(SNAPSHOT, 0), token)
-        if not kept.recalled.servers:
+        kept.lease_epochs[SNAPSHOT] = max(kept.lease_epochs.get(SNAPSHOT, 0), token)
+        if not kept.learned.servers:
             shared = _read(records)
-            kept.recalled, kept.verdicts = shared.recalled, kept.verdicts or shared.verdicts
-            log.info("the tier's snapshot: token %d, %d servers", token, len(shared.recalled.servers))
+            kept.learned, kept.verdicts = shared.learned, kept.verdicts or shared.verdicts
+            log.info("the tier's snapshot: token %d, %d servers", token, len(shared.learned.servers))
 
-    def keep_for_tier(self, plane: PeerPlane) -> None:
+    def persist_tier_snapshot(self, plane: PeerPlane) -> None:
         """Write the tier's snapshot where this sidecar holds that duty."""
         token = plane.holds(SNAPSHOT)
         if self._tier is None or not token or not plane.act(SNAPSHOT, "", WROTE):
@@ -113,7 +113,7 @@
                 log.error("the tier's snapshot can't be written: %s", fault)
             self._tier_fault = True
 
-    def keep(
+    def persist(
         self, balancer: Balancer, now: int, plane: PeerPlane | None, listed: tuple[str, str] | None
     ) -> None:
         """Gather all that is to be kept and write what changed.
@@ -137,7 +137,7 @@
                 log.error("the state can't be written, it serves on: %s", fault)
             self._fault = True
         if plane is not None:
-            self.keep_for_tier(plane)
+            self.persist_tier_snapshot(plane)
 
 
 def _records(balancer: Balancer, now: int, plane: PeerPlane | None) -> Iterator[tuple[str, bytes]]:
@@ -168,8 +168,8 @@
             yield key, msgpack.packb(codec.flat(replace(update, ttl_ms=left)))
 
 
-def _read(records: dict[str, bytes]) -> Kept:
-    kept, servers = Kept(), dict[str, LearnedServer]()
+def _read(records: dict[str, bytes]) -> RestoredState:
+    kept, servers = RestoredState(), dict[str, LearnedServer]()
     usual: dict[tuple[str, int], float] = {}
     bearable = 0.0
     for key, value in records.items():
@@ -183,9 +183,9 @@
             elif kind == "bearable":
                 bearable = max(float(given), 0.0)
             elif kind == "list":
-                kept.listed = (str(given[0]), json.loads(given[1]))
+                kept.endpoint_list = (str(given[0]), json.loads(given[1]))
             elif kind == "plane":
-                kept.plane = _pair(given)
+                kept.membership = _pair(given)
             elif kind == "member":
                 status, incarnation = _pair(given)
                 kept.members[int(rest)] = (Status(status), incarnation)
@@ -193,10 +193,10 @@
                 update = codec.update_from(given)
                 kept.verdicts += [update] if isinstance(update, VerdictUpdate) else []
             elif kind == "lease":
-                kept.epochs[int(rest)] = int(given)
+                kept.lease_epochs[int(rest)] = int(given)
         except (ValueError, TypeError, IndexError, Malformed, msgpack.UnpackException):
             log.warning("state: record %.80s is not taken", key)
-    kept.recalled = StateRestored(servers, usual, bearable)
+    kept.learned = StateRestored(servers, usual, bearable)
     return kept
 
 
@@ -214,15 +214,15 @@
     return first, second
 
 
-def resume_plane(plane: PeerPlane, kept: Kept) -> None:
+def resume_membership(plane: PeerPlane, kept: RestoredState) -> None:
     """Let the plane go on from what an earlier life kept: a life after it, its members and verdicts."""
-    if kept.plane is not None:
+    if kept.membership is not None:
         held = [(each, each.ttl_ms) for each in kept.verdicts]
-        incarnation, counter = kept.plane
+        incarnation, counter = kept.membership
         plane.with_core(lambda swim, now: swim.resume(now, incarnation, counter, held))
         plane.with_core(lambda swim, now: swim.recall_members(now, kept.members))
     if plane.duties is not None:
-        for number, epoch in kept.epochs.items():
+        for number, epoch in kept.lease_epochs.items():
             if 0 <= number < len(plane.duties.leases.table):
                 table = plane.duties.leases.table
                 table[number].highest = max(table[number].highest, epoch)
--- a/sidecar_balancer/persistence/snapshot.py
+++ b/sidecar_balancer/persistence/snapshot.py
@@ -8,8 +8,8 @@
 
 `read` takes what is whole: a file cut short (a crash within a write) keeps the records before the first one
 that is short or fails its checksum, and says it was cut; a foreign magic, another version or a wrong trailer
-raises `Refused`, so that no wrong state is taken.  `write` is atomic: a temporary file, fsync, rename, fsync
-of the folder.  Records are opaque bytes; callers pack them (msgpack).
+raises `SnapshotError`, so that no wrong state is taken.  `write` is atomic: a temporary file, fsync,
+rename, fsync of the folder.  Records are opaque bytes; callers pack them (msgpack).
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 _TAIL = struct.Struct(">4sIQ")
 
 
-class Refused(ValueError):
+class SnapshotError(ValueError):
     """Not a snapshot of this version, or one whose whole does not check out."""
 
 
@@ -53,21 +53,21 @@
 
 
 def read(data: bytes) -> Read:
-    """Unpack a snapshot; raise `Refused` (see the module's doc)."""
+    """Unpack a snapshot; raise `SnapshotError` (see the module's doc)."""
     if len(data) < _HEAD.size:
         return Read([], False, 0)  # a write that had not begun
     magic, version = _HEAD.unpack_from(data)
     if magic != MAGIC:
-        raise Refused("not a snapshot")
+        raise SnapshotError("not a snapshot")
     if version != VERSION:
-        raise Refused(f"a snapshot of version {version}, not {VERSION}")
+        raise SnapshotError(f"a snapshot of version {version}, not {VERSION}")
     records: list[bytes] = []
     at = _HEAD.size
     while True:
         if data[at : at + len(TRAILER)] == TRAILER and len(data) - at == _TAIL.size:
             _, count, digest = _TAIL.unpack_from(data, at)
             if count != len(records) or digest != xxhash.xxh64_intdigest(data[:at]):
-                raise Refused("the trailer does not match the records")
+                raise SnapshotError("the trailer does not match the records")
             return Read(records, True, len(data))
         payload = _record(data, at, len(records))
         if payload is None:
@@ -103,12 +103,12 @@
 
 
 def load(path: Path, most: int) -> Read:
-    """Read `path` if it is there (an empty `Read` if not); raise `Refused`, or OSError, or for a file over
-    `most` bytes `Refused`: memory is bounded."""
+    """Read `path` if it is there (an empty `Read` if not); raise OSError, or `SnapshotError`, also for a file
+    over `most` bytes: memory is bounded."""
     try:
         size = path.stat().st_size
     except FileNotFoundError:
         return Read([], True, 0)
     if size > most:
-        raise Refused(f"{size} bytes, over {most}")
+        raise SnapshotError(f"{size} bytes, over {most}")
     return read(path.read_bytes())
--- a/sidecar_balancer/persistence/store.py
+++ b/sidecar_balancer/persistence/store.py
@@ -26,7 +26,7 @@
 import xxhash
 
 from sidecar_balancer.persistence import snapshot
-from sidecar_balancer.persistence.snapshot import Refused
+from sidecar_balancer.persistence.snapshot import SnapshotError
 
 LOG_MAGIC = b"WLLOG\x00\x00\x01"
 LOG_VERSION = 1
@@ -89,7 +89,7 @@
                 notes.append(f"{path.name} holds nothing")
                 return None
             generation, records = _unpacked(kept.records)
-        except (Refused, OSError) as bad:
+        except (SnapshotError, OSError) as bad:
             notes.append(f"{path.name} is not taken: {bad}")
             return None
         if not kept.whole:
@@ -102,11 +102,11 @@
         path = self._path(life, "log")
         try:
             if path.stat().st_size > 2 * self._most:
-                raise Refused(f"{path.stat().st_size} bytes")
+                raise SnapshotError(f"{path.stat().st_size} bytes")
             data = path.read_bytes()
         except FileNotFoundError:
             return
-        except (Refused, OSError) as bad:
+        except (SnapshotError, OSError) as bad:
             notes.append(f"{path.name} is not taken: {bad}")
             return
         if len(data) < _HEAD.size or _HEAD.unpack_from(data) != (LOG_MAGIC, LOG_VERSION, life, generation):
@@ -207,10 +207,10 @@
         _, generation = msgpack.unpackb(raw[0])
         records = dict(msgpack.unpackb(each) for each in raw[1:])
     except Exception as bad:
-        raise Refused(f"records that are none: {type(bad).__name__}") from None
+        raise SnapshotError(f"records that are none: {type(bad).__name__}") from None
     sound = all(isinstance(key, str) and isinstance(value, bytes) for key, value in records.items())
     if type(generation) is not int or not sound:
-        raise Refused("records that are none")
+        raise SnapshotError("records that are none")
     return generation, records
 
 
--- a/sidecar_balancer/persistence/tier_snapshot.py
+++ b/sidecar_balancer/persistence/tier_snapshot.py
@@ -15,7 +15,7 @@
 import msgpack  # type: ignore[import-untyped]
 
 from sidecar_balancer.persistence import snapshot
-from sidecar_balancer.persistence.snapshot import Refused
+from sidecar_balancer.persistence.snapshot import SnapshotError
 
 _NAME = re.compile(r"tier-(\d{1,10})\.snap")
 
@@ -42,8 +42,8 @@
             kept = snapshot.load(path, most)
             records = dict(msgpack.unpackb(each) for each in kept.records)
             if not all(isinstance(k, str) and isinstance(v, bytes) for k, v in records.items()):
-                raise Refused("records that are none")
-        except (Refused, OSError, ValueError, TypeError) as bad:
+                raise SnapshotError("records that are none")
+        except (SnapshotError, OSError, ValueError, TypeError) as bad:
             notes.append(f"{path.name} is not taken: {bad}")
             continue
         if not kept.whole:
--- a/sidecar_balancer/relay/app.py
+++ b/sidecar_balancer/relay/app.py
@@ -10,10 +10,10 @@
 import signal
 import sys
 
-from sidecar_balancer.admin.server import Door
+from sidecar_balancer.admin.server import AdminServer
 from sidecar_balancer.discovery.client import Discovery
 from sidecar_balancer.discovery.endpoint_list import ListUpdate
-from sidecar_balancer.observability.logs import start_log
+from sidecar_balancer.observability.logs import configure_logging
 from sidecar_balancer.relay.caller import Caller
 from sidecar_balancer.relay.changelog import ChangeLog
 from sidecar_balancer.relay.config import RelayConfig, read_relay_config
@@ -39,7 +39,7 @@
         self.service = RelayService(ChangeLog(), config.limits, self._discovery.as_of)
         self._retry: asyncio.TimerHandle | None = None
         self._server: asyncio.Server | None = None
-        self.door = Door(config.mgmt, {"status": ("GET", self._tell_status)}) if config.mgmt else None
+        self.door = AdminServer(config.mgmt, {"status": ("GET", self._tell_status)}) if config.mgmt else None
 
     async def run(self, stop: asyncio.Event) -> None:
         """Serve until `stop`, then end all connections: callers turn to another relay."""
@@ -109,7 +109,7 @@
     except (OSError, ValueError) as bad:
         print(f"bad configuration: {bad}".replace("\n", " "), file=sys.stderr)
         return 2
-    start_log(config.logging)
+    configure_logging(config.logging)
     gc.freeze()
     try:
         with asyncio.Runner(loop_factory=TimedLoop) as runner:
--- a/sidecar_balancer/relay/caller.py
+++ b/sidecar_balancer/relay/caller.py
@@ -10,7 +10,7 @@
 
 import h11
 
-from sidecar_balancer.admin.server import Declined
+from sidecar_balancer.admin.server import RequestRejectedError
 from sidecar_balancer.relay.requests import ListCall, read_call
 
 HEAD_WITHIN_S = 2.0  # what a call may take to come
@@ -31,7 +31,7 @@
     def called(self, caller: Caller, call: ListCall | None) -> None:
         """Answer a call, now or later.  None asks for readiness."""
 
-    def rejected(self, caller: Caller, bad: Declined) -> None:
+    def rejected(self, caller: Caller, bad: RequestRejectedError) -> None:
         """Count a call that is no proper one; it has been answered."""
 
     def dropped(self, caller: Caller) -> None:
@@ -82,8 +82,8 @@
             self._h11.receive_data(data)
             call = self._read()
         except h11.RemoteProtocolError as bad:
-            self._reject(Declined(400, str(bad)[:100]))
-        except Declined as bad:
+            self._reject(RequestRejectedError(400, str(bad)[:100]))
+        except RequestRejectedError as bad:
             self._reject(bad)
         else:
             if call is not None:
@@ -98,19 +98,19 @@
             if isinstance(event, h11.Request):
                 self._head = event
             elif isinstance(event, h11.Data):
-                raise Declined(400, "a call has no body")
+                raise RequestRejectedError(400, "a call has no body")
             elif isinstance(event, h11.EndOfMessage) and self._head is not None:
                 return (read_call(self._head),)
             else:
                 return None
 
-    def _reject(self, bad: Declined) -> None:
+    def _reject(self, bad: RequestRejectedError) -> None:
         self._asked = True
         self._handler.rejected(self, bad)
         self.answer(bad.status, [("Content-Type", "text/plain")], f"{bad}\n".encode())
 
     def _head_late(self) -> None:
-        self._reject(Declined(408, "the call did not come in time"))
+        self._reject(RequestRejectedError(408, "the call did not come in time"))
 
     def answer(self, status: int, headers: Headers, body: bytes) -> None:
         """Write the answer and end the connection; a caller that has gone is passed over."""
--- a/sidecar_balancer/relay/requests.py
+++ b/sidecar_balancer/relay/requests.py
@@ -7,7 +7,7 @@
 
 import h11
 
-from sidecar_balancer.admin.server import Declined
+from sidecar_balancer.admin.server import RequestRejectedError
 from sidecar_balancer.discovery.client import AGE_HEADER, LIST_PATH
 
 READY_PATH = "/health/ready"
@@ -27,13 +27,13 @@
 
 
 def read_call(head: h11.Request) -> ListCall | None:
-    """Read a call; None asks whether the relay is ready.  Raises Declined."""
+    """Read a call; None asks whether the relay is ready.  Raises RequestRejectedError."""
     target = head.target.decode("latin-1")
     path, _, query = target.partition("?")
     if path not in (LIST_PATH, READY_PATH):
-        raise Declined(404, "no such path")
+        raise RequestRejectedError(404, "no such path")
     if head.method != b"GET":
-        raise Declined(405, "GET is needed")
+        raise RequestRejectedError(405, "GET is needed")
     if path == READY_PATH:
         return None
     given = dict(parse_qsl(query, keep_blank_values=True))
@@ -49,5 +49,5 @@
 
 def _number(text: str, name: str) -> int:
     if not (text.isascii() and text.isdigit()) or len(text) > _INDEX_DIGITS:
-        raise Declined(400, f"{name}: a whole number is needed")
+        raise RequestRejectedError(400, f"{name}: a whole number is needed")
     return int(text)
--- a/sidecar_balancer/relay/service.py
+++ b/sidecar_balancer/relay/service.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import asdict, dataclass
 
-from sidecar_balancer.admin.server import Declined
+from sidecar_balancer.admin.server import RequestRejectedError
 from sidecar_balancer.discovery.client import AGE_HEADER, TAG_HEADER
 from sidecar_balancer.discovery.endpoint_list import ListUpdate
 from sidecar_balancer.discovery.sources import STALE_S
@@ -216,7 +216,7 @@
 
     # -- Ends ---------------------------------------------------------------------------------------------
 
-    def rejected(self, caller: Caller, bad: Declined) -> None:
+    def rejected(self, caller: Caller, bad: RequestRejectedError) -> None:
         self._unasked.pop(caller, None)
         self.counters.rejected += 1
         log.info("a call was refused: %d %.80s", bad.status, bad, extra={"event": "relay_rejected"})
--- a/sidecar_balancer/runtime/proxy.py
+++ b/sidecar_balancer/runtime/proxy.py
@@ -32,7 +32,7 @@
 from sidecar_balancer.upstream.connection import Exchange, Headers, Response
 
 if TYPE_CHECKING:
-    from sidecar_balancer.observability.latency import Latencies
+    from sidecar_balancer.observability.latency import LatencyHistograms
 
 log = logging.getLogger(__name__)
 
@@ -65,7 +65,7 @@
         settings: Settings,
         engine: Engine,
         connections: upstream.Upstream,
-        latencies: Latencies | None,
+        latencies: LatencyHistograms | None,
     ) -> None:
         self._settings = settings
         self._engine = engine
@@ -156,7 +156,7 @@
             self._log_trail(request, str(status))
         self.answers[status] += 1
         if status == 200 and self._latencies is not None:
-            self._latencies.answered(request.call.service_class, took_us)
+            self._latencies.record_response(request.call.service_class, took_us)
         self._mark_answered(request)
         request.call.answer(status, headers, body)
 
@@ -290,7 +290,7 @@
             elapsed = request.first_byte_us
         elif outcome is Outcome.DELIVERED and response is not None:
             if self._latencies is not None:
-                self._latencies.served(server, elapsed)
+                self._latencies.record_attempt(server, elapsed)
             self.answer(request, 200, _about_body(response.headers), response.body)
         report = self._report(response)
         self._forget_if_over(request)
--- a/sidecar_balancer/runtime/sidecar.py
+++ b/sidecar_balancer/runtime/sidecar.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from sidecar_balancer.admin.handlers import EVACUATION_KEPT_S, Operations
-from sidecar_balancer.admin.overrides import Orders
-from sidecar_balancer.admin.server import Door
-from sidecar_balancer.admin.views import asked_per_s, state_line
+from sidecar_balancer.admin.handlers import EVACUATION_KEPT_S, AdminHandlers
+from sidecar_balancer.admin.overrides import OperatorOverrides
+from sidecar_balancer.admin.server import AdminServer
+from sidecar_balancer.admin.views import request_rates_per_s, state_summary
 from sidecar_balancer.config.settings import DiscoveryMode, Settings
-from sidecar_balancer.config.sidecar import Config
+from sidecar_balancer.config.sidecar import SidecarConfig
 from sidecar_balancer.discovery.client import Discovery
 from sidecar_balancer.discovery.endpoint_list import EndpointList, ListUpdate, parse_list
 from sidecar_balancer.downstream.frontend import Frontend, Hooks
@@ -37,8 +37,8 @@
 
 if TYPE_CHECKING:  # loaded where the plane is on: a start without it costs no more CPU
     from sidecar_balancer.membership.bridge import PeerLink
-    from sidecar_balancer.observability.latency import Latencies
-    from sidecar_balancer.persistence.persister import Keeper, Kept
+    from sidecar_balancer.observability.latency import LatencyHistograms
+    from sidecar_balancer.persistence.persister import RestoredState, StatePersister
 
 log = logging.getLogger(__name__)
 
@@ -61,47 +61,55 @@
 class Sidecar:
     """One sidecar: a balancer and the sockets round it."""
 
-    def __init__(self, config: Config) -> None:
+    def __init__(self, config: SidecarConfig) -> None:
         self._settings = settings = config.settings
         self._longest_s = max(each.deadline_us for each in settings.classes) / 1e6
         self._timers = Timers()
         self._engine = Engine(settings, config.seed, self._timers)
         budget = Budget(config.memory_mb)
-        connections_most = max((config.sockets - _FDS_KEPT) // 2, 1)  # on either side
+        connections_most = max((config.max_sockets - _FDS_KEPT) // 2, 1)  # on either side
         poll_times = running_poll_times()
         self._upstream = _upstream(settings, connections_most, budget)
         again_s = _UNHEARD_SPANS * settings.rules.poll_interval_us / 1e6
         self._discovery = Discovery(
-            config.sources(), config.known.version, self._told, again_s, poll_times=poll_times
+            config.discovery_addresses(),
+            config.initial_endpoints.version,
+            self._told,
+            again_s,
+            poll_times=poll_times,
         )
         latencies = _latencies(config)
         self.proxy = Proxy(settings, self._engine, self._upstream, latencies)
         hooks = Hooks(self.proxy.taken, self.proxy.gone, self._is_ready, self.proxy.body_ended)
         self.frontend = Frontend(
-            config.listen, connections_most, hooks, settings, config.accept_fd, budget, poll_times
+            config.listen, connections_most, hooks, settings, config.inherited_listener_fd, budget, poll_times
         )
-        self._takes_over = config.accept_fd is not None
-        self._known = config.known
+        self._takes_over = config.inherited_listener_fd is not None
+        self._known = config.initial_endpoints
         self._listed = asyncio.Event()  # discovery has answered
         self._answers_told: Counter[int] = Counter()  # of the answers, those that the log was told of
         self._cpu_told_s = 0.0
         self._link = self._linked(config)
         self._keeper = self._open_state(config)
-        self._kept: Kept | None = None
+        self._kept: RestoredState | None = None
         self._endpoint_list = EndpointList()  # as it is now, for the state
-        self._keep_every_s = config.state.every_ms / 1000 if config.state is not None else 0.0
-        self._warm_s = config.state.warm_ms / 1000 if config.state is not None else 0.0
-        self.operations = Operations(
+        self._keep_every_s = config.state.interval_ms / 1000 if config.state is not None else 0.0
+        self._warm_s = config.state.warm_start_timeout_ms / 1000 if config.state is not None else 0.0
+        self.operations = AdminHandlers(
             self._engine,
             self.proxy,
             self.frontend,
             self._upstream,
             self._discovery,
-            Orders(config.orders),
+            OperatorOverrides(config.overrides_folder),
             self._link,
             latencies,
         )
-        self.door = Door(config.mgmt, self.operations.calls()) if config.mgmt is not None else None
+        self.door = (
+            AdminServer(config.admin_address, self.operations.routes())
+            if config.admin_address is not None
+            else None
+        )
         executors: dict[type[Any], Callable[[Any], None]] = {
             CloseIdleConnections: lambda action: self._upstream.close_idle(action.server),
             WatchEndpoints: lambda action: self._discovery.follow(action.enabled),
@@ -118,7 +126,7 @@
         try:
             await self._start(stop)
             await stop.wait()
-            self.operations.takes_clients, self.operations.is_stopping = False, True
+            self.operations.accepts_clients, self.operations.is_shutting_down = False, True
             await self._drain()
         finally:
             lag.cancel()
@@ -127,7 +135,7 @@
     async def _start(self, stop: asyncio.Event) -> None:
         if self.door is not None:
             # Before the first request: a ban outlasts the process that took it.
-            self._timers.every(_ORDERS_EVERY_S, self.operations.read_orders)
+            self._timers.every(_ORDERS_EVERY_S, self.operations.apply_stored_overrides)
             self.door.start()
         self._restore()
         if self._link is not None:
@@ -143,7 +151,7 @@
             await self._first_of(stop, self._listed, _LISTED_S)
         if not stop.is_set():
             self.frontend.start()
-            self.operations.takes_clients = True
+            self.operations.accepts_clients = True
 
     async def _end(self) -> None:
         """Close what is open and cancel what is planned, whether or not all was answered."""
@@ -164,9 +172,9 @@
         for task in tasks:
             task.cancel()
 
-    def reload(self, config: Config) -> None:
+    def reload(self, config: SidecarConfig) -> None:
         """Take over what may change while this runs: where discovery is."""
-        sources = config.sources()
+        sources = config.discovery_addresses()
         log.info("reloaded: discovery at %s", ", ".join("{}:{}".format(*each) for each in sources)[:200])
         if self._discovery.move(sources):
             self._engine.handle(EndpointListReceived(ListKind.SOURCE_CHANGED))
@@ -217,7 +225,7 @@
             self._answers_told = self.proxy.answers.copy()
             counts = ", ".join(f"{count} x {status}" for status, count in answered.items())
             clients = len(self.frontend.connections)
-            held, state = len(self.proxy.by_call), state_line(self._engine.balancer)
+            held, state = len(self.proxy.by_call), state_summary(self._engine.balancer)
             cpu_s = time.process_time() - self._cpu_told_s
             self._cpu_told_s += cpu_s
             told = "answered %s; %d clients, %d held, %d connections to servers, %.2f s of CPU; %s"
@@ -229,15 +237,20 @@
 
     # -- The peer plane ------------------------------------------------------------------------------------
 
-    def _linked(self, config: Config) -> PeerLink | None:
-        if config.peer_plane is None or config.peer_listen is None:
+    def _linked(self, config: SidecarConfig) -> PeerLink | None:
+        if config.membership is None or config.membership_address is None:
             return None
         from sidecar_balancer.membership.bridge import PeerLink
         from sidecar_balancer.membership.transport import PeerPlane
 
         me, settings = config.settings.member_index, config.settings
         plane = PeerPlane(
-            config.peer_listen, list(config.peers), me, config.seed, config.peer_plane, config.duties
+            config.membership_address,
+            list(config.member_addresses),
+            me,
+            config.seed,
+            config.membership,
+            config.leases,
         )
         classes = [each.name for each in settings.classes]
         return PeerLink(
@@ -255,16 +268,16 @@
         return {each.name: each.pace for each in sound if each.ejected_until is None}
 
     def _asked(self) -> dict[str, float]:
-        return asked_per_s(self._engine.balancer, self._engine.clock.now())
+        return request_rates_per_s(self._engine.balancer, self._engine.clock.now())
 
     def _plane_bound(self) -> None:
         assert self._link is not None
         if self._kept is not None:
-            from sidecar_balancer.persistence.persister import resume_plane
+            from sidecar_balancer.persistence.persister import resume_membership
 
-            resume_plane(self._link.plane, self._kept)
-        self._link.ban(self.operations.ordered)
-        self._timers.every(_ORDERS_EVERY_S, self.operations.hear_exclusions)
+            resume_membership(self._link.plane, self._kept)
+        self._link.ban(self.operations.disabled_servers)
+        self._timers.every(_ORDERS_EVERY_S, self.operations.apply_disabled_servers)
 
     def _publish_server_verdict(self, action: PublishServerVerdict) -> None:
         if self._link is not None:
@@ -276,23 +289,23 @@
 
     # -- What outlasts a crash -----------------------------------------------------------------------------
 
-    def _open_state(self, config: Config) -> Keeper | None:
+    def _open_state(self, config: SidecarConfig) -> StatePersister | None:
         if config.state is None:
             return None
-        from sidecar_balancer.persistence.persister import Keeper
+        from sidecar_balancer.persistence.persister import StatePersister
         from sidecar_balancer.persistence.store import Store
 
-        return Keeper(Store(config.state.folder, config.state.most_bytes), config.state.tier_folder)
+        return StatePersister(Store(config.state.folder, config.state.max_bytes), config.state.tier_folder)
 
     def _restore(self) -> None:
         """Begin with what an earlier life kept: the list where it is newer, then what was learned."""
         if self._keeper is None:
             return
-        self._kept = kept = self._keeper.open()
-        if kept.listed is None or kept.listed[0] != self._discovery.place():
+        self._kept = kept = self._keeper.restore()
+        if kept.endpoint_list is None or kept.endpoint_list[0] != self._discovery.place():
             return
         try:
-            told = parse_list(kept.listed[1])
+            told = parse_list(kept.endpoint_list[1])
         except ValueError as bad:
             log.warning("state: the list kept is not taken: %s", bad)
             return
@@ -302,8 +315,8 @@
 
     async def _learn(self, stop: asyncio.Event) -> None:
         """Take up what was kept; with nothing kept, ask the peers, for a bounded time."""
-        if self._kept is not None and self._kept.recalled.servers:
-            self._engine.handle(self._kept.recalled)
+        if self._kept is not None and self._kept.learned.servers:
+            self._engine.handle(self._kept.learned)
         elif self._link is not None and self._warm_s > 0.0:
             recalled = await self._link.warm(stop, self._warm_s)
             self._engine.handle(recalled)
@@ -315,7 +328,7 @@
         listed = (
             (self._discovery.place(), self._endpoint_list.text()) if self._endpoint_list.version else None
         )
-        self._keeper.keep(self._engine.balancer, self._engine.clock.now(), plane, listed)
+        self._keeper.persist(self._engine.balancer, self._engine.clock.now(), plane, listed)
 
     # -- The list of servers -------------------------------------------------------------------------------
 
@@ -352,10 +365,10 @@
     return upstream.Upstream(limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6, most, budget)
 
 
-def _latencies(config: Config) -> Latencies | None:
+def _latencies(config: SidecarConfig) -> LatencyHistograms | None:
     """Histograms where there is a door to show them: without one nobody would see them."""
-    if config.mgmt is None:
+    if config.admin_address is None:
         return None
-    from sidecar_balancer.observability.latency import Latencies
+    from sidecar_balancer.observability.latency import LatencyHistograms
 
-    return Latencies()
+    return LatencyHistograms()
--- a/tests/admin/test_operators.py
+++ b/tests/admin/test_operators.py
@@ -10,7 +10,7 @@
 
 from loopback import World, answer, ask, is_closed, play, read_answer, request, until, world
 from sidecar_balancer.admin import server as admin
-from sidecar_balancer.admin.overrides import Orders
+from sidecar_balancer.admin.overrides import OperatorOverrides
 from sidecar_balancer.downstream import frontend
 from sidecar_balancer.downstream.frontend import ClientConnection
 
@@ -66,7 +66,7 @@
                 100_000
             )
             assert (await ask(w.sidecar.door.address, data))[0] == 413
-            assert Orders(tmp_path).read() == (frozenset(), False)
+            assert OperatorOverrides(tmp_path).load() == (frozenset(), False)
 
     play(scene())
 
@@ -150,7 +150,7 @@
                 assert (await w.ask())[0] == 200
             assert not w.servers[0].requests
             assert await call(w, "PUT", "/api/include/s-0") == 200
-            assert Orders(tmp_path).read()[0] == frozenset()
+            assert OperatorOverrides(tmp_path).load()[0] == frozenset()
 
     play(scene())
 
@@ -181,14 +181,14 @@
 
 @pytest.mark.parametrize("server", ["s-0", "../../up", "10.1.0.18:8443", "ñandú %2F", "."])
 def test_orders_name_any_server(server: str, tmp_path: Path) -> None:
-    orders = Orders(tmp_path)
+    orders = OperatorOverrides(tmp_path)
     for _ in range(2):
-        orders.exclude(server)
-    assert orders.read() == (frozenset([server]), False)
+        orders.disable_server(server)
+    assert orders.load() == (frozenset([server]), False)
     assert [each.parent for each in (tmp_path / "excluded").iterdir()] == [tmp_path / "excluded"]
     for _ in range(2):
-        orders.include(server)
-    assert orders.read() == (frozenset(), False)
+        orders.enable_server(server)
+    assert orders.load() == (frozenset(), False)
 
 
 # Drain
@@ -277,9 +277,9 @@
             assert await health(w) == 503
             assert await call(w, "PUT", "/api/exclude/s-0") == 200  # bans go on during a drain
             w.stop.set()
-            await until(lambda: w.sidecar.operations.is_stopping)
-            Orders(tmp_path).rejoin()
-            w.sidecar.operations.read_orders()
+            await until(lambda: w.sidecar.operations.is_shutting_down)
+            OperatorOverrides(tmp_path).end_drain()
+            w.sidecar.operations.apply_stored_overrides()
             assert w.sidecar.frontend.draining
 
     play(scene())
--- a/tests/cluster/test_recovery.py
+++ b/tests/cluster/test_recovery.py
@@ -98,7 +98,7 @@
     shutil.copytree(folder / "n0", copy)
     found = _read(Store(copy, 1 << 20).open().records)
     shutil.rmtree(copy)
-    each = found.recalled.servers.get("a-0")
+    each = found.learned.servers.get("a-0")
     return each is not None and each.ejected_us > 0
 
 
--- a/tests/compatibility/golden_subjects.py
+++ b/tests/compatibility/golden_subjects.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from sidecar_balancer.admin.overrides import Orders
+from sidecar_balancer.admin.overrides import OperatorOverrides
 from sidecar_balancer.config.wire_names import settings_from_wire
 from sidecar_balancer.discovery.endpoint_list import parse_list
 from sidecar_balancer.lease.core import Terms
@@ -20,7 +20,7 @@
 from sidecar_balancer.membership.swim import Tuning
 from sidecar_balancer.membership.transport import PeerPlane
 from sidecar_balancer.persistence import tier_snapshot as tier
-from sidecar_balancer.persistence.persister import Keeper, resume_plane
+from sidecar_balancer.persistence.persister import StatePersister, resume_membership
 from sidecar_balancer.persistence.store import Store
 from sidecar_balancer.policy.balancer import Balancer
 from sidecar_balancer.policy.events import EndpointListReceived
@@ -73,7 +73,7 @@
 
 def recalled(folder: Path, shared_folder: Path | None = None) -> list[Any]:
     """What a start takes from a state folder, as plain nested lists."""
-    found: list[Any] = plain(Keeper(Store(folder, _MOST), shared_folder).open())
+    found: list[Any] = plain(StatePersister(Store(folder, _MOST), shared_folder).restore())
     return found
 
 
@@ -82,19 +82,19 @@
 
     The started member is number 0 of four, with seed 7 and leases of duties.
     """
-    kept = Keeper(Store(source, _MOST)).open()
+    kept = StatePersister(Store(source, _MOST)).restore()
     balancer = Balancer(settings_from_wire(settings), 7)
     told = parse_list(listed)
     servers = [each.server for each in told.entries]
     now = 1_000_000
     balancer.handle(now, EndpointListReceived(ListKind.CACHED, servers, told.version))
-    balancer.handle(now, kept.recalled)
+    balancer.handle(now, kept.learned)
     peers = [("127.0.0.1", 1 + number) for number in range(4)]
     plane = PeerPlane(peers[0], peers, 0, 7, Tuning(), Terms(), lambda: now)
-    resume_plane(plane, kept)
+    resume_membership(plane, kept)
     store = Store(target, _MOST)
     store.open()
-    Keeper(store).keep(balancer, now, plane, ("192.0.2.1:8500", json.dumps(listed)))
+    StatePersister(store).persist(balancer, now, plane, ("192.0.2.1:8500", json.dumps(listed)))
 
 
 # Orders
@@ -102,20 +102,20 @@
 
 def write_orders(folder: Path, excluded: list[str], zones: dict[str, str], evacuated: bool) -> None:
     """Store the operators' orders in an empty folder."""
-    orders = Orders(folder)
+    orders = OperatorOverrides(folder)
     for server in excluded:
-        orders.exclude(server)
+        orders.disable_server(server)
     for zone, order in zones.items():
-        orders.order_zone(zone, order)
+        orders.set_zone_override(zone, order)
     if evacuated:
-        orders.evacuate()
+        orders.start_drain()
 
 
 def read_orders(folder: Path) -> tuple[list[str], dict[str, str], bool]:
     """Read the operators' orders: excluded servers in order, orders by zone, and whether it is evacuated."""
-    orders = Orders(folder)
-    excluded, evacuated = orders.read()
-    return sorted(excluded), orders.zones(), evacuated
+    orders = OperatorOverrides(folder)
+    excluded, evacuated = orders.load()
+    return sorted(excluded), orders.zone_overrides(), evacuated
 
 
 # Datagrams
--- a/tests/persistence/test_snapshot.py
+++ b/tests/persistence/test_snapshot.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from sidecar_balancer.persistence import snapshot
-from sidecar_balancer.persistence.snapshot import Refused
+from sidecar_balancer.persistence.snapshot import SnapshotError
 
 RECORDS = [b"incarnation 7", b"", b"x" * 300, bytes(range(256))]
 WHOLE = snapshot.pack(RECORDS)
@@ -36,7 +36,7 @@
             bad[at] ^= 1 << bit
             try:
                 back = snapshot.read(bytes(bad))
-            except Refused:
+            except SnapshotError:
                 continue
             assert not back.whole and back.records == RECORDS[: len(back.records)]
 
@@ -44,10 +44,10 @@
 def test_another_version_or_a_stranger_is_refused(tmp_path: Path) -> None:
     older = snapshot.MAGIC + (0).to_bytes(2, "big") + WHOLE[10:]
     for bad in (older, b"PK\x03\x04" + WHOLE[4:], b"{}" * 20):
-        with pytest.raises(Refused):
+        with pytest.raises(SnapshotError):
             snapshot.read(bad)
     (tmp_path / "big").write_bytes(WHOLE)
-    with pytest.raises(Refused):
+    with pytest.raises(SnapshotError):
         snapshot.load(tmp_path / "big", len(WHOLE) - 1)
 
 
@@ -56,7 +56,7 @@
     data = snapshot.pack(records)[:cut] + tail
     try:
         back = snapshot.read(data)
-    except Refused:
+    except SnapshotError:
         return
     assert back.records == records[: len(back.records)]
 
--- a/tests/persistence/test_store.py
+++ b/tests/persistence/test_store.py
@@ -16,7 +16,7 @@
 from helpers import Stage
 from sidecar_balancer.persistence import snapshot
 from sidecar_balancer.persistence import tier_snapshot as tier
-from sidecar_balancer.persistence.persister import Keeper
+from sidecar_balancer.persistence.persister import StatePersister
 from sidecar_balancer.persistence.store import Store
 
 MOST = 1 << 20
@@ -148,8 +148,8 @@
     stage = Stage()
     stage.servers(["s-1", "s-2"])
     stage.serve(10)
-    keeper = Keeper(Store(tmp_path, MOST))
-    keeper.open()
+    keeper = StatePersister(Store(tmp_path, MOST))
+    keeper.restore()
 
     def full(_: int) -> None:
         raise OSError(errno.ENOSPC, "no space left")
@@ -157,10 +157,10 @@
     with monkeypatch.context() as patch:
         patch.setattr(os, "fsync", full)
         for _ in range(5):
-            keeper.keep(stage.balancer, stage.now, None, None)
+            keeper.persist(stage.balancer, stage.now, None, None)
     assert [each.levelname for each in caplog.records].count("ERROR") == 1
-    keeper.keep(stage.balancer, stage.now, None, None)
-    assert set(Keeper(Store(tmp_path, MOST)).open().recalled.servers) == {"s-1", "s-2"}
+    keeper.persist(stage.balancer, stage.now, None, None)
+    assert set(StatePersister(Store(tmp_path, MOST)).restore().learned.servers) == {"s-1", "s-2"}
 
 
 def test_what_is_kept_is_bounded_and_the_log_is_folded(tmp_path: Path) -> None:
--- a/tests/runtime/test_close_range.py
+++ b/tests/runtime/test_close_range.py
@@ -31,7 +31,7 @@
     until,
     world,
 )
-from sidecar_balancer.admin.overrides import Orders
+from sidecar_balancer.admin.overrides import OperatorOverrides
 from sidecar_balancer.discovery.client import Discovery
 from sidecar_balancer.discovery.endpoint_list import ListUpdate
 from sidecar_balancer.policy.actions import HealthCheck
@@ -968,19 +968,19 @@
 ) -> None:
     async def scene() -> None:
         async with world(served, drained=True, orders=tmp_path) as w:
-            real, failed = w.sidecar.operations._orders.read, list[bool]()
+            real, failed = w.sidecar.operations._overrides.load, list[bool]()
 
             def fails() -> Any:
-                monkeypatch.setattr(w.sidecar.operations._orders, "read", real)
+                monkeypatch.setattr(w.sidecar.operations._overrides, "load", real)
                 failed.append(True)
                 raise ZeroDivisionError
 
-            monkeypatch.setattr(w.sidecar.operations._orders, "read", fails)
+            monkeypatch.setattr(w.sidecar.operations._overrides, "load", fails)
             with told_to_the_loop() as faults:
                 await until(lambda: failed)
                 await asyncio.sleep(0)
             assert [type(each) for each in faults] == [ZeroDivisionError]
-            Orders(tmp_path).exclude("s-0")  # as the other process of an upgrade may
+            OperatorOverrides(tmp_path).disable_server("s-0")  # as the other process of an upgrade may
             await until(lambda: not w.sidecar._engine.balancer.ready)
 
     on_clock(scene())
--- a/tests/runtime/test_life.py
+++ b/tests/runtime/test_life.py
@@ -29,7 +29,7 @@
     until,
     world,
 )
-from sidecar_balancer.observability.logs import Flood, LogConfig, start_log
+from sidecar_balancer.observability.logs import LogConfig, LogRateLimiter, configure_logging
 from sidecar_balancer.runtime import sidecar
 from sidecar_balancer.upstream.connection import Address
 
@@ -95,7 +95,7 @@
 
 
 def test_a_flood_of_log_lines_is_cut_and_counted() -> None:
-    flood = Flood(5, 3)
+    flood = LogRateLimiter(5, 3)
     times = (7.0, 7.1, 7.2, 7.3, 7.9, 8.0)
     lines = [logging.makeLogRecord({"created": at, "msg": "lost %s"}) for at in times]
     assert [flood.filter(each) for each in lines] == [True, True, True, False, False, True]
@@ -105,7 +105,7 @@
 
 
 def test_a_json_line_names_its_event_and_what_it_is_about(capsys: pytest.CaptureFixture[str]) -> None:
-    start_log(LogConfig(format="json"))
+    configure_logging(LogConfig(format="json"))
     log = logging.getLogger("sidecar_balancer.runtime.sidecar")
     log.info("%s: %d", "ejected s-1", 3, extra={"event": "ejected", "server": "s-1"})
     log.warning("the event loop was %.0f ms late", 70.2)
@@ -118,7 +118,7 @@
     assert first["level"] == "info" and first["subsystem"] == "runtime.sidecar" and first["ts"].endswith("Z")
     assert second["event"] == "the_event_loop_was_ms_late" and second["level"] == "warning"
     assert "ValueError: odd" in third["exception"]
-    start_log(LogConfig(format="plain", level="warning"))
+    configure_logging(LogConfig(format="plain", level="warning"))
     log.info("not told")
     log.error("told %d", 1)
     (line,) = capsys.readouterr().err.splitlines()
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from helpers import settings
-from sidecar_balancer.config.sidecar import Config
+from sidecar_balancer.config.sidecar import SidecarConfig
 from sidecar_balancer.discovery.endpoint_list import parse_list
 from sidecar_balancer.policy.actions import Action
 from sidecar_balancer.policy.events import Event
@@ -183,7 +183,7 @@
 class World:
     """A sidecar in this process, with its servers and discovery."""
 
-    def __init__(self, config: Config, servers: list[FakeServer], discovery: FakeDiscovery) -> None:
+    def __init__(self, config: SidecarConfig, servers: list[FakeServer], discovery: FakeDiscovery) -> None:
         self.config = config
         self.sidecar = Sidecar(config)
         self.servers = servers
@@ -233,9 +233,9 @@
     await discovery.start()
     given = settings(**{"limits": LIMITS, **changes})
     known = parse_list({"index": 41, "snapshot": True, "endpoints": [each.entry() for each in servers]})
-    config = Config(("127.0.0.1", 0), discovery.address, 7, sockets, given, known)
+    config = SidecarConfig(("127.0.0.1", 0), discovery.address, 7, sockets, given, known)
     if orders is not None:
-        config = replace(config, orders=orders, mgmt=("127.0.0.1", 0))
+        config = replace(config, overrides_folder=orders, admin_address=("127.0.0.1", 0))
     made = World(config, servers, discovery)
     running = asyncio.create_task(made.sidecar.run(made.stop))
     await until(lambda: made.sidecar._engine.balancer._begun >= 0)
