--- a/bench/scale_hollow.py
+++ b/bench/scale_hollow.py
@@ -24,12 +24,12 @@
 from helpers import settings
 from registry import Registry
 from sidecar_balancer import Balancer
+from sidecar_balancer.config.addresses import Address, parse_address
 from sidecar_balancer.discovery.client import Discovery
 from sidecar_balancer.discovery.endpoint_list import ListUpdate
 from sidecar_balancer.discovery.sources import RelayAddress, in_order_of_preference
 from sidecar_balancer.policy.events import EndpointListReceived
 from sidecar_balancer.policy.types import ListKind
-from sidecar_balancer.upstream.connection import Address, parse_address
 
 START_SPREAD_S = 3.0  # over which the members of a process begin
 RETRY_S = 3.0  # after all sources failed, as the module bounds it
--- a/sidecar_balancer/__main__.py
+++ b/sidecar_balancer/__main__.py
@@ -19,6 +19,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
+from sidecar_balancer.config.addresses import parse_address
 from sidecar_balancer.config.settings import Locality
 from sidecar_balancer.config.sidecar import SidecarConfig, StateConfig
 from sidecar_balancer.config.wire_names import settings_from_wire
@@ -28,7 +29,6 @@
 from sidecar_balancer.observability.logs import LogConfig, LogRateLimiter, configure_logging
 from sidecar_balancer.runtime.queueing import TimedLoop
 from sidecar_balancer.runtime.sidecar import Sidecar
-from sidecar_balancer.upstream.connection import parse_address
 
 if TYPE_CHECKING:
     from sidecar_balancer.lease.core import Terms
--- a/sidecar_balancer/admin/server.py
+++ b/sidecar_balancer/admin/server.py
@@ -15,7 +15,7 @@
 
 import h11
 
-from sidecar_balancer.upstream.connection import Address
+from sidecar_balancer.config.addresses import Address
 
 log = logging.getLogger(__name__)
 
--- a/sidecar_balancer/config/sidecar.py
+++ b/sidecar_balancer/config/sidecar.py
@@ -6,11 +6,11 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
+from sidecar_balancer.config.addresses import Address
 from sidecar_balancer.config.settings import Settings
 from sidecar_balancer.discovery.endpoint_list import ListUpdate
 from sidecar_balancer.discovery.sources import RelayAddress, in_order_of_preference
 from sidecar_balancer.observability.logs import LogConfig
-from sidecar_balancer.upstream.connection import Address
 
 if TYPE_CHECKING:  # loaded where the plane is on: a start without it costs no more CPU
     from sidecar_balancer.lease.core import Terms
--- a/sidecar_balancer/discovery/client.py
+++ b/sidecar_balancer/discovery/client.py
@@ -15,10 +15,11 @@
 
 import h11
 
+from sidecar_balancer.config.addresses import Address
 from sidecar_balancer.discovery.endpoint_list import LIST_MOST_BYTES, ListUpdate, read_list
 from sidecar_balancer.discovery.sources import STALE_S, SourceSelector
 from sidecar_balancer.runtime.queueing import PollTimes
-from sidecar_balancer.upstream.connection import Address, Connection, Response, connect
+from sidecar_balancer.upstream.connection import Connection, Response, connect
 
 log = logging.getLogger(__name__)
 
--- a/sidecar_balancer/discovery/endpoint_list.py
+++ b/sidecar_balancer/discovery/endpoint_list.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass
 from typing import Any
 
+from sidecar_balancer.config.addresses import Address, parse_address
 from sidecar_balancer.policy.events import ListedServer
 from sidecar_balancer.policy.types import ServerState
-from sidecar_balancer.upstream.connection import Address, parse_address
 
 log = logging.getLogger(__name__)
 
--- a/sidecar_balancer/discovery/sources.py
+++ b/sidecar_balancer/discovery/sources.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from sidecar_balancer.upstream.connection import Address
+from sidecar_balancer.config.addresses import Address
 
 RETURN_AFTER_S = (20.0, 60.0)  # a sidecar tries its preferred relay again after a time drawn from this range
 STALE_S = 2.5  # a relay that last heard of the registry longer ago is left for a fresher one
--- a/sidecar_balancer/downstream/frontend.py
+++ b/sidecar_balancer/downstream/frontend.py
@@ -13,6 +13,7 @@
 
 import h11
 
+from sidecar_balancer.config.addresses import Address
 from sidecar_balancer.config.settings import Idempotency, Settings
 from sidecar_balancer.runtime.queueing import BacklogAge, PollTimes, since_last_data_s
 from sidecar_balancer.runtime.streams import (
@@ -27,7 +28,6 @@
     Upload,
 )
 from sidecar_balancer.upstream.connection import (
-    Address,
     Headers,
     end_to_end,
     has_ended,
--- a/sidecar_balancer/relay/config.py
+++ b/sidecar_balancer/relay/config.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 from typing import Any
 
+from sidecar_balancer.config.addresses import Address, parse_address
 from sidecar_balancer.observability.logs import LogConfig
 from sidecar_balancer.relay.service import Limits
-from sidecar_balancer.upstream.connection import Address, parse_address
 
 UPSTREAMS_MOST = 64
 CONNECTIONS_MOST = 60_000
--- a/sidecar_balancer/upstream/connection.py
+++ b/sidecar_balancer/upstream/connection.py
@@ -18,6 +18,7 @@
 
 import h11
 
+from sidecar_balancer.config.addresses import Address
 from sidecar_balancer.policy.types import Outcome, ServerState
 from sidecar_balancer.runtime.streams import (
     EVENTS_AT_ONCE,
@@ -32,7 +33,6 @@
 
 log = logging.getLogger(__name__)
 
-Address = tuple[str, int]
 Headers = list[tuple[bytes, bytes]]
 
 _NOWHERE: Address = ("127.0.0.1", 0)  # of a server that takes nothing new anyway
@@ -51,14 +51,6 @@
     return [(n, v) for n, v in headers if n not in _HOP_BY_HOP and n not in dropped]
 
 
-def parse_address(text: str) -> Address:
-    """Read host:port; raise ValueError on anything else."""
-    host, colon, port = text.rpartition(":")
-    if not host or not colon or not port.isdecimal() or not 0 < int(port) < 65536:
-        raise ValueError(f"an address host:port is needed, not {text!r:.60}")
-    return host.strip("[]"), int(port)
-
-
 def is_quiet(sock: socket.socket) -> bool:
     """Whether a connection holds nothing unread: no byte, no end, no error."""
     try:
--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -15,6 +15,7 @@
 
 from loopback import answer, ask, until
 from registry import Registry, entry
+from sidecar_balancer.config.addresses import Address
 from sidecar_balancer.discovery import client as discovery
 from sidecar_balancer.discovery import sources
 from sidecar_balancer.discovery.client import Discovery
@@ -27,7 +28,6 @@
 from sidecar_balancer.relay.changelog import ChangeLog
 from sidecar_balancer.relay.config import RelayConfig
 from sidecar_balancer.relay.service import Limits
-from sidecar_balancer.upstream.connection import Address
 from virtual import play_on_clock
 
 TOLD_S = 6.0  # after the registry had a change, it is in force at every sidecar that reaches a relay
--- a/tests/runtime/test_life.py
+++ b/tests/runtime/test_life.py
@@ -29,9 +29,9 @@
     until,
     world,
 )
+from sidecar_balancer.config.addresses import Address
 from sidecar_balancer.observability.logs import LogConfig, LogRateLimiter, configure_logging
 from sidecar_balancer.runtime import sidecar
-from sidecar_balancer.upstream.connection import Address
 
 ROOT = Path(__file__).parent.parent.parent
 SETTINGS: dict[str, Any] = {
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -13,12 +13,12 @@
 from typing import Any
 
 from helpers import settings
+from sidecar_balancer.config.addresses import Address
 from sidecar_balancer.config.sidecar import SidecarConfig
 from sidecar_balancer.discovery.endpoint_list import parse_list
 from sidecar_balancer.policy.actions import Action
 from sidecar_balancer.policy.events import Event
 from sidecar_balancer.runtime.sidecar import Sidecar
-from sidecar_balancer.upstream.connection import Address
 
 PATIENCE_S = 20.0  # for what must come; no test takes it as proof of anything
 
