--- a/bench/scale_hollow.py
+++ b/bench/scale_hollow.py
@@ -24,9 +24,10 @@
 from helpers import settings
 from registry import Registry
 from sidecar_balancer import Balancer
-from sidecar_balancer.discovery.client import Discovery
+from sidecar_balancer.discovery.client import DiscoveryClient
 from sidecar_balancer.discovery.endpoint_list import ListUpdate
-from sidecar_balancer.discovery.sources import RelayAddress, in_order_of_preference
+from sidecar_balancer.discovery.sources import RelayAddress, rank_relays
+from sidecar_balancer.discovery.watch_events import WatchEvent
 from sidecar_balancer.policy.events import EndpointListReceived
 from sidecar_balancer.policy.types import ListKind
 from sidecar_balancer.upstream.connection import Address, parse_address
@@ -75,17 +76,17 @@
     balancer: Balancer
     applied: list[tuple[float, int, int]] = field(default_factory=list)  # when, from which index, to which
     index: int = 1
-    client: Discovery | None = None
+    client: DiscoveryClient | None = None
 
     def start(self) -> None:
-        self.client = Discovery(self.sources, 1, self._told)
-        self.client.follow(True)
+        self.client = DiscoveryClient(self.sources, 1, self._on_watch_event)
+        self.client.set_watching(True)
 
-    def _told(self, update: ListUpdate | None, silent: bool) -> None:
+    def _on_watch_event(self, update: WatchEvent) -> None:
         loop = asyncio.get_running_loop()
-        if update is None:
+        if not isinstance(update, ListUpdate):
             assert self.client is not None
-            loop.call_later(RETRY_S * random.random(), self.client.follow, True)
+            loop.call_later(RETRY_S * random.random(), self.client.set_watching, True)
             return
         kind = ListKind.SNAPSHOT if update.complete else ListKind.DELTA
         servers = [each.server for each in update.entries]
@@ -105,7 +106,7 @@
     for number in range(first, first + count):
         balancer = Balancer(given, number)
         balancer.handle(0, EndpointListReceived(ListKind.CACHED, listed, 1))
-        members.append(Member(number, in_order_of_preference(relays, f"n{number}", ""), balancer))
+        members.append(Member(number, rank_relays(relays, f"n{number}", ""), balancer))
     loop = asyncio.get_running_loop()
     for each in members:
         loop.call_later(START_SPREAD_S * random.random(), each.start)
--- a/sidecar_balancer/admin/handlers.py
+++ b/sidecar_balancer/admin/handlers.py
@@ -14,7 +14,7 @@
 from sidecar_balancer.admin.overrides import Orders
 from sidecar_balancer.admin.server import Declined, Operation
 from sidecar_balancer.admin.views import servers_view, state_line, zones_view
-from sidecar_balancer.discovery.client import Discovery
+from sidecar_balancer.discovery.client import DiscoveryClient
 from sidecar_balancer.downstream.frontend import Frontend
 from sidecar_balancer.policy.actions import ApplyDisabledServers
 from sidecar_balancer.policy.events import (
@@ -46,7 +46,7 @@
         proxy: Proxy,
         frontend: Frontend,
         connections: Upstream,
-        discovery: Discovery,
+        discovery: DiscoveryClient,
         orders: Orders,
         link: PeerLink | None,
         latencies: Latencies | None,
--- a/sidecar_balancer/config/sidecar.py
+++ b/sidecar_balancer/config/sidecar.py
@@ -8,7 +8,7 @@
 
 from sidecar_balancer.config.settings import Settings
 from sidecar_balancer.discovery.endpoint_list import ListUpdate
-from sidecar_balancer.discovery.sources import RelayAddress, in_order_of_preference
+from sidecar_balancer.discovery.sources import RelayAddress, rank_relays
 from sidecar_balancer.observability.logs import LogConfig
 from sidecar_balancer.upstream.connection import Address
 
@@ -56,4 +56,4 @@
         if not self.relays:
             return [self.discovery]
         identity = self.identity or "{}:{}".format(*self.listen)
-        return in_order_of_preference(self.relays, identity, self.settings.zone)
+        return rank_relays(self.relays, identity, self.settings.zone)
--- a/sidecar_balancer/discovery/client.py
+++ b/sidecar_balancer/discovery/client.py
@@ -15,8 +15,9 @@
 
 import h11
 
-from sidecar_balancer.discovery.endpoint_list import LIST_MOST_BYTES, ListUpdate, read_list
-from sidecar_balancer.discovery.sources import STALE_S, SourceSelector
+from sidecar_balancer.discovery.endpoint_list import MAX_LIST_BYTES, ListUpdate, read_list
+from sidecar_balancer.discovery.sources import STALE_AFTER_S, SourceSelector
+from sidecar_balancer.discovery.watch_events import PollFailed, WatchEvent
 from sidecar_balancer.runtime.queueing import PollTimes
 from sidecar_balancer.upstream.connection import Address, Connection, Response, connect
 
@@ -60,37 +61,37 @@
     sources: int
 
 
-class Discovery:
+class DiscoveryClient:
     """Watches the list while that is wanted; each call has a connection of its own.
 
     A watch that is wanted always goes on or has a next try planned: whoever hears that it ended plans one,
-    and should that not happen, it is begun again after `again_s`.
+    and should that not happen, it is begun again after `restart_after_s`.
     """
 
     def __init__(
         self,
         sources: Sequence[Address],
         version: int | None,
-        told: Callable[[ListUpdate | None, bool], None],
-        again_s: float = 25.0,
-        chance: Callable[[], float] = random.random,
+        notify: Callable[[WatchEvent], None],
+        restart_after_s: float = 25.0,
+        random_fraction: Callable[[], float] = random.random,
         poll_times: PollTimes | None = None,
-        wait_ms: int | None = None,
+        min_wait_ms: int | None = None,
     ) -> None:
         """Watch from `version` on, at the first of `sources` that answers, in order of preference.
 
-        `told` takes an answer, or, once all sources failed, None and whether the last call fell silent.
+        `notify` takes an answer, or `PollFailed` once all sources failed.
         `version` None: no list is held.  `poll_times` tell how long input may have waited unread.
         """
-        self._sources = SourceSelector(sources, chance)
+        self._sources = SourceSelector(sources, random_fraction)
         self._version = version  # None: the whole list is needed first
         self._tag: str | None = None  # of the list that is held, where a relay told it
         self._as_of = -math.inf  # on the event loop's clock: the list that is held is no older than this
-        self._told = told
-        self._again_s = again_s
-        self._chance = chance
+        self._notify = notify
+        self._restart_after_s = restart_after_s
+        self._random_fraction = random_fraction
         self._poll_times = poll_times or PollTimes(math.inf)
-        self._wait_ms = wait_ms
+        self._min_wait_ms = min_wait_ms
         self._moves = 0  # what was asked before the last of them counts no more
         self._silent = False  # the last call was not answered
         self._switched = False  # the next call is the first at another source
@@ -99,7 +100,7 @@
         self._again: asyncio.TimerHandle | None = None
         self._fetches: set[asyncio.Task[bool]] = set()
 
-    def place(self) -> str:
+    def source_key(self) -> str:
         """Where discovery is asked: all sources, for a list that is kept across a restart."""
         return ",".join("{}:{}".format(*each) for each in sorted(self._sources.addresses))
 
@@ -114,11 +115,11 @@
         known_age_s = round(age_s, 3) if math.isfinite(age_s) else None
         return SourceStatus(address, self._version, known_age_s, len(self._sources.addresses))
 
-    def begin(self, version: int) -> None:
+    def resume_from(self, version: int) -> None:
         """Ask for what changed since this version, before anything was asked."""
         self._version = version
 
-    def follow(self, wanted: bool) -> None:
+    def set_watching(self, wanted: bool) -> None:
         """Begin a watch or end it; one that is under way goes on."""
         if not wanted:
             self.stop()
@@ -133,18 +134,18 @@
         self._fetches.add(task)
         task.add_done_callback(lambda done: self._fetches.discard(done))
 
-    def move(self, sources: Sequence[Address]) -> bool:
+    def replace_sources(self, sources: Sequence[Address]) -> bool:
         """Ask elsewhere from now on, the whole list first: what versions mean there is not known.
 
         Says whether that is another place, and the run is not over.
         """
         if list(sources) == self._sources.addresses or self._closed:
             return False
-        self._sources = SourceSelector(sources, self._chance)
+        self._sources = SourceSelector(sources, self._random_fraction)
         self._version, self._tag, self._silent, self._as_of = None, None, False, -math.inf
         self._moves += 1
         self.stop()
-        self.follow(True)
+        self.set_watching(True)
         return True
 
     def stop(self) -> None:
@@ -171,7 +172,9 @@
     def _watch_over(self, watch: asyncio.Task[None]) -> None:
         """Whatever ended a watch that is still wanted, there is a next one."""
         if watch is self._watch:
-            self._again = asyncio.get_running_loop().call_later(self._again_s, self.follow, True)
+            self._again = asyncio.get_running_loop().call_later(
+                self._restart_after_s, self.set_watching, True
+            )
 
     async def _keep_watch(self) -> None:
         """Call again as soon as a call is answered: later than 200 ms it would be a new watch."""
@@ -197,8 +200,8 @@
         if quick:
             wait_ms = _QUICK_MS
         else:
-            least_ms = self._wait_ms or (_RELAY_WAIT_MS if self._has_relays() else _WAIT_MS)
-            wait_ms = int(least_ms * (1.0 + _WAIT_SPREAD * self._chance()))
+            least_ms = self._min_wait_ms or (_RELAY_WAIT_MS if self._has_relays() else _WAIT_MS)
+            wait_ms = int(least_ms * (1.0 + _WAIT_SPREAD * self._random_fraction()))
         return f"{LIST_PATH}?after={self._version}&wait_ms={wait_ms}", wait_ms / 1000 + late_s
 
     async def _ask(self, target: str, limit_s: float) -> bool:
@@ -264,7 +267,7 @@
         if not self._tell(answer.update, False):
             return False
         self._tag = answer.tag
-        if self._sources.answered(now, as_of, fresh=age_s <= STALE_S):
+        if self._sources.answered(now, as_of, fresh=age_s <= STALE_AFTER_S):
             self._note_switch(f"it last heard from the registry {age_s:.1f} s ago")
         return True
 
@@ -277,7 +280,7 @@
         if update is not None:
             self._version, self._tag = update.version, None
             try:
-                self._told(update, False)
+                self._notify(update)
                 return True
             except Exception:
                 log.exception("the list could not be taken: it is asked for as a whole")
@@ -288,7 +291,7 @@
 
     def _tell_failed(self, moves: int, silent: bool) -> None:
         if moves == self._moves and not self._closed:
-            self._told(None, silent)
+            self._notify(PollFailed(silent))
 
     @staticmethod
     def _read(response: Response | None) -> Answer:
@@ -301,7 +304,7 @@
         return Answer(read_list(response.body), _age_s(age), tag)
 
     async def _call(self, target: str) -> Response | None:
-        connection = await connect(self._sources.current, LIST_MOST_BYTES)
+        connection = await connect(self._sources.current, MAX_LIST_BYTES)
         try:
             return await self._exchange(connection, target)
         finally:
--- a/sidecar_balancer/discovery/endpoint_list.py
+++ b/sidecar_balancer/discovery/endpoint_list.py
@@ -19,7 +19,7 @@
 _STATUSES = {state: status for status, state in _STATES.items()}
 
 
-LIST_MOST_BYTES = 8 * 1024 * 1024  # of an answer: some 50,000 servers
+MAX_LIST_BYTES = 8 * 1024 * 1024  # of an answer: some 50,000 servers
 # A list has one array, and few members to an object; other junk would take many times its size in memory.
 _ARRAYS_BESIDE = 16
 _MEMBERS_MOST = 32
@@ -145,7 +145,7 @@
                 del self._entries[entry.server.server]
         self.version, self._text = update.version, None
 
-    def text(self) -> str:
+    def to_json(self) -> str:
         """The list as JSON, made once for each time it changes: it is kept every second."""
         if self._text is None:
             self._text = json.dumps(self.snapshot())
@@ -156,11 +156,11 @@
         return {
             "index": self.version,
             "snapshot": True,
-            "endpoints": [entry_form(each) for each in self._entries.values()],
+            "endpoints": [entry_to_json(each) for each in self._entries.values()],
         }
 
 
-def entry_form(entry: ListEntry) -> dict[str, Any]:
+def entry_to_json(entry: ListEntry) -> dict[str, Any]:
     """Return an entry in discovery's form, its keys always in the same order."""
     server = entry.server
     form = {"name": server.server, "zone": server.zone, "type": server.kind, "group": server.cell}
--- a/sidecar_balancer/discovery/sources.py
+++ b/sidecar_balancer/discovery/sources.py
@@ -15,7 +15,7 @@
 from sidecar_balancer.upstream.connection import Address
 
 RETURN_AFTER_S = (20.0, 60.0)  # a sidecar tries its preferred relay again after a time drawn from this range
-STALE_S = 2.5  # a relay that last heard of the registry longer ago is left for a fresher one
+STALE_AFTER_S = 2.5  # a relay that last heard of the registry longer ago is left for a fresher one
 ROUND_EVERY_S = 2.0  # where all are stale, how often all are asked: most likely the registry is down
 
 
@@ -27,7 +27,7 @@
     zone: str = ""
 
 
-def in_order_of_preference(relays: Sequence[RelayAddress], identity: str, zone: str) -> list[Address]:
+def rank_relays(relays: Sequence[RelayAddress], identity: str, zone: str) -> list[Address]:
     """Order relays for one sidecar: those of its own zone first, each part by rendezvous hashing."""
 
     def rank(relay: RelayAddress) -> tuple[bool, bytes]:
--- /dev/null
+++ b/sidecar_balancer/discovery/watch_events.py
@@ -0,0 +1,17 @@
+"""What the discovery client reports to its owner."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from sidecar_balancer.discovery.endpoint_list import ListUpdate
+
+
+@dataclass(frozen=True, slots=True)
+class PollFailed:
+    """No source answered; the owner decides when the watch begins again."""
+
+    timed_out: bool  # the last poll took its whole time-out; else it failed earlier
+
+
+WatchEvent = ListUpdate | PollFailed
--- a/sidecar_balancer/relay/app.py
+++ b/sidecar_balancer/relay/app.py
@@ -11,8 +11,9 @@
 import sys
 
 from sidecar_balancer.admin.server import Door
-from sidecar_balancer.discovery.client import Discovery
+from sidecar_balancer.discovery.client import DiscoveryClient
 from sidecar_balancer.discovery.endpoint_list import ListUpdate
+from sidecar_balancer.discovery.watch_events import WatchEvent
 from sidecar_balancer.observability.logs import start_log
 from sidecar_balancer.relay.caller import Caller
 from sidecar_balancer.relay.changelog import ChangeLog
@@ -33,8 +34,12 @@
 
     def __init__(self, config: RelayConfig) -> None:
         self._config = config
-        self._discovery = Discovery(
-            config.upstreams, None, self._told, poll_times=running_poll_times(), wait_ms=UPSTREAM_WAIT_MS
+        self._discovery = DiscoveryClient(
+            config.upstreams,
+            None,
+            self._on_watch_event,
+            poll_times=running_poll_times(),
+            min_wait_ms=UPSTREAM_WAIT_MS,
         )
         self.service = RelayService(ChangeLog(), config.limits, self._discovery.as_of)
         self._retry: asyncio.TimerHandle | None = None
@@ -49,7 +54,7 @@
         )
         if self.door is not None:
             self.door.start()
-        self._discovery.follow(True)
+        self._discovery.set_watching(True)
         log.info("relay: serving at %s:%d", *self.address(), extra={"event": "relay_start"})
         reporting = loop.create_task(self._report())
         try:
@@ -74,15 +79,15 @@
         if self.door is not None:
             self.door.stop()
 
-    def _told(self, update: ListUpdate | None, silent: bool) -> None:
-        if update is not None:
-            self.service.update(update)
+    def _on_watch_event(self, event: WatchEvent) -> None:
+        if isinstance(event, ListUpdate):
+            self.service.update(event)
             return
         loop = asyncio.get_running_loop()
         if self._retry is not None:
             self._retry.cancel()
-        wait_s = 0.0 if silent else random.uniform(*RETRY_S)  # silence took its time already
-        self._retry = loop.call_later(wait_s, self._discovery.follow, True)
+        wait_s = 0.0 if event.timed_out else random.uniform(*RETRY_S)  # silence took its time already
+        self._retry = loop.call_later(wait_s, self._discovery.set_watching, True)
 
     def _tell_status(self, _: str) -> str:
         source = self._discovery.status()
--- a/sidecar_balancer/relay/changelog.py
+++ b/sidecar_balancer/relay/changelog.py
@@ -13,7 +13,7 @@
 
 import xxhash
 
-from sidecar_balancer.discovery.endpoint_list import ListEntry, ListUpdate, entry_form
+from sidecar_balancer.discovery.endpoint_list import ListEntry, ListUpdate, entry_to_json
 from sidecar_balancer.policy.types import ServerState
 
 CHANGES_MOST = 50_000  # entries in the ring: more than the whole list twice over helps nobody
@@ -163,7 +163,7 @@
 
 
 def _encode(entry: ListEntry) -> EncodedEntry:
-    data = json.dumps(entry_form(entry), separators=(",", ":")).encode()
+    data = json.dumps(entry_to_json(entry), separators=(",", ":")).encode()
     return EncodedEntry(data, entry.server.state is ServerState.REMOVED)
 
 
--- a/sidecar_balancer/relay/service.py
+++ b/sidecar_balancer/relay/service.py
@@ -11,7 +11,7 @@
 from sidecar_balancer.admin.server import Declined
 from sidecar_balancer.discovery.client import AGE_HEADER, TAG_HEADER
 from sidecar_balancer.discovery.endpoint_list import ListUpdate
-from sidecar_balancer.discovery.sources import STALE_S
+from sidecar_balancer.discovery.sources import STALE_AFTER_S
 from sidecar_balancer.relay.caller import Caller, Headers
 from sidecar_balancer.relay.changelog import ChangeLog
 from sidecar_balancer.relay.requests import ListCall
@@ -105,7 +105,7 @@
         if self._staleness is not None:
             self._staleness.cancel()
         if not self._is_closed:
-            due = self._as_of() + STALE_S + 0.001
+            due = self._as_of() + STALE_AFTER_S + 0.001
             self._staleness = asyncio.get_running_loop().call_at(due, self._answer_watchers)
 
     # -- Callers ------------------------------------------------------------------------------------------
--- a/sidecar_balancer/runtime/sidecar.py
+++ b/sidecar_balancer/runtime/sidecar.py
@@ -15,8 +15,9 @@
 from sidecar_balancer.admin.views import asked_per_s, state_line
 from sidecar_balancer.config.settings import DiscoveryMode, Settings
 from sidecar_balancer.config.sidecar import Config
-from sidecar_balancer.discovery.client import Discovery
+from sidecar_balancer.discovery.client import DiscoveryClient
 from sidecar_balancer.discovery.endpoint_list import EndpointList, ListUpdate, parse_list
+from sidecar_balancer.discovery.watch_events import WatchEvent
 from sidecar_balancer.downstream.frontend import Frontend, Hooks
 from sidecar_balancer.policy.actions import (
     CloseIdleConnections,
@@ -71,8 +72,8 @@
         poll_times = running_poll_times()
         self._upstream = _upstream(settings, connections_most, budget)
         again_s = _UNHEARD_SPANS * settings.rules.poll_interval_us / 1e6
-        self._discovery = Discovery(
-            config.sources(), config.known.version, self._told, again_s, poll_times=poll_times
+        self._discovery = DiscoveryClient(
+            config.sources(), config.known.version, self._on_watch_event, again_s, poll_times=poll_times
         )
         latencies = _latencies(config)
         self.proxy = Proxy(settings, self._engine, self._upstream, latencies)
@@ -104,7 +105,7 @@
         self.door = Door(config.mgmt, self.operations.calls()) if config.mgmt is not None else None
         executors: dict[type[Any], Callable[[Any], None]] = {
             CloseIdleConnections: lambda action: self._upstream.close_idle(action.server),
-            WatchEndpoints: lambda action: self._discovery.follow(action.enabled),
+            WatchEndpoints: lambda action: self._discovery.set_watching(action.enabled),
             FetchEndpoints: lambda _: self._discovery.fetch(),
             PublishServerVerdict: self._publish_server_verdict,
             PublishZoneVerdict: self._publish_zone_verdict,
@@ -138,7 +139,7 @@
         if self._keeper is not None:
             self._timers.every(self._keep_every_s, self._keep_state)
         if self._settings.discovery is DiscoveryMode.PUSH:
-            self._discovery.follow(True)
+            self._discovery.set_watching(True)
         if self._takes_over:
             await self._first_of(stop, self._listed, _LISTED_S)
         if not stop.is_set():
@@ -168,7 +169,7 @@
         """Take over what may change while this runs: where discovery is."""
         sources = config.sources()
         log.info("reloaded: discovery at %s", ", ".join("{}:{}".format(*each) for each in sources)[:200])
-        if self._discovery.move(sources):
+        if self._discovery.replace_sources(sources):
             self._engine.handle(EndpointListReceived(ListKind.SOURCE_CHANGED))
 
     async def _drain(self) -> None:
@@ -289,7 +290,7 @@
         if self._keeper is None:
             return
         self._kept = kept = self._keeper.open()
-        if kept.listed is None or kept.listed[0] != self._discovery.place():
+        if kept.listed is None or kept.listed[0] != self._discovery.source_key():
             return
         try:
             told = parse_list(kept.listed[1])
@@ -298,7 +299,7 @@
             return
         if told.version > self._known.version and told.entries:
             self._known = told
-            self._discovery.begin(told.version)
+            self._discovery.resume_from(told.version)
 
     async def _learn(self, stop: asyncio.Event) -> None:
         """Take up what was kept; with nothing kept, ask the peers, for a bounded time."""
@@ -313,21 +314,24 @@
         assert self._keeper is not None
         plane = self._link.plane if self._link is not None else None
         listed = (
-            (self._discovery.place(), self._endpoint_list.text()) if self._endpoint_list.version else None
+            (self._discovery.source_key(), self._endpoint_list.to_json())
+            if self._endpoint_list.version
+            else None
         )
         self._keeper.keep(self._engine.balancer, self._engine.clock.now(), plane, listed)
 
     # -- The list of servers -------------------------------------------------------------------------------
 
-    def _told(self, told: ListUpdate | None, silent: bool = False) -> None:
-        if told is not None:
+    def _on_watch_event(self, event: WatchEvent) -> None:
+        if isinstance(event, ListUpdate):
             self._listed.set()
-            self._list(ListKind.SNAPSHOT if told.complete else ListKind.DELTA, told)
+            self._list(ListKind.SNAPSHOT if event.complete else ListKind.DELTA, event)
             return
-        self._engine.handle(EndpointListReceived(ListKind.TIMED_OUT if silent else ListKind.FAILED))
+        kind = ListKind.TIMED_OUT if event.timed_out else ListKind.FAILED
+        self._engine.handle(EndpointListReceived(kind))
         if self._settings.discovery is DiscoveryMode.PUSH:
-            wait_s = 0.0 if silent else _PUSHED_AGAIN_S  # silence took its time already
-            self._timers.later(wait_s, self._discovery.follow, True)
+            wait_s = 0.0 if event.timed_out else _PUSHED_AGAIN_S  # silence took its time already
+            self._timers.later(wait_s, self._discovery.set_watching, True)
 
     def _list(self, kind: ListKind, told: ListUpdate) -> None:
         """Note the addresses first: the balancer may send on hearing of a server.
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -12,8 +12,9 @@
 from helpers import S
 from loopback import FakeDiscovery, answer, play, until, world
 from sidecar_balancer.discovery import client as net_discovery
-from sidecar_balancer.discovery.client import _IDLE_S, Discovery
-from sidecar_balancer.discovery.endpoint_list import LIST_MOST_BYTES, ListUpdate, parse_list, read_list
+from sidecar_balancer.discovery.client import _IDLE_S, DiscoveryClient
+from sidecar_balancer.discovery.endpoint_list import MAX_LIST_BYTES, parse_list, read_list
+from sidecar_balancer.discovery.watch_events import PollFailed, WatchEvent
 from sidecar_balancer.policy.types import ServerState
 
 
@@ -115,16 +116,16 @@
 
 def test_discovery_that_is_down_is_a_failed_call() -> None:
     async def scene() -> None:
-        heard: list[ListUpdate | None] = []
+        heard: list[WatchEvent] = []
         down = FakeDiscovery()
         await down.start()
         down.stop()
-        discovery = Discovery([down.address], 1, lambda told, silent: heard.append(told))
-        discovery.follow(True)
-        await until(lambda: heard == [None])
+        discovery = DiscoveryClient([down.address], 1, heard.append)
+        discovery.set_watching(True)
+        await until(lambda: heard == [PollFailed(timed_out=False)])
         await until(lambda: discovery._watch is None or discovery._watch.done())
-        discovery.follow(True)  # and a new watch may begin
-        await until(lambda: heard == [None, None])
+        discovery.set_watching(True)  # and a new watch may begin
+        await until(lambda: heard == [PollFailed(timed_out=False)] * 2)
 
     play(scene())
 
@@ -133,17 +134,17 @@
     async def scene() -> None:
         service = FakeDiscovery()
         await service.start()
-        heard: list[ListUpdate | None] = []
-        discovery = Discovery([service.address], 1, lambda told, silent: heard.append(told))
+        heard: list[WatchEvent] = []
+        discovery = DiscoveryClient([service.address], 1, heard.append)
         for _ in range(3):
-            discovery.follow(True)
+            discovery.set_watching(True)
         await until(lambda: service.targets)
         discovery.fetch()
         await until(lambda: len(service.targets) == 2)
         assert service.targets[1] == "/registry/instances"
         service.say(7, [entry()], snapshot=True)
         await until(lambda: heard)
-        discovery.follow(False)
+        discovery.set_watching(False)
         assert discovery._watch is None
         service.stop()
 
@@ -156,7 +157,7 @@
             await until(lambda: w.discovery.targets)
             moved = FakeDiscovery()
             await moved.start()
-            w.sidecar._discovery.move([moved.address])
+            w.sidecar._discovery.replace_sources([moved.address])
             moved.say(7, [w.servers[1].entry()], snapshot=True)
             await until(lambda: len(moved.targets) == 2)
             assert moved.targets[0] == "/registry/instances"
@@ -283,7 +284,7 @@
 def test_a_list_of_22000_is_read_within_the_bounds() -> None:
     entries = [entry(f"s-{number:08x}", since_ms=1) for number in range(22_000)]
     body = json.dumps({"index": 5, "snapshot": True, "endpoints": entries}).encode()
-    assert len(body) < LIST_MOST_BYTES
+    assert len(body) < MAX_LIST_BYTES
     told = read_list(body)
     assert told.complete and len(told.entries) == 22_000
 
--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -17,9 +17,10 @@
 from registry import Registry, entry
 from sidecar_balancer.discovery import client as discovery
 from sidecar_balancer.discovery import sources
-from sidecar_balancer.discovery.client import Discovery
+from sidecar_balancer.discovery.client import DiscoveryClient
 from sidecar_balancer.discovery.endpoint_list import EndpointList, ListUpdate, parse_list
-from sidecar_balancer.discovery.sources import RelayAddress, SourceSelector, in_order_of_preference
+from sidecar_balancer.discovery.sources import RelayAddress, SourceSelector, rank_relays
+from sidecar_balancer.discovery.watch_events import WatchEvent
 from sidecar_balancer.observability.logs import LogConfig
 from sidecar_balancer.policy.types import ServerState
 from sidecar_balancer.relay import caller as relay_caller
@@ -138,14 +139,14 @@
 
 def test_sidecars_spread_over_relays_own_zone_first_and_only_those_of_a_lost_one_move() -> None:
     relays = [RelayAddress(each, "ab"[number % 2]) for number, each in enumerate(addresses(6))]
-    orders = {name: in_order_of_preference(relays, f"n{name}", "a") for name in range(600)}
+    orders = {name: rank_relays(relays, f"n{name}", "a") for name in range(600)}
     zone_of = {each.address: each.zone for each in relays}
     assert all([zone_of[each] for each in order] == ["a"] * 3 + ["b"] * 3 for order in orders.values())
     firsts = [order[0] for order in orders.values()]
     assert all(140 <= firsts.count(each.address) <= 260 for each in relays if each.zone == "a")
     left = [each for each in relays if each.address != relays[0].address]
     for name, order in orders.items():
-        now = in_order_of_preference(left, f"n{name}", "a")
+        now = rank_relays(left, f"n{name}", "a")
         assert now == [each for each in order if each != relays[0].address]
 
 
@@ -193,13 +194,13 @@
         self.versions: list[int] = []
         self.failed = 0
         self._again: asyncio.TimerHandle | None = None
-        self.client = Discovery(sources, index, self._told)
-        self.client.follow(True)
+        self.client = DiscoveryClient(sources, index, self._on_watch_event)
+        self.client.set_watching(True)
 
-    def _told(self, told: ListUpdate | None, silent: bool) -> None:
-        if told is None:
+    def _on_watch_event(self, told: WatchEvent) -> None:
+        if not isinstance(told, ListUpdate):
             self.failed += 1
-            self._again = asyncio.get_running_loop().call_later(1.0, self.client.follow, True)
+            self._again = asyncio.get_running_loop().call_later(1.0, self.client.set_watching, True)
             return
         self.held.apply(told)
         self.versions.append(told.version)
@@ -590,7 +591,7 @@
     silent_s = longest_wait_s + discovery._RELAY_LATE_S
     quick_s = discovery._QUICK_MS / 1000 + discovery._RELAY_LATE_S
     assert silent_s + quick_s + 1.0 < TOLD_S  # two silent relays in a row
-    assert sources.STALE_S + longest_wait_s + quick_s < TOLD_S  # one that is cut off
+    assert sources.STALE_AFTER_S + longest_wait_s + quick_s < TOLD_S  # one that is cut off
     assert relay_caller.HEAD_WITHIN_S < TOLD_S
 
 
--- a/tests/runtime/test_close_range.py
+++ b/tests/runtime/test_close_range.py
@@ -32,8 +32,9 @@
     world,
 )
 from sidecar_balancer.admin.overrides import Orders
-from sidecar_balancer.discovery.client import Discovery
+from sidecar_balancer.discovery.client import DiscoveryClient
 from sidecar_balancer.discovery.endpoint_list import ListUpdate
+from sidecar_balancer.discovery.watch_events import WatchEvent
 from sidecar_balancer.policy.actions import HealthCheck
 from sidecar_balancer.policy.events import (
     AttemptEnded,
@@ -90,7 +91,7 @@
 ) -> None:
     async def scene() -> None:
         async with world(served, drained=True, discovery=mode) as w:
-            w.sidecar._discovery._chance = lambda: chance
+            w.sidecar._discovery._random_fraction = lambda: chance
             if not first:  # else the first call after the start falls silent
                 w.discovery.say(42, [])
             await until(lambda: len(w.discovery.targets) == 4 - first)
@@ -119,7 +120,7 @@
 ) -> None:
     async def scene() -> None:
         async with world(served, drained=True, discovery=mode) as w:
-            w.sidecar._discovery._chance = lambda: 0.999
+            w.sidecar._discovery._random_fraction = lambda: 0.999
             await fail(w, failures)
             fell_silent = w.discovery.called_at[-1]
             await until(lambda: len(w.discovery.targets) == failures + 3)
@@ -1056,13 +1057,13 @@
     async def scene() -> None:
         service = FakeDiscovery()
         await service.start()
-        watching = Discovery([service.address], 1, lambda told, silent: None, again_s=7.0)
-        watching.follow(True)
+        watching = DiscoveryClient([service.address], 1, lambda _: None, restart_after_s=7.0)
+        watching.set_watching(True)
         service.answers.put_nowait(answer(503, b""))
         await until(lambda: len(service.targets) == 2)
         assert service.called_at[1] - service.called_at[0] == pytest.approx(7.0, abs=0.1)
         await watching.close()
-        watching.follow(True)  # after the end nothing is begun
+        watching.set_watching(True)  # after the end nothing is begun
         assert watching._watch is None
         await service.end()
 
@@ -1077,20 +1078,20 @@
         old, other = FakeDiscovery(), FakeDiscovery()
         await old.start()
         await other.start()
-        heard: list[ListUpdate | None] = []
-        asked = Discovery([old.address], 1, lambda told, silent: heard.append(told))
+        heard: list[WatchEvent] = []
+        asked = DiscoveryClient([old.address], 1, heard.append)
         asked.fetch()
         asked.fetch()
         await until(lambda: len(old.targets) == 2)
-        asked.move([other.address])
-        asked.move([old.address])
+        asked.replace_sources([other.address])
+        asked.replace_sources([old.address])
         await until(lambda: len(old.targets) == 3)
         old.answers.put_nowait(answer(503, b""))
         old.say(7, [], snapshot=True)
         await until(lambda: not asked._fetches)
         assert heard == [] and asked._version is None
         old.say(8, [], snapshot=True)
-        await until(lambda: [each.version for each in heard if each is not None] == [8])
+        await until(lambda: [each.version for each in heard if isinstance(each, ListUpdate)] == [8])
         await asked.close()
         await old.end()
         await other.end()
