--- a/sidecar_balancer/runtime/sidecar.py
+++ b/sidecar_balancer/runtime/sidecar.py
@@ -13,7 +13,6 @@
 from sidecar_balancer.admin.overrides import Orders
 from sidecar_balancer.admin.server import Door
 from sidecar_balancer.admin.views import asked_per_s, state_line
-from sidecar_balancer.config.settings import DiscoveryMode, Settings
 from sidecar_balancer.config.sidecar import Config
 from sidecar_balancer.discovery.client import DiscoveryClient
 from sidecar_balancer.discovery.endpoint_list import EndpointList, ListUpdate, parse_list
@@ -28,6 +27,7 @@
     WatchEndpoints,
 )
 from sidecar_balancer.policy.events import EndpointListReceived
+from sidecar_balancer.policy.settings import DiscoveryMode, Settings
 from sidecar_balancer.policy.types import ListKind
 from sidecar_balancer.runtime.engine import Engine
 from sidecar_balancer.runtime.proxy import Proxy, by_status
@@ -252,8 +252,12 @@
 
     def _paces(self) -> dict[str, float]:
         """What peers that start may take: of servers that answered and are held nothing against."""
-        sound = (each for each in self._engine.balancer.ready if each.last_answer_at >= 0 and not each.told)
-        return {each.name: each.pace for each in sound if each.ejected_until is None}
+        sound = (
+            each
+            for each in self._engine.balancer.ready_servers
+            if each.last_response_at >= 0 and not each.published_verdicts
+        )
+        return {each.name: each.relative_latency for each in sound if each.ejected_until is None}
 
     def _asked(self) -> dict[str, float]:
         return asked_per_s(self._engine.balancer, self._engine.clock.now())
