--- a/sidecar_balancer/admin/views.py
+++ b/sidecar_balancer/admin/views.py
@@ -34,7 +34,7 @@
     }
 
 
-def state_line(balancer: Balancer) -> str:
+def state_summary(balancer: Balancer) -> str:
     """The state behind refusals, for the operators' log."""
     ready = balancer.ready_servers
     return (
@@ -46,7 +46,7 @@
     )
 
 
-def asked_per_s(balancer: Balancer, now: int) -> dict[str, float]:
+def request_rates_per_s(balancer: Balancer, now: int) -> dict[str, float]:
     """What the balancer was asked of late by tenant, requests a second: for the others of the tier."""
     return balancer.demand_per_s_by_tenant(now)
 
--- a/sidecar_balancer/policy/admission.py
+++ b/sidecar_balancer/policy/admission.py
@@ -5,11 +5,11 @@
 import math
 import random
 
-from sidecar_balancer.config.settings import ServiceClass
 from sidecar_balancer.policy.load import RELIABLE_LOAD, LoadTracker
 from sidecar_balancer.policy.priorities import RequestPriorities
 from sidecar_balancer.policy.rates import Rate
 from sidecar_balancer.policy.request import Request
+from sidecar_balancer.policy.settings import ServiceClass
 from sidecar_balancer.policy.stalls import StallDetector
 from sidecar_balancer.policy.window import FREE_RATIO, ConcurrencyWindow
 
--- a/sidecar_balancer/policy/balancer.py
+++ b/sidecar_balancer/policy/balancer.py
@@ -10,7 +10,6 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import Any
 
-from sidecar_balancer.config.settings import Settings
 from sidecar_balancer.policy.action_queue import ActionQueue
 from sidecar_balancer.policy.actions import Action
 from sidecar_balancer.policy.admission import AdmissionControl
@@ -55,6 +54,7 @@
 from sidecar_balancer.policy.retry_budget import RetryBudget
 from sidecar_balancer.policy.selection import EndpointSelector
 from sidecar_balancer.policy.send_gate import SendGate
+from sidecar_balancer.policy.settings import Settings
 from sidecar_balancer.policy.slow_start import SlowStart
 from sidecar_balancer.policy.stalls import StallDetector
 from sidecar_balancer.policy.timer_queue import TimerEntry, TimerKind, TimerQueue
--- a/sidecar_balancer/policy/discovery_schedule.py
+++ b/sidecar_balancer/policy/discovery_schedule.py
@@ -4,9 +4,9 @@
 
 import random
 
-from sidecar_balancer.config.settings import DiscoveryMode, Settings
 from sidecar_balancer.policy.action_queue import ActionQueue
 from sidecar_balancer.policy.actions import WatchEndpoints
+from sidecar_balancer.policy.settings import DiscoveryMode, Settings
 from sidecar_balancer.policy.timer_queue import TimerKind, TimerQueue
 from sidecar_balancer.policy.types import ListKind
 
--- a/sidecar_balancer/policy/intake.py
+++ b/sidecar_balancer/policy/intake.py
@@ -5,7 +5,6 @@
 import math
 from collections.abc import Iterable
 
-from sidecar_balancer.config.settings import ServiceClass
 from sidecar_balancer.policy.admission import AdmissionControl
 from sidecar_balancer.policy.events import ClientDisconnected, RequestBodyEnded, RequestReceived
 from sidecar_balancer.policy.latency import LatencyTracker
@@ -15,6 +14,7 @@
 from sidecar_balancer.policy.request import DEADLINE_OPEN_US, Request
 from sidecar_balancer.policy.request_table import RequestTable
 from sidecar_balancer.policy.retry_budget import RetryBudget
+from sidecar_balancer.policy.settings import ServiceClass
 from sidecar_balancer.policy.stalls import StallDetector
 from sidecar_balancer.policy.timer_queue import TimerKind, TimerQueue
 from sidecar_balancer.policy.types import Flow
--- a/sidecar_balancer/policy/latency.py
+++ b/sidecar_balancer/policy/latency.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Mapping
 
-from sidecar_balancer.config.settings import ServiceClass
 from sidecar_balancer.policy.endpoint import Server
 from sidecar_balancer.policy.load import LoadTracker
 from sidecar_balancer.policy.request import Request
+from sidecar_balancer.policy.settings import ServiceClass
 from sidecar_balancer.policy.types import ServerVerdict
 from sidecar_balancer.policy.verdicts import VerdictExchange
 
--- a/sidecar_balancer/policy/placement.py
+++ b/sidecar_balancer/policy/placement.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from sidecar_balancer.config.settings import Limits
 from sidecar_balancer.policy.action_queue import ActionQueue
 from sidecar_balancer.policy.actions import CancelAttempt
 from sidecar_balancer.policy.request import Attempt, Request
@@ -10,6 +9,7 @@
 from sidecar_balancer.policy.retry_budget import RetryBudget
 from sidecar_balancer.policy.selection import EndpointSelector
 from sidecar_balancer.policy.send_gate import SendGate
+from sidecar_balancer.policy.settings import Limits
 
 
 class Placement:
--- a/sidecar_balancer/policy/priorities.py
+++ b/sidecar_balancer/policy/priorities.py
@@ -5,8 +5,8 @@
 from collections import Counter
 from collections.abc import Mapping
 
-from sidecar_balancer.config.settings import Settings
 from sidecar_balancer.policy.rates import Rate
+from sidecar_balancer.policy.settings import Settings
 from sidecar_balancer.policy.types import Flow
 
 DEMAND_OBJECTIVES = 4.0  # demand is averaged over this many of the longest objective
--- a/sidecar_balancer/policy/request.py
+++ b/sidecar_balancer/policy/request.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass, field
 
-from sidecar_balancer.config.settings import Idempotency, ServiceClass
 from sidecar_balancer.policy.endpoint import Server
+from sidecar_balancer.policy.settings import Idempotency, ServiceClass
 from sidecar_balancer.policy.types import Flow
 
 DEADLINE_OPEN_US = 2**62  # no deadline while a body arrives: the data path bounds how slowly it may
--- a/sidecar_balancer/policy/request_table.py
+++ b/sidecar_balancer/policy/request_table.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from sidecar_balancer.config.settings import Idempotency
 from sidecar_balancer.policy.action_queue import ActionQueue
 from sidecar_balancer.policy.actions import CancelAttempt, Fail, Reject
 from sidecar_balancer.policy.request import Request
+from sidecar_balancer.policy.settings import Idempotency
 
 
 class RequestTable:
--- a/sidecar_balancer/policy/selection.py
+++ b/sidecar_balancer/policy/selection.py
@@ -9,7 +9,6 @@
 import random
 from collections.abc import Sequence
 
-from sidecar_balancer.config.settings import Idempotency, Prices
 from sidecar_balancer.policy.endpoint import Server
 from sidecar_balancer.policy.latency import RELATIVE_LATENCY_MAX
 from sidecar_balancer.policy.load import LoadTracker
@@ -17,6 +16,7 @@
 from sidecar_balancer.policy.outliers import OutlierDetector
 from sidecar_balancer.policy.overrides import DisabledServers
 from sidecar_balancer.policy.request import Request
+from sidecar_balancer.policy.settings import Idempotency, Prices
 from sidecar_balancer.policy.slow_start import SlowStart
 from sidecar_balancer.policy.verdicts import VerdictExchange, peers_against
 from sidecar_balancer.policy.window import FREE_RATIO, LATE_MAX_RATIO, ConcurrencyWindow
--- a/sidecar_balancer/policy/send_gate.py
+++ b/sidecar_balancer/policy/send_gate.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from sidecar_balancer.config.settings import Limits
 from sidecar_balancer.policy.action_queue import ActionQueue
 from sidecar_balancer.policy.actions import SendAttempt
 from sidecar_balancer.policy.endpoint import Server
@@ -10,6 +9,7 @@
 from sidecar_balancer.policy.load import LoadTracker
 from sidecar_balancer.policy.outliers import OutlierDetector
 from sidecar_balancer.policy.request import DEADLINE_OPEN_US, Attempt, Request
+from sidecar_balancer.policy.settings import Limits
 from sidecar_balancer.policy.slow_start import SlowStart
 from sidecar_balancer.policy.stalls import StallDetector
 from sidecar_balancer.policy.timer_queue import TimerKind, TimerQueue
--- a/sidecar_balancer/policy/slow_start.py
+++ b/sidecar_balancer/policy/slow_start.py
@@ -6,10 +6,10 @@
 import random
 from collections.abc import Sequence
 
-from sidecar_balancer.config.settings import Rules
 from sidecar_balancer.policy.endpoint import Server
 from sidecar_balancer.policy.load import LoadTracker
 from sidecar_balancer.policy.rates import Rate
+from sidecar_balancer.policy.settings import Rules
 
 REFILL_RATIO = 0.5  # part of the load that would overload the server: its true capacity is unknown
 BURST_RATIO = 0.18  # part of that load that may come at once
