--- a/sidecar_balancer/policy/slow_start.py
+++ b/sidecar_balancer/policy/slow_start.py
@@ -59,7 +59,7 @@
 
     def has_capacity(self, now: int, server: Server, cost: float) -> bool:
         """Whether the server's bucket has the tokens for a request of this cost, after a refill."""
-        if not self.is_warming_up(now, server):
+        if server.warming_since is None or not self.is_warming_up(now, server):
             return True
         limit = self._rules.overload_multiple * self.weight(now, server) * self.estimate_capacity(now)
         most = max(1.0, BURST_RATIO * limit * self._rules.overload_window_us)
@@ -70,12 +70,12 @@
 
     def attempt_sent(self, now: int, server: Server, cost: float) -> None:
         """Take the tokens of an attempt."""
-        if self.is_warming_up(now, server):
+        if server.warming_since is not None and self.is_warming_up(now, server):
             server.slow_start_tokens -= cost
 
     def response_received(self, now: int, server: Server, cost: float) -> None:
         """Count what a warm server has served; servers that warm up get light requests first."""
-        if not self.is_warming_up(now, server):
+        if server.warming_since is None or not self.is_warming_up(now, server):
             self._served_by_warm.add(now, cost)
 
     def estimate_capacity(self, now: int) -> float:
--- a/sidecar_balancer/policy/timer_queue.py
+++ b/sidecar_balancer/policy/timer_queue.py
@@ -29,8 +29,8 @@
     due_at: int  # clock time in microseconds
     sequence: int
     kind: TimerKind
-    request_id: int
-    attempt_index: int
+    request_id: int | None = None
+    attempt_index: int | None = None  # None: the request as a whole
 
 
 class TimerQueue:
@@ -42,8 +42,10 @@
         self._sequence = 0
         self._armed_for: int | None = None  # when the caller's timer fires
 
-    def schedule(self, due_at: int, kind: TimerKind, request_id: int = -1, attempt_index: int = -1) -> None:
-        """Add an entry; requests and attempts are given where the kind concerns one."""
+    def schedule(
+        self, due_at: int, kind: TimerKind, request_id: int | None = None, attempt_index: int | None = None
+    ) -> None:
+        """Add an entry; the request and attempt are given where the kind concerns one."""
         self._sequence += 1
         heapq.heappush(self._entries, TimerEntry(due_at, self._sequence, kind, request_id, attempt_index))
 
--- a/sidecar_balancer/policy/verdicts.py
+++ b/sidecar_balancer/policy/verdicts.py
@@ -50,10 +50,12 @@
 
     def response_received(self, server: Server, service_class: str) -> None:
         """A response disproves the peers' verdicts and ends the own one for its class."""
-        for name in (None, service_class):
-            if name in server.peer_verdicts:
-                server.peer_verdicts[name] = 0
-        self.publish(server, service_class, ServerVerdict.CLEARED)
+        if server.peer_verdicts:
+            for name in (None, service_class):
+                if name in server.peer_verdicts:
+                    server.peer_verdicts[name] = 0
+        if service_class in server.published_verdicts:
+            self.publish(server, service_class, ServerVerdict.CLEARED)
 
 
 def peers_against(server: Server, service_class: str) -> int:
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -108,7 +108,7 @@
         async with world(served, rules={"poll_interval_us": 1 * S}) as w:
             w.discovery.answers.put_nowait(bad)
             await until(lambda: len(w.discovery.targets) == 2)
-            assert w.sidecar._engine.balancer.discovery.failed_calls == 1
+            assert w.sidecar._engine.balancer.components.discovery.failed_calls == 1
             assert (await w.ask())[0] == 200
 
     play(scene())
--- a/tests/policy/test_draw.py
+++ b/tests/policy/test_draw.py
@@ -303,7 +303,7 @@
         [ListedServer(name, "east", nominal=0.5 if name == names(5)[0] else 1.0) for name in names(5)]
     )
     seen: list[float] = []
-    drawn = stage.balancer.selector.draw
+    drawn = stage.balancer.components.selector.draw
 
     def watch(pool: list[Server], odds: list[float], count: int) -> list[Server]:
         by_name = {each.name: chance for each, chance in zip(pool, odds, strict=True)}
@@ -311,7 +311,7 @@
         seen.append(slow / max(by_name.values()))
         return drawn(pool, odds, count)
 
-    monkeypatch.setattr(stage.balancer.selector, "draw", watch)
+    monkeypatch.setattr(stage.balancer.components.selector, "draw", watch)
     for cost in (20 * MS, 20 * MS, 100 * MS):
         stage.end(stage.request(cost_us=cost))
     assert seen[2] < 0.5 * seen[0]
@@ -392,8 +392,8 @@
 def test_two_at_once_are_no_overload_for_a_small_balancer() -> None:
     stage = Stage()
     stage.servers(names(8))
-    stage.balancer.concurrency_window.size = 1.0
-    stage.balancer.concurrency_window.sized_at = stage.now
+    stage.balancer.components.window.size = 1.0
+    stage.balancer.components.window.sized_at = stage.now
     for _ in range(10):
         pair = (stage.request(), stage.request())
         stage.wait(50 * MS)
--- a/tests/policy/test_exclusions.py
+++ b/tests/policy/test_exclusions.py
@@ -117,7 +117,7 @@
             stage.end(request)
         sent = [each.server for _, each in stage.log[before:] if isinstance(each, SendAttempt)]
         assert server.name in sent, seed
-        assert server not in stage.balancer.disabled.unused
+        assert server not in stage.balancer.components.disabled.unused
 
 
 def test_after_the_ban_a_server_is_as_the_list_says() -> None:
@@ -166,7 +166,7 @@
     for deploy in range(10):
         stage.servers([f"{deploy}-{each}" for each in SERVERS])
     stage.servers([])
-    assert len(stage.balancer.endpoints.former_names) == 20 and not stage.balancer.servers
+    assert len(stage.balancer.components.endpoints.former_names) == 20 and not stage.balancer.servers
     assert ask(stage, f"9-{SERVERS[0]}", True)
 
 
--- a/tests/policy/test_locality.py
+++ b/tests/policy/test_locality.py
@@ -90,7 +90,7 @@
         spills.append(round(1.0 - stage.balancer.zones.load_shares()[0], 3))
         ejected = stage.balancer.servers[f"a-{gone}"]
         ejected.ejected_until = stage.now + SECOND
-        stage.balancer.outliers.ejected.append(ejected)
+        stage.balancer.components.outliers.ejected.append(ejected)
         stage.balancer.zones.invalidate_shares()
     assert spills == [0.0, 0.0, 0.0, 0.02, 0.16, 0.3, 0.44, 0.58]  # 1 - 1.4 x the healthy part
 
@@ -239,9 +239,9 @@
 
 def test_what_the_tier_was_asked_weighs_a_tenants_requests() -> None:
     stage = Stage(settings(tenants=[{"name": "t", "share": 1.0, "quota_per_s": 10.0}], over_share_weight=0.1))
-    worth = stage.balancer.priorities.weight(Flow("look", "t"), 5 / SECOND, 5 / SECOND)
+    worth = stage.balancer.components.priorities.weight(Flow("look", "t"), 5 / SECOND, 5 / SECOND)
     stage.play(TierDemandReceived({"t": 95.0}))
-    over = stage.balancer.priorities.weight(Flow("look", "t"), 5 / SECOND, 5 / SECOND)
+    over = stage.balancer.components.priorities.weight(Flow("look", "t"), 5 / SECOND, 5 / SECOND)
     assert worth == pytest.approx(1.0) and over == pytest.approx(0.1 + 0.9 * 0.1)
 
 
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -307,7 +307,7 @@
             stage.wait(20 * MS)
             stage.end(stage.request(cost_us=served_us))
             stage.request(remaining_us=0, cost_us=200_000 - served_us)  # too late to be sent
-        rates.append(stage.balancer.slow_start.estimate_capacity(stage.now))
+        rates.append(stage.balancer.components.slow_start.estimate_capacity(stage.now))
     assert 0.0 < rates[1] < 0.5 * rates[0]
 
 
@@ -317,9 +317,9 @@
     stage.serve(200, every_us=10 * MS)
     stage.servers([ListedServer("10.0.0.9:80", zone="east", started_at=stage.now)], ListKind.DELTA)
     stage.request()
-    served = stage.balancer.slow_start.estimate_capacity(stage.now)
+    served = stage.balancer.components.slow_start.estimate_capacity(stage.now)
     stage.wait(5 * S)  # more than the span over which rates are averaged
-    assert stage.balancer.slow_start.estimate_capacity(stage.now) > 0.5 * served > 0.0
+    assert stage.balancer.components.slow_start.estimate_capacity(stage.now) > 0.5 * served > 0.0
 
 
 def test_a_cold_server_is_sent_what_its_warmth_bears_and_little_more() -> None:
@@ -347,7 +347,7 @@
         stage.serve(40, every_us=200 * MS)  # one request a second to each server
         stage.servers([ListedServer("10.0.0.9:80", zone="east", started_at=stage.now)], ListKind.DELTA)
         began, server = stage.now, stage.balancer.servers["10.0.0.9:80"]
-        while not stage.balancer.slow_start.has_capacity(stage.now, server, 1.0):
+        while not stage.balancer.components.slow_start.has_capacity(stage.now, server, 1.0):
             stage.wait(100 * MS)
         room.append(stage.now - began)
     # Of 40 requests a second at a warm server, this cold one bears 8, and is pushed over by 48 in 2 s.
@@ -373,9 +373,9 @@
     server = next(each for each in stage.balancer.servers.values() if each is not request.attempts[0].server)
     for state in (ServerState.DRAINING, ServerState.REMOVED):
         stage.drain(server.name, state)
-        assert not stage.balancer.gate.send(stage.now, request, server)
+        assert not stage.balancer.components.gate.send(stage.now, request, server)
     stage.servers([server.name], ListKind.DELTA)
-    assert stage.balancer.gate.send(stage.now, request, stage.balancer.servers[server.name])
+    assert stage.balancer.components.gate.send(stage.now, request, stage.balancer.servers[server.name])
 
 
 def test_the_gate_lets_no_second_copy_out_where_only_one_is_allowed() -> None:
@@ -386,7 +386,7 @@
         server = next(
             each for each in stage.balancer.servers.values() if each is not request.attempts[0].server
         )
-        assert stage.balancer.gate.send(stage.now, request, server) is allowed
+        assert stage.balancer.components.gate.send(stage.now, request, server) is allowed
 
 
 # Full is no proof, where that is stated
@@ -412,7 +412,7 @@
     request = stage.request()
     live = stage.balancer.open_requests[request]
     server = next(each for each in stage.balancer.servers.values() if each is not live.attempts[0].server)
-    assert stage.balancer.gate.send(stage.now, live, server)
+    assert stage.balancer.components.gate.send(stage.now, live, server)
     stage.play(ResponseStarted(request, 1, server.name, 30 * MS))
     assert [(each.request, each.attempt) for each in stage.said(CancelAttempt)] == [(request, 0)]
     stage.end(request, Outcome.CANCELLED, attempt=0, answered=True)
--- a/tests/runtime/test_close_range.py
+++ b/tests/runtime/test_close_range.py
@@ -821,7 +821,7 @@
                 else:
                     await until(w.sent)
                 seen, earlier = len(w.sent()), len(balancer.actions)
-                balancer.placement.place(w.sidecar._engine.clock.now(), asked)  # a hedged request
+                balancer.components.placement.place(w.sidecar._engine.clock.now(), asked)  # a hedged request
                 w.sidecar._engine.execute(balancer.actions[earlier:])
                 await until(lambda: len(w.sent()) > seen)
                 name = asked.attempts[1].server.name
@@ -883,7 +883,7 @@
 ) -> None:
     async def scene() -> None:
         async with world(hung, hung, drained=True) as w:
-            requests, failed = w.sidecar._engine.balancer.requests, list[int]()
+            requests, failed = w.sidecar._engine.balancer.components.requests, list[int]()
             real = requests.finish
 
             def finish(given: Any) -> None:
@@ -911,7 +911,7 @@
 ) -> None:
     async def scene() -> None:
         async with world(hung, drained=True) as w:
-            timers = w.sidecar._engine.balancer.timers
+            timers = w.sidecar._engine.balancer.components.timers
             real = timers.pop_due
 
             def fails(_: int) -> None:
@@ -937,7 +937,7 @@
             def fails(_now: int, _request: object) -> None:
                 raise ZeroDivisionError
 
-            placement = w.sidecar._engine.balancer.placement
+            placement = w.sidecar._engine.balancer.components.placement
             real = placement.place
             monkeypatch.setattr(placement, "place", fails)
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
@@ -955,7 +955,7 @@
 ) -> None:
     async def scene() -> None:
         async with world(hung, drained=True) as w:
-            timers = w.sidecar._engine.balancer.timers
+            timers = w.sidecar._engine.balancer.components.timers
             real = timers.arm
 
             def fails(*_: object) -> None:
@@ -1135,7 +1135,7 @@
             w.sidecar._discovery._tell(None, silent=True)  # it is told in the next turn
             w.move_discovery(moved.address)
             await until(lambda: moved.targets)
-            schedule = w.sidecar._engine.balancer.discovery
+            schedule = w.sidecar._engine.balancer.components.discovery
             assert schedule.failed_calls == schedule.unanswered_watches == 0
             await moved.end()
 
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -259,7 +259,7 @@
     assert (
         not balancer.open_requests
         and balancer.pending_attempts == 0
-        and balancer.load_tracker.pending_at_ejected == 0
+        and balancer.components.load.pending_at_ejected == 0
     )
     assert [each.in_flight for each in balancer.servers.values() if each.in_flight] == []
     assert upstream.open_count == 0 and sidecar.frontend.is_empty()
