--- a/sidecar_balancer/simulator/__init__.py
+++ b/sidecar_balancer/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter that puts balancers on the simulator's wire."""
+"""Runs balancers behind the simulator's wire: JSON lines of events in, actions out."""
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -16,7 +16,7 @@
 from hypothesis import strategies as st
 
 from sidecar_balancer.config.wire_names import settings_from_wire
-from sidecar_balancer.simulator.adapter import run
+from sidecar_balancer.simulator.__main__ import run
 
 BOOT: dict[str, Any] = {
     "bounds": {"sendCap": 3, "secondCopies": True, "mayCancel": True, "streamsPerConn": 1},
@@ -167,7 +167,7 @@
     text = "".join(json.dumps(each) + "\n" for each in script)
     replies = [
         subprocess.run(
-            [sys.executable, "-m", "sidecar_balancer.simulator.adapter"],
+            [sys.executable, "-m", "sidecar_balancer.simulator"],
             input=text,
             capture_output=True,
             text=True,
