--- a/sidecar_balancer/admin/handlers.py
+++ b/sidecar_balancer/admin/handlers.py
@@ -135,7 +135,7 @@
 
     def _order_zone(self, zone: str, order: ZoneOverride | None) -> None:
         zones = self._engine.balancer.zones
-        if not zones.on:
+        if not zones.enabled:
             raise RequestRejectedError(404, "zones are off")
         if zone not in zones.by_name:
             raise RequestRejectedError(404, "no such zone is listed")
@@ -192,7 +192,7 @@
             self._engine.handle(DisabledServersChanged(wanted))
 
     def _hear_zone_orders(self) -> None:
-        if not self._engine.balancer.zones.on:
+        if not self._engine.balancer.zones.enabled:
             return
         try:
             stored = self._overrides.zone_overrides()
--- a/sidecar_balancer/runtime/sidecar.py
+++ b/sidecar_balancer/runtime/sidecar.py
@@ -13,7 +13,6 @@
 from sidecar_balancer.admin.overrides import OperatorOverrides
 from sidecar_balancer.admin.server import AdminServer
 from sidecar_balancer.admin.views import request_rates_per_s, state_summary
-from sidecar_balancer.config.settings import DiscoveryMode, Settings
 from sidecar_balancer.config.sidecar import SidecarConfig
 from sidecar_balancer.discovery.client import Discovery
 from sidecar_balancer.discovery.endpoint_list import EndpointList, ListUpdate, parse_list
@@ -27,6 +26,7 @@
     WatchEndpoints,
 )
 from sidecar_balancer.policy.events import EndpointListReceived
+from sidecar_balancer.policy.settings import DiscoveryMode, Settings
 from sidecar_balancer.policy.types import ListKind
 from sidecar_balancer.runtime.engine import Engine
 from sidecar_balancer.runtime.proxy import Proxy, by_status
@@ -264,8 +264,12 @@
 
     def _paces(self) -> dict[str, float]:
         """What peers that start may take: of servers that answered and are held nothing against."""
-        sound = (each for each in self._engine.balancer.ready if each.last_answer_at >= 0 and not each.told)
-        return {each.name: each.pace for each in sound if each.ejected_until is None}
+        sound = (
+            each
+            for each in self._engine.balancer.ready_servers
+            if each.last_response_at >= 0 and not each.published_verdicts
+        )
+        return {each.name: each.relative_latency for each in sound if each.ejected_until is None}
 
     def _asked(self) -> dict[str, float]:
         return request_rates_per_s(self._engine.balancer, self._engine.clock.now())
