--- a/sidecar_balancer/persistence/__init__.py
+++ b/sidecar_balancer/persistence/__init__.py
@@ -1,1 +1,1 @@
-"""What a sidecar keeps across a crash: checked snapshots on disk (docs/recovery.md)."""
+"""State that survives a crash: checksummed snapshots and change logs on disk (docs/recovery.md)."""
--- a/sidecar_balancer/persistence/snapshot.py
+++ b/sidecar_balancer/persistence/snapshot.py
@@ -1,15 +1,14 @@
-"""Snapshots: a versioned header, length-prefixed records with a checksum each, and a trailer over the whole.
+"""Snapshot files: a versioned header, checksummed records, and a trailer with a checksum over everything.
 
 Layout, integers big-endian:
 
     MAGIC (8 bytes) | version (u16) | record* | trailer
-    record  = length (u32) | xxh32(payload, seed = the record's index) (u32) | payload (length bytes)
-    trailer = TRAILER (4 bytes) | count (u32) | xxh64 of every byte before the trailer (u64)
+    record  = see framing.py, its payload at most MAX_RECORD_BYTES long
+    trailer = TRAILER_MAGIC (4 bytes) | count (u32) | xxh64 of every byte before the trailer (u64)
 
-`read` takes what is whole: a file cut short (a crash within a write) keeps the records before the first one
-that is short or fails its checksum, and says it was cut; a foreign magic, another version or a wrong trailer
-raises `SnapshotError`, so that no wrong state is taken.  `write` is atomic: a temporary file, fsync,
-rename, fsync of the folder.  Records are opaque bytes; callers pack them (msgpack).
+A truncated file (a crash during a write) keeps the records before the first one that is incomplete.  A file
+with another magic, another version or a trailer that does not match raises SnapshotError, so that no wrong
+state is loaded.  Records are opaque bytes here; callers encode them.
 """
 
 from __future__ import annotations
@@ -21,94 +20,102 @@
 
 import xxhash
 
+from sidecar_balancer.persistence.framing import RECORD_HEADER_BYTES, frame_record, read_record
+
 MAGIC = b"WLSNAP\x00\x01"
 VERSION = 1
-TRAILER = b"END\x00"
-RECORD_MOST = 1 << 20  # bytes of one record
-_HEAD = struct.Struct(">8sH")
-_RECORD = struct.Struct(">II")
-_TAIL = struct.Struct(">4sIQ")
+TRAILER_MAGIC = b"END\x00"
+MAX_RECORD_BYTES = 1 << 20
+_HEADER = struct.Struct(">8sH")
+_TRAILER = struct.Struct(">4sIQ")
 
 
 class SnapshotError(ValueError):
-    """Not a snapshot of this version, or one whose whole does not check out."""
+    """A file that is no snapshot of this version, or that fails its checksum or its size limit."""
 
 
 @dataclass(frozen=True, slots=True)
-class Read:
+class SnapshotContent:
+    """The records of a snapshot file."""
+
     records: list[bytes]
-    whole: bool  # False: the file was cut short, and what came after `records` was dropped
-    cut_at: int  # bytes that were good
+    is_complete: bool  # False: the file was truncated, and what came after `records` was dropped
+    valid_bytes: int
 
 
 def pack(records: list[bytes]) -> bytes:
-    """The bytes of a snapshot holding `records`; ValueError for a record over `RECORD_MOST`."""
-    parts = [_HEAD.pack(MAGIC, VERSION)]
+    """Return the bytes of a snapshot of `records`; raises ValueError for one over `MAX_RECORD_BYTES`."""
+    parts = [_HEADER.pack(MAGIC, VERSION)]
     for index, payload in enumerate(records):
-        if len(payload) > RECORD_MOST:
-            raise ValueError(f"a record of {len(payload)} bytes, over {RECORD_MOST}")
-        parts.append(_RECORD.pack(len(payload), xxhash.xxh32_intdigest(payload, seed=index)) + payload)
+        if len(payload) > MAX_RECORD_BYTES:
+            raise ValueError(f"a record of {len(payload)} bytes, over {MAX_RECORD_BYTES}")
+        parts.append(frame_record(payload, index))
     body = b"".join(parts)
-    return body + _TAIL.pack(TRAILER, len(records), xxhash.xxh64_intdigest(body))
+    return body + _TRAILER.pack(TRAILER_MAGIC, len(records), xxhash.xxh64_intdigest(body))
 
 
-def read(data: bytes) -> Read:
-    """Unpack a snapshot; raise `SnapshotError` (see the module's doc)."""
-    if len(data) < _HEAD.size:
-        return Read([], False, 0)  # a write that had not begun
-    magic, version = _HEAD.unpack_from(data)
+def unpack(data: bytes) -> SnapshotContent:
+    """Read the bytes of a snapshot; raises SnapshotError."""
+    if len(data) < _HEADER.size:
+        return SnapshotContent([], False, 0)
+    magic, version = _HEADER.unpack_from(data)
     if magic != MAGIC:
         raise SnapshotError("not a snapshot")
     if version != VERSION:
         raise SnapshotError(f"a snapshot of version {version}, not {VERSION}")
     records: list[bytes] = []
-    at = _HEAD.size
+    offset = _HEADER.size
     while True:
-        if data[at : at + len(TRAILER)] == TRAILER and len(data) - at == _TAIL.size:
-            _, count, digest = _TAIL.unpack_from(data, at)
-            if count != len(records) or digest != xxhash.xxh64_intdigest(data[:at]):
-                raise SnapshotError("the trailer does not match the records")
-            return Read(records, True, len(data))
-        payload = _record(data, at, len(records))
-        if payload is None:
-            return Read(records, False, at)
+        if _is_trailer(data, offset):
+            _check_trailer(data, offset, len(records))
+            return SnapshotContent(records, True, len(data))
+        payload = read_record(data, offset, len(records))
+        if payload is None or len(payload) > MAX_RECORD_BYTES:
+            return SnapshotContent(records, False, offset)
         records.append(payload)
-        at += _RECORD.size + len(payload)
-
-
-def _record(data: bytes, at: int, index: int) -> bytes | None:
-    if len(data) - at < _RECORD.size:
-        return None
-    length, digest = _RECORD.unpack_from(data, at)
-    start = at + _RECORD.size
-    if length > RECORD_MOST or len(data) - start < length:
-        return None
-    payload = data[start : start + length]
-    return payload if xxhash.xxh32_intdigest(payload, seed=index) == digest else None
+        offset += RECORD_HEADER_BYTES + len(payload)
 
 
 def write(path: Path, records: list[bytes]) -> None:
-    """Replace `path` with a snapshot of `records`, atomically; raise OSError where the disk says no."""
-    spare = path.with_name(path.name + ".new")
-    with open(spare, "wb") as file:
+    """Replace `path` with a snapshot of `records` atomically and durably; raises OSError."""
+    temporary = path.with_name(path.name + ".new")
+    with temporary.open("wb") as file:
         file.write(pack(records))
         file.flush()
         os.fsync(file.fileno())
-    os.replace(spare, path)
-    folder = os.open(path.parent, os.O_RDONLY)
-    try:
-        os.fsync(folder)
-    finally:
-        os.close(folder)
+    temporary.replace(path)
+    _sync_folder(path.parent)
 
 
-def load(path: Path, most: int) -> Read:
-    """Read `path` if it is there (an empty `Read` if not); raise OSError, or `SnapshotError`, also for a file
-    over `most` bytes: memory is bounded."""
+def load(path: Path, max_bytes: int) -> SnapshotContent:
+    """Read the snapshot at `path`; a missing file gives a complete one without records.
+
+    Raises:
+        SnapshotError: it is no snapshot, is damaged, or is larger than `max_bytes`.
+        OSError: it can't be read.
+    """
     try:
         size = path.stat().st_size
     except FileNotFoundError:
-        return Read([], True, 0)
-    if size > most:
-        raise SnapshotError(f"{size} bytes, over {most}")
-    return read(path.read_bytes())
+        return SnapshotContent([], True, 0)
+    if size > max_bytes:
+        raise SnapshotError(f"{size} bytes, over {max_bytes}")
+    return unpack(path.read_bytes())
+
+
+def _is_trailer(data: bytes, offset: int) -> bool:
+    return len(data) - offset == _TRAILER.size and data[offset : offset + len(TRAILER_MAGIC)] == TRAILER_MAGIC
+
+
+def _check_trailer(data: bytes, offset: int, record_count: int) -> None:
+    _, count, checksum = _TRAILER.unpack_from(data, offset)
+    if count != record_count or checksum != xxhash.xxh64_intdigest(data[:offset]):
+        raise SnapshotError("the trailer does not match the records")
+
+
+def _sync_folder(folder: Path) -> None:
+    descriptor = os.open(folder, os.O_RDONLY)
+    try:
+        os.fsync(descriptor)
+    finally:
+        os.close(descriptor)
--- a/sidecar_balancer/persistence/store.py
+++ b/sidecar_balancer/persistence/store.py
@@ -1,229 +1,200 @@
-"""Keyed records that outlast a crash: a snapshot and an append-only log of the changes since.
+"""Keyed records that survive a crash: a snapshot, and a log of the changes since.
 
-Each start of the program is a *life*, one more than the highest on disk, and writes files of its own, so
-that of two processes which share the folder (an upgrade) the older never overwrites what the newer wrote;
-once it sees a later life it writes no more.
+Each start of the program is an incarnation, one higher than the highest on disk, and writes files of its
+own.  So of two processes that share the folder during an upgrade, the older never overwrites what the newer
+wrote; once it finds files of a later incarnation it stops writing.
 
-    state-LIFE.snap   a snapshot (state/snapshot.py): record 0 is msgpack [life, generation], each next one
-                      msgpack [key, value]
-    state-LIFE.log    MAGIC (8 bytes) | version (u16) | life (u32) | generation (u32), then for each change
-                      length (u32) | xxh32(payload, seed = its place) (u32) | msgpack [key, value or nil]
+    state-INCARNATION.snap   a snapshot (snapshot.py): record 0 is msgpack [incarnation, generation], each
+                             further one msgpack [key, value]
+    state-INCARNATION.log    a change log (change_log.py) of the snapshot of the same generation
 
-A log counts only on the snapshot of its own generation, and up to its first record that is short or fails its
-checksum.  Past half of `most` bytes the log is folded into a new snapshot; live records take no more than the
-other half: beyond it those put longest ago go, and `evicted` counts them.
+Once the log exceeds half of the store's size limit, a new snapshot takes its place.  Live records may take
+the other half: beyond it those written longest ago are evicted.
 """
 
 from __future__ import annotations
 
-import os
 import re
-import struct
 from dataclasses import dataclass, field
 from pathlib import Path
 
 import msgpack  # type: ignore[import-untyped]
-import xxhash
 
-from sidecar_balancer.persistence import snapshot
+from sidecar_balancer.persistence import change_log, keyed_records, snapshot
+from sidecar_balancer.persistence.change_log import ChangeLogWriter, LogVersion
 from sidecar_balancer.persistence.snapshot import SnapshotError
 
-LOG_MAGIC = b"WLLOG\x00\x00\x01"
-LOG_VERSION = 1
-_HEAD = struct.Struct(">8sHII")
-_RECORD = struct.Struct(">II")
-_NAME = re.compile(r"state-(\d{1,9})\.(snap|log)(\.new)?")
-_LEAST = 64 * 1024
+_FILE_NAME = re.compile(r"state-(\d{1,9})\.(snap|log)(\.new)?")
+_MIN_SIZE_LIMIT_BYTES = 64 * 1024
+_RECORD_OVERHEAD_BYTES = 16
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
-    """What was on disk.  `notes`: a line for each file that was refused or cut."""
+class LoadedRecords:
+    """What was on disk."""
 
     records: dict[str, bytes] = field(default_factory=dict)
-    notes: tuple[str, ...] = ()
+    notes: tuple[str, ...] = ()  # a line for each file that was rejected or truncated
 
 
 class Store:
-    """The records of one life.  `open` first; `put` holds a change, `flush` writes what was held."""
+    """The records of one incarnation: `open` first; `put` changes them in memory, `flush` writes them."""
 
-    def __init__(self, folder: Path, most: int) -> None:
-        self._folder, self._most = folder, max(most, _LEAST)
-        self.life = self._generation = 0
+    def __init__(self, folder: Path, max_bytes: int) -> None:
+        self._folder = folder
+        self._max_bytes = max(max_bytes, _MIN_SIZE_LIMIT_BYTES)
+        self.incarnation = 0
+        self._generation = 0
         self._records: dict[str, bytes] = {}
-        self._size = self._log_size = self._log_count = 0
-        self._dirty: dict[str, bytes | None] = {}
-        self._whole = False  # whether snapshot and log on disk are those of this life, without a torn end
-        self.outlived = False  # a later life writes here: this one writes no more
-        self.evicted = 0
+        self._size_bytes = 0
+        self._unsaved: dict[str, bytes | None] = {}
+        self._log: ChangeLogWriter | None = None  # None: the next flush has to write a snapshot
+        self.is_superseded = False  # a later incarnation writes here, so this one no longer does
+        self.evicted_count = 0
 
     # -- Reading ----------------------------------------------------------------------------------------
 
-    def open(self) -> Found:
-        """Read what the latest readable life left; raise OSError where the folder can't be read."""
+    def open(self) -> LoadedRecords:
+        """Load the records of the latest readable incarnation; raises OSError for an unreadable folder."""
         self._folder.mkdir(parents=True, exist_ok=True)
-        lives = self._lives()
-        self.life = max(lives, default=0) + 1
+        incarnations = self._incarnations_on_disk()
+        self.incarnation = max(incarnations, default=0) + 1
         notes: list[str] = []
-        for life in sorted(lives, reverse=True):
-            records = self._read(life, notes)
+        for incarnation in sorted(incarnations, reverse=True):
+            records = self._load(incarnation, notes)
             if records is not None:
                 for key, value in records.items():
                     self.put(key, value)
-                return Found(records, tuple(notes))
-        return Found({}, tuple(notes))
+                return LoadedRecords(records, tuple(notes))
+        return LoadedRecords({}, tuple(notes))
 
-    def _lives(self) -> set[int]:
-        found = (_NAME.fullmatch(name) for name in os.listdir(self._folder))
-        return {int(each[1]) for each in found if each}
+    def _incarnations_on_disk(self) -> set[int]:
+        matches = (_FILE_NAME.fullmatch(path.name) for path in self._folder.iterdir())
+        return {int(match[1]) for match in matches if match}
 
-    def _path(self, life: int, kind: str) -> Path:
-        return self._folder / f"state-{life}.{kind}"
+    def _path(self, incarnation: int, suffix: str) -> Path:
+        return self._folder / f"state-{incarnation}.{suffix}"
 
-    def _read(self, life: int, notes: list[str]) -> dict[str, bytes] | None:
-        """What a life left; None where its snapshot is missing or refused."""
-        path = self._path(life, "snap")
+    def _load(self, incarnation: int, notes: list[str]) -> dict[str, bytes] | None:
+        """Return the records of an incarnation; None where its snapshot is missing or rejected."""
+        path = self._path(incarnation, "snap")
         try:
-            kept = snapshot.load(path, self._most)
-            if not kept.records:
-                notes.append(f"{path.name} holds nothing")
+            content = snapshot.load(path, self._max_bytes)
+            if not content.records:
+                notes.append(f"{path.name} holds no records")
                 return None
-            generation, records = _unpacked(kept.records)
-        except (SnapshotError, OSError) as bad:
-            notes.append(f"{path.name} is not taken: {bad}")
+            generation, records = _decode_snapshot(content.records)
+        except (SnapshotError, OSError) as error:
+            notes.append(f"{path.name} is rejected: {error}")
             return None
-        if not kept.whole:
-            notes.append(f"{path.name} was cut short, taken up to {kept.cut_at} bytes")
-            return records  # its log may build on what is lost
-        self._replay(life, generation, records, notes)
+        if not content.is_complete:
+            notes.append(f"{path.name} was truncated, read up to {content.valid_bytes} bytes")
+            return records  # the log may build on the records that were lost
+        self._replay_log(LogVersion(incarnation, generation), records, notes)
         return records
 
-    def _replay(self, life: int, generation: int, records: dict[str, bytes], notes: list[str]) -> None:
-        path = self._path(life, "log")
+    def _replay_log(self, version: LogVersion, records: dict[str, bytes], notes: list[str]) -> None:
+        path = self._path(version.incarnation, "log")
         try:
-            if path.stat().st_size > 2 * self._most:
-                raise SnapshotError(f"{path.stat().st_size} bytes")
-            data = path.read_bytes()
+            data = self._read_log(path)
         except FileNotFoundError:
             return
-        except (SnapshotError, OSError) as bad:
-            notes.append(f"{path.name} is not taken: {bad}")
+        except (SnapshotError, OSError) as error:
+            notes.append(f"{path.name} is rejected: {error}")
             return
-        if len(data) < _HEAD.size or _HEAD.unpack_from(data) != (LOG_MAGIC, LOG_VERSION, life, generation):
-            notes.append(f"{path.name} is not of this snapshot")
+        content = change_log.unpack(data, version)
+        if content is None:
+            notes.append(f"{path.name} does not belong to its snapshot")
             return
-        at = _HEAD.size
-        for place in range(len(data)):
-            payload = _logged(data, at, place)
-            if payload is None:
-                break
-            key, value = payload
+        for key, value in content.changes:
             records.pop(key, None)
             if value is not None:
                 records[key] = value
-            at += _RECORD.size + _RECORD.unpack_from(data, at)[0]
-        if at < len(data):
-            notes.append(f"{path.name} was cut short, taken up to {at} of {len(data)} bytes")
+        if content.valid_bytes < len(data):
+            notes.append(f"{path.name} was truncated, read up to {content.valid_bytes} of {len(data)} bytes")
+
+    def _read_log(self, path: Path) -> bytes:
+        size = path.stat().st_size
+        if size > 2 * self._max_bytes:
+            raise SnapshotError(f"{size} bytes, over {2 * self._max_bytes}")
+        return path.read_bytes()
 
     # -- Writing ----------------------------------------------------------------------------------------
 
     def put(self, key: str, value: bytes | None) -> None:
-        """Hold a record, or (None) its end, for the next flush; what is held already costs nothing."""
-        old = self._records.get(key)
-        if old == value:
+        """Set a record, or delete it (None), in memory; an unchanged value is not written again."""
+        current = self._records.get(key)
+        if current == value:
             return
-        if old is not None:
-            self._size -= _cost(key, old)
+        if current is not None:
+            self._size_bytes -= _record_size(key, current)
             del self._records[key]
         if value is not None:
             self._records[key] = value
-            self._size += _cost(key, value)
-        self._dirty[key] = value
-        while self._size > self._most // 2 and self._records:
-            first = next(iter(self._records))
-            self.evicted += 1
-            self.put(first, None)
+            self._size_bytes += _record_size(key, value)
+        self._unsaved[key] = value
+        while self._size_bytes > self._max_bytes // 2 and self._records:
+            oldest = next(iter(self._records))
+            self.evicted_count += 1
+            self.put(oldest, None)
 
     def records(self) -> dict[str, bytes]:
-        """All that is held now."""
+        """Return a copy of the records in memory."""
         return dict(self._records)
 
     def keys(self, prefix: str) -> list[str]:
+        """Return the keys of the records in memory that start with `prefix`."""
         return [key for key in self._records if key.startswith(prefix)]
 
     def flush(self) -> None:
-        """Write what was put; raise OSError where the disk says no: it is held, and tried again."""
-        if self.outlived or not (self._dirty or not self._whole):
+        """Write the changes; raises OSError, after which the next call tries all of them again."""
+        has_changes = bool(self._unsaved) or self._log is None
+        if self.is_superseded or not has_changes:
             return
-        if any(life > self.life for life in self._lives()):
-            self.outlived = True
+        if any(incarnation > self.incarnation for incarnation in self._incarnations_on_disk()):
+            self.is_superseded = True
             return
-        changes = [msgpack.packb([key, value]) for key, value in self._dirty.items()]
-        size = sum(_RECORD.size + len(each) for each in changes)
+        changes = [change_log.encode_change(key, value) for key, value in self._unsaved.items()]
+        added_bytes = change_log.size_on_disk(changes)
         try:
-            if not self._whole or self._log_size + size > self._most // 2:
-                self._fold()
+            if self._log is None or self._log.size_bytes + added_bytes > self._max_bytes // 2:
+                self._log = self._write_snapshot()
             else:
-                self._append(changes, size)
+                self._log.append(changes)
         except OSError:
-            self._whole = False  # the log may end torn: the next flush begins a snapshot
+            self._log = None  # it may end in a partial change
             raise
-        self._dirty.clear()
-
-    def _append(self, changes: list[bytes], size: int) -> None:
-        parts = []
-        for place, payload in enumerate(changes, self._log_count):
-            parts.append(_RECORD.pack(len(payload), xxhash.xxh32_intdigest(payload, seed=place)) + payload)
-        with open(self._path(self.life, "log"), "ab") as file:
-            file.write(b"".join(parts))
-            file.flush()
-            os.fsync(file.fileno())
-        self._log_size += size
-        self._log_count += len(changes)
-
-    def _fold(self) -> None:
-        """A new generation: the snapshot first, then an empty log, then the files of earlier lives go."""
+        self._unsaved.clear()
+
+    def _write_snapshot(self) -> ChangeLogWriter:
+        """Begin a new generation: first the snapshot, then an empty log; files of earlier incarnations go."""
         self._generation += 1
-        head = msgpack.packb([self.life, self._generation])
-        records = [msgpack.packb([key, value]) for key, value in self._records.items()]
-        snapshot.write(self._path(self.life, "snap"), [head, *records])
-        with open(self._path(self.life, "log"), "wb") as file:
-            file.write(_HEAD.pack(LOG_MAGIC, LOG_VERSION, self.life, self._generation))
-            file.flush()
-            os.fsync(file.fileno())
-        self._log_size, self._log_count, self._whole = 0, 0, True
-        for name in os.listdir(self._folder):
-            match = _NAME.fullmatch(name)
-            if match and int(match[1]) < self.life:
-                (self._folder / name).unlink(missing_ok=True)
+        version = LogVersion(self.incarnation, self._generation)
+        header: bytes = msgpack.packb(list(version))
+        payloads = [header, *keyed_records.encode(self._records)]
+        snapshot.write(self._path(self.incarnation, "snap"), payloads)
+        log = ChangeLogWriter(self._path(self.incarnation, "log"))
+        log.start(version)
+        self._delete_earlier_files()
+        return log
 
+    def _delete_earlier_files(self) -> None:
+        for path in list(self._folder.iterdir()):
+            match = _FILE_NAME.fullmatch(path.name)
+            if match and int(match[1]) < self.incarnation:
+                path.unlink(missing_ok=True)
 
-def _cost(key: str, value: bytes) -> int:
-    return len(key.encode()) + len(value) + 16
 
+def _record_size(key: str, value: bytes) -> int:
+    return len(key.encode()) + len(value) + _RECORD_OVERHEAD_BYTES
 
-def _unpacked(raw: list[bytes]) -> tuple[int, dict[str, bytes]]:
-    try:
-        _, generation = msgpack.unpackb(raw[0])
-        records = dict(msgpack.unpackb(each) for each in raw[1:])
-    except Exception as bad:
-        raise SnapshotError(f"records that are none: {type(bad).__name__}") from None
-    sound = all(isinstance(key, str) and isinstance(value, bytes) for key, value in records.items())
-    if type(generation) is not int or not sound:
-        raise SnapshotError("records that are none")
-    return generation, records
-
-
-def _logged(data: bytes, at: int, place: int) -> tuple[str, bytes | None] | None:
-    """The change at `at`, or None where the log ends or is damaged."""
-    if len(data) - at < _RECORD.size:
-        return None
-    length, digest = _RECORD.unpack_from(data, at)
-    payload = data[at + _RECORD.size : at + _RECORD.size + length]
-    if len(payload) < length or xxhash.xxh32_intdigest(payload, seed=place) != digest:
-        return None
+
+def _decode_snapshot(payloads: list[bytes]) -> tuple[int, dict[str, bytes]]:
+    """Return the generation and the records; raises SnapshotError for content of another form."""
     try:
-        key, value = msgpack.unpackb(payload)
-    except Exception:
-        return None
-    return (key, value) if isinstance(key, str) and (value is None or isinstance(value, bytes)) else None
+        _, generation = msgpack.unpackb(payloads[0])
+    except Exception as error:  # msgpack and the assignment raise several kinds; all mean another form
+        raise SnapshotError(f"a first record of another form: {type(error).__name__}") from None
+    if type(generation) is not int:
+        raise SnapshotError("a first record of another form")
+    return generation, keyed_records.decode(payloads[1:])
--- a/sidecar_balancer/persistence/tier_snapshot.py
+++ b/sidecar_balancer/persistence/tier_snapshot.py
@@ -1,60 +1,68 @@
-"""The tier's shared snapshot: what the holder of the duty `snapshot` knows, in a folder that all sidecars
-see.
+"""The tier's shared snapshot: what the leader of the snapshot duty knows, in a folder that all sidecars see.
 
-The file's name carries the lease's fencing token, `tier-TOKEN.snap`, and the highest is the one that
-counts: a holder that was paused and wakes after its lease ran out can only write its own, older file, which
-nobody reads and the next holder removes.  For a tier that lost power as a whole, with no peer left to ask.
+It is for a tier that lost power as a whole, with no peer left to answer.  The file's name holds the lease's
+fencing token, `tier-TOKEN.snap`, and the file with the highest token is valid: a leader that was paused and
+resumes after its lease expired can only write its own, older file, which nobody reads and the next leader
+deletes.
 """
 
 from __future__ import annotations
 
-import os
 import re
 from pathlib import Path
+from typing import NamedTuple
 
-import msgpack  # type: ignore[import-untyped]
-
-from sidecar_balancer.persistence import snapshot
+from sidecar_balancer.persistence import keyed_records, snapshot
 from sidecar_balancer.persistence.snapshot import SnapshotError
 
-_NAME = re.compile(r"tier-(\d{1,10})\.snap")
+_FILE_NAME = re.compile(r"tier-(\d{1,10})\.snap")
+
+
+class TierSnapshot(NamedTuple):
+    """The newest readable snapshot of the tier; token 0: there is none."""
+
+    token: int
+    records: dict[str, bytes]
+    notes: list[str]  # a line for each file that was rejected or truncated
 
 
 def write(folder: Path, token: int, records: dict[str, bytes]) -> bool:
-    """Write under `token`; False, and nothing written, where a newer token has been there.  Raise OSError."""
+    """Write a snapshot under `token`; False, and nothing is written, where a newer token was used.
+
+    Raises OSError.
+    """
     folder.mkdir(parents=True, exist_ok=True)
     tokens = _tokens(folder)
-    if any(each > token for each in tokens):
+    if any(other > token for other in tokens):
         return False
-    snapshot.write(_path(folder, token), [msgpack.packb([key, value]) for key, value in records.items()])
-    for each in tokens:
-        if each < token:
-            _path(folder, each).unlink(missing_ok=True)
+    snapshot.write(_path(folder, token), keyed_records.encode(records))
+    for other in tokens:
+        if other < token:
+            _path(folder, other).unlink(missing_ok=True)
     return True
 
 
-def read(folder: Path, most: int) -> tuple[int, dict[str, bytes], list[str]]:
-    """The newest token and its records, and a note for each file that was refused or cut; raise OSError."""
+def read(folder: Path, max_bytes: int) -> TierSnapshot:
+    """Read the newest snapshot that is valid; raises OSError where the folder can't be listed."""
     notes: list[str] = []
-    for token in sorted(_tokens(folder), reverse=True) if folder.is_dir() else ():
+    tokens = _tokens(folder) if folder.is_dir() else []
+    for token in sorted(tokens, reverse=True):
         path = _path(folder, token)
         try:
-            kept = snapshot.load(path, most)
-            records = dict(msgpack.unpackb(each) for each in kept.records)
-            if not all(isinstance(k, str) and isinstance(v, bytes) for k, v in records.items()):
-                raise SnapshotError("records that are none")
-        except (SnapshotError, OSError, ValueError, TypeError) as bad:
-            notes.append(f"{path.name} is not taken: {bad}")
+            content = snapshot.load(path, max_bytes)
+            records = keyed_records.decode(content.records)
+        except (SnapshotError, OSError) as error:
+            notes.append(f"{path.name} is rejected: {error}")
             continue
-        if not kept.whole:
-            notes.append(f"{path.name} was cut short")
-        return token, records, notes
-    return 0, {}, notes
+        if not content.is_complete:
+            notes.append(f"{path.name} was truncated")
+        return TierSnapshot(token, records, notes)
+    return TierSnapshot(0, {}, notes)
 
 
 def _tokens(folder: Path) -> list[int]:
-    found = (_NAME.fullmatch(name) for name in os.listdir(folder))
-    return [int(each[1]) for each in found if each]
+    matches = (_FILE_NAME.fullmatch(path.name) for path in folder.iterdir())
+    return [int(match[1]) for match in matches if match]
 
 
 def _path(folder: Path, token: int) -> Path:
--- a/sidecar_balancer/runtime/sidecar.py
+++ b/sidecar_balancer/runtime/sidecar.py
@@ -38,7 +38,8 @@
 if TYPE_CHECKING:  # loaded where the plane is on: a start without it costs no more CPU
     from sidecar_balancer.membership.bridge import PeerLink
     from sidecar_balancer.observability.latency import LatencyHistograms
-    from sidecar_balancer.persistence.persister import RestoredState, StatePersister
+    from sidecar_balancer.persistence.persister import StatePersister
+    from sidecar_balancer.persistence.state_records import RestoredState
 
 log = logging.getLogger(__name__)
 
@@ -306,10 +307,10 @@
         if self._keeper is None:
             return
         self._kept = kept = self._keeper.restore()
-        if kept.endpoint_list is None or kept.endpoint_list[0] != self._discovery.place():
+        if kept.endpoint_list is None or kept.endpoint_list.source != self._discovery.place():
             return
         try:
-            told = parse_list(kept.endpoint_list[1])
+            told = parse_list(kept.endpoint_list.content)
         except ValueError as bad:
             log.warning("state: the list kept is not taken: %s", bad)
             return
@@ -328,10 +329,12 @@
     def _keep_state(self) -> None:
         """Gather and write what is known, each second; it serves on where the disk says no."""
         assert self._keeper is not None
+        from sidecar_balancer.persistence.state_records import EndpointListRecord
+
         plane = self._link.plane if self._link is not None else None
-        listed = (
-            (self._discovery.place(), self._endpoint_list.text()) if self._endpoint_list.version else None
-        )
+        listed = None
+        if self._endpoint_list.version:
+            listed = EndpointListRecord(self._discovery.place(), self._endpoint_list.text())
         self._keeper.persist(self._engine.balancer, self._engine.clock.now(), plane, listed)
 
     # -- The list of servers -------------------------------------------------------------------------------
--- a/tests/cluster/test_recovery.py
+++ b/tests/cluster/test_recovery.py
@@ -91,12 +91,12 @@
 
 async def kept(folder: Path) -> bool:
     """Whether the ejection is on disk."""
-    from sidecar_balancer.persistence.persister import _read
+    from sidecar_balancer.persistence import state_records
     from sidecar_balancer.persistence.store import Store
 
     copy = folder / "copy"
     shutil.copytree(folder / "n0", copy)
-    found = _read(Store(copy, 1 << 20).open().records)
+    found = state_records.decode(Store(copy, 1 << 20).open().records)
     shutil.rmtree(copy)
     each = found.learned.servers.get("a-0")
     return each is not None and each.ejected_us > 0
--- a/tests/compatibility/golden_subjects.py
+++ b/tests/compatibility/golden_subjects.py
@@ -21,6 +21,7 @@
 from sidecar_balancer.membership.transport import PeerPlane
 from sidecar_balancer.persistence import tier_snapshot as tier
 from sidecar_balancer.persistence.persister import StatePersister, resume_membership
+from sidecar_balancer.persistence.state_records import EndpointListRecord
 from sidecar_balancer.persistence.store import Store
 from sidecar_balancer.policy.balancer import Balancer
 from sidecar_balancer.policy.events import EndpointListReceived
@@ -94,7 +95,9 @@
     resume_membership(plane, kept)
     store = Store(target, _MOST)
     store.open()
-    StatePersister(store).persist(balancer, now, plane, ("192.0.2.1:8500", json.dumps(listed)))
+    StatePersister(store).persist(
+        balancer, now, plane, EndpointListRecord("192.0.2.1:8500", json.dumps(listed))
+    )
 
 
 # Orders
--- a/tests/persistence/test_snapshot.py
+++ b/tests/persistence/test_snapshot.py
@@ -18,15 +18,18 @@
 def test_a_snapshot_comes_back_whole(tmp_path: Path) -> None:
     snapshot.write(tmp_path / "s", RECORDS)
     back = snapshot.load(tmp_path / "s", 1 << 16)
-    assert back.records == RECORDS and back.whole and not (tmp_path / "s.new").exists()
-    assert snapshot.load(tmp_path / "none", 10) == snapshot.Read([], True, 0)
+    assert back.records == RECORDS
+    assert back.is_complete
+    assert not (tmp_path / "s.new").exists()
+    assert snapshot.load(tmp_path / "none", 10) == snapshot.SnapshotContent([], True, 0)
 
 
 def test_a_file_torn_at_any_byte_keeps_a_prefix_and_says_so() -> None:
     for offset in range(len(WHOLE)):
-        back = snapshot.read(WHOLE[:offset])
-        assert not back.whole and back.records == RECORDS[: len(back.records)]
-    assert snapshot.read(WHOLE).whole
+        back = snapshot.unpack(WHOLE[:offset])
+        assert not back.is_complete
+        assert back.records == RECORDS[: len(back.records)]
+    assert snapshot.unpack(WHOLE).is_complete
 
 
 def test_a_flipped_bit_anywhere_is_never_taken_as_good() -> None:
@@ -35,17 +38,18 @@
             bad = bytearray(WHOLE)
             bad[at] ^= 1 << bit
             try:
-                back = snapshot.read(bytes(bad))
+                back = snapshot.unpack(bytes(bad))
             except SnapshotError:
                 continue
-            assert not back.whole and back.records == RECORDS[: len(back.records)]
+            assert not back.is_complete
+            assert back.records == RECORDS[: len(back.records)]
 
 
 def test_another_version_or_a_stranger_is_refused(tmp_path: Path) -> None:
     older = snapshot.MAGIC + (0).to_bytes(2, "big") + WHOLE[10:]
     for bad in (older, b"PK\x03\x04" + WHOLE[4:], b"{}" * 20):
         with pytest.raises(SnapshotError):
-            snapshot.read(bad)
+            snapshot.unpack(bad)
     (tmp_path / "big").write_bytes(WHOLE)
     with pytest.raises(SnapshotError):
         snapshot.load(tmp_path / "big", len(WHOLE) - 1)
@@ -55,7 +59,7 @@
 def test_any_cut_and_tail_gives_a_prefix_or_a_refusal(records: list[bytes], cut: int, tail: bytes) -> None:
     data = snapshot.pack(records)[:cut] + tail
     try:
-        back = snapshot.read(data)
+        back = snapshot.unpack(data)
     except SnapshotError:
         return
     assert back.records == records[: len(back.records)]
--- a/tests/persistence/test_store.py
+++ b/tests/persistence/test_store.py
@@ -55,7 +55,7 @@
 
 def test_a_log_torn_at_any_byte_is_a_state_that_was_on_the_way(tmp_path: Path) -> None:
     states, store = written(tmp_path)
-    log = tmp_path / f"state-{store.life}.log"
+    log = tmp_path / f"state-{store.incarnation}.log"
     whole = log.read_bytes()
     assert Store(tmp_path, MOST).open().records == states[-1]
     for cut in range(len(whole)):
@@ -67,9 +67,9 @@
 
 def test_a_snapshot_torn_at_any_byte_gives_its_first_records_or_nothing(tmp_path: Path) -> None:
     states, store = written(tmp_path)
-    path = tmp_path / f"state-{store.life}.snap"
+    path = tmp_path / f"state-{store.incarnation}.snap"
     whole = path.read_bytes()
-    (tmp_path / f"state-{store.life}.log").unlink()
+    (tmp_path / f"state-{store.incarnation}.log").unlink()
     for cut in range(len(whole)):
         path.write_bytes(whole[:cut])
         found = Store(tmp_path, MOST).open()
@@ -81,12 +81,13 @@
     states, store = written(tmp_path)
     known = {item for each in states for item in each.items()}
     for kind in ("snap", "log"):
-        path = tmp_path / f"state-{store.life}.{kind}"
+        path = tmp_path / f"state-{store.incarnation}.{kind}"
         whole = path.read_bytes()
         for at in range(len(whole)):
             path.write_bytes(whole[:at] + bytes([whole[at] ^ (1 << at % 8)]) + whole[at + 1 :])
             found = Store(tmp_path, MOST).open()
-            assert set(found.records.items()) <= known and found.notes
+            assert set(found.records.items()) <= known
+            assert found.notes
         path.write_bytes(whole)
 
 
@@ -106,10 +107,11 @@
     newer = snapshot.pack([msgpack.packb([9, 1])])
     (tmp_path / "state-9.snap").write_bytes(newer[:9] + b"\x63" + newer[10:])
     found = Store(tmp_path, MOST).open()
-    assert found.records == states[-1] and "version" in found.notes[0]
+    assert found.records == states[-1]
+    assert "version" in found.notes[0]
     (tmp_path / "state-9.snap").write_bytes(snapshot.pack([b"junk"]))
     assert Store(tmp_path, MOST).open().records == states[-1]
-    assert store.life == 1
+    assert store.incarnation == 1
 
 
 def test_of_two_processes_the_older_writes_no_more_once_the_newer_did(tmp_path: Path) -> None:
@@ -122,7 +124,8 @@
     newer.flush()
     older.put("usual", b"late")
     older.flush()
-    assert older.outlived and Store(tmp_path, MOST).open().records == {"usual": b"new"}
+    assert older.is_superseded
+    assert Store(tmp_path, MOST).open().records == {"usual": b"new"}
 
 
 def test_a_full_disk_raises_and_the_next_flush_makes_good(
@@ -171,7 +174,8 @@
         if number % 10 == 0:
             store.flush()
     store.flush()
-    assert store.evicted > 0 and sum(each.stat().st_size for each in tmp_path.iterdir()) <= 80 * 1024
+    assert store.evicted_count > 0
+    assert sum(each.stat().st_size for each in tmp_path.iterdir()) <= 80 * 1024
     assert Store(tmp_path, 64 * 1024).open().records == store.records()
 
 
