--- /dev/null
+++ b/tests/persistence/test_persister.py
@@ -0,0 +1,55 @@
+"""The state persister on a disk that fails."""
+
+from __future__ import annotations
+
+import errno
+import os
+from pathlib import Path
+
+import pytest
+
+from helpers import Stage
+from sidecar_balancer.persistence.persister import StatePersister
+from sidecar_balancer.persistence.store import Store
+
+MAX_BYTES = 1 << 20
+
+
+@pytest.fixture
+def stage() -> Stage:
+    """A balancer that has served requests with two servers."""
+    stage = Stage()
+    stage.servers(["s-1", "s-2"])
+    stage.serve(10)
+    return stage
+
+
+@pytest.fixture
+def persister(tmp_path: Path) -> StatePersister:
+    persister = StatePersister(Store(tmp_path, MAX_BYTES))
+    persister.restore()
+    return persister
+
+
+def fill_disk(patch: pytest.MonkeyPatch) -> None:
+    def full(_: int) -> None:
+        raise OSError(errno.ENOSPC, "no space left")
+
+    patch.setattr(os, "fsync", full)
+
+
+def test_a_full_disk_is_logged_once_and_the_state_written_once_it_has_space(
+    stage: Stage,
+    persister: StatePersister,
+    tmp_path: Path,
+    monkeypatch: pytest.MonkeyPatch,
+    caplog: pytest.LogCaptureFixture,
+) -> None:
+    with monkeypatch.context() as patch:
+        fill_disk(patch)
+        for _ in range(5):
+            persister.persist(stage.balancer, stage.now, None, None)
+    assert [record.levelname for record in caplog.records].count("ERROR") == 1
+    persister.persist(stage.balancer, stage.now, None, None)
+    restored = StatePersister(Store(tmp_path, MAX_BYTES)).restore()
+    assert set(restored.learned.servers) == {"s-1", "s-2"}
--- a/tests/persistence/test_snapshot.py
+++ b/tests/persistence/test_snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots: what is whole is taken, a torn tail is cut, what is foreign or damaged is never taken."""
+"""Snapshot files: complete ones are read, truncated ones up to the cut, foreign or damaged ones rejected."""
 
 from __future__ import annotations
 
@@ -12,62 +12,82 @@
 from sidecar_balancer.persistence.snapshot import SnapshotError
 
 RECORDS = [b"incarnation 7", b"", b"x" * 300, bytes(range(256))]
-WHOLE = snapshot.pack(RECORDS)
+PACKED = snapshot.pack(RECORDS)
+MAX_BYTES = 1 << 16
 
 
-def test_a_snapshot_comes_back_whole(tmp_path: Path) -> None:
+def test_a_written_snapshot_is_read_back(tmp_path: Path) -> None:
+    snapshot.write(tmp_path / "s", RECORDS)
+    content = snapshot.load(tmp_path / "s", MAX_BYTES)
+    assert content.records == RECORDS
+    assert content.is_complete
+
+
+def test_a_write_leaves_no_temporary_file(tmp_path: Path) -> None:
     snapshot.write(tmp_path / "s", RECORDS)
-    back = snapshot.load(tmp_path / "s", 1 << 16)
-    assert back.records == RECORDS
-    assert back.is_complete
     assert not (tmp_path / "s.new").exists()
+
+
+def test_a_missing_file_is_a_complete_snapshot_without_records(tmp_path: Path) -> None:
     assert snapshot.load(tmp_path / "none", 10) == snapshot.SnapshotContent([], True, 0)
 
 
-def test_a_file_torn_at_any_byte_keeps_a_prefix_and_says_so() -> None:
-    for offset in range(len(WHOLE)):
-        back = snapshot.unpack(WHOLE[:offset])
-        assert not back.is_complete
-        assert back.records == RECORDS[: len(back.records)]
-    assert snapshot.unpack(WHOLE).is_complete
+def test_a_file_truncated_at_any_byte_gives_its_first_records() -> None:
+    for length in range(len(PACKED)):
+        content = snapshot.unpack(PACKED[:length])
+        assert not content.is_complete
+        assert content.records == RECORDS[: len(content.records)]
+    assert snapshot.unpack(PACKED).is_complete
 
 
-def test_a_flipped_bit_anywhere_is_never_taken_as_good() -> None:
-    for at in range(len(WHOLE)):
+def test_a_flipped_bit_anywhere_is_never_read_as_complete() -> None:
+    for offset in range(len(PACKED)):
         for bit in (0, 3, 7):
-            bad = bytearray(WHOLE)
-            bad[at] ^= 1 << bit
+            damaged = bytearray(PACKED)
+            damaged[offset] ^= 1 << bit
             try:
-                back = snapshot.unpack(bytes(bad))
+                content = snapshot.unpack(bytes(damaged))
             except SnapshotError:
                 continue
-            assert not back.is_complete
-            assert back.records == RECORDS[: len(back.records)]
+            assert not content.is_complete
+            assert content.records == RECORDS[: len(content.records)]
+
+
+@pytest.mark.parametrize(
+    "data",
+    [
+        snapshot.MAGIC + (0).to_bytes(2, "big") + PACKED[10:],
+        b"PK\x03\x04" + PACKED[4:],
+        b"{}" * 20,
+    ],
+    ids=["another version", "another magic", "JSON"],
+)
+def test_a_file_of_another_format_is_rejected(data: bytes) -> None:
+    with pytest.raises(SnapshotError):
+        snapshot.unpack(data)
 
 
-def test_another_version_or_a_stranger_is_refused(tmp_path: Path) -> None:
-    older = snapshot.MAGIC + (0).to_bytes(2, "big") + WHOLE[10:]
-    for bad in (older, b"PK\x03\x04" + WHOLE[4:], b"{}" * 20):
-        with pytest.raises(SnapshotError):
-            snapshot.unpack(bad)
-    (tmp_path / "big").write_bytes(WHOLE)
+def test_a_file_over_the_size_limit_is_rejected(tmp_path: Path) -> None:
+    (tmp_path / "big").write_bytes(PACKED)
     with pytest.raises(SnapshotError):
-        snapshot.load(tmp_path / "big", len(WHOLE) - 1)
+        snapshot.load(tmp_path / "big", len(PACKED) - 1)
 
 
 @given(st.lists(st.binary(max_size=40), max_size=6), st.integers(0, 400), st.binary(max_size=8))
-def test_any_cut_and_tail_gives_a_prefix_or_a_refusal(records: list[bytes], cut: int, tail: bytes) -> None:
-    data = snapshot.pack(records)[:cut] + tail
+def test_any_cut_with_any_tail_gives_the_first_records_or_is_rejected(
+    records: list[bytes], length: int, tail: bytes
+) -> None:
+    data = snapshot.pack(records)[:length] + tail
     try:
-        back = snapshot.unpack(data)
+        content = snapshot.unpack(data)
     except SnapshotError:
         return
-    assert back.records == records[: len(back.records)]
+    assert content.records == records[: len(content.records)]
 
 
-def test_a_disk_that_says_no_raises_and_leaves_the_old(tmp_path: Path) -> None:
+def test_a_failed_write_raises_and_leaves_the_old_snapshot(tmp_path: Path) -> None:
     snapshot.write(tmp_path / "s", RECORDS)
     (tmp_path / "s.new").mkdir()  # the temporary file can't be made
-    with pytest.raises(OSError):
+    with pytest.raises(IsADirectoryError):
         snapshot.write(tmp_path / "s", [b"new"])
-    assert snapshot.load(tmp_path / "s", 1 << 16).records == RECORDS
+    assert snapshot.load(tmp_path / "s", MAX_BYTES).records == RECORDS
--- a/tests/persistence/test_store.py
+++ b/tests/persistence/test_store.py
@@ -1,4 +1,4 @@
-"""The state's files: whatever happened to them, what is read is a state that once was, or nothing."""
+"""The store: whatever happened to its files, the records read are a state that was once written, or none."""
 
 from __future__ import annotations
 
@@ -7,184 +7,173 @@
 import shutil
 from itertools import pairwise
 from pathlib import Path
+from typing import NamedTuple
 
 import msgpack  # type: ignore[import-untyped]
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
-from helpers import Stage
 from sidecar_balancer.persistence import snapshot
-from sidecar_balancer.persistence import tier_snapshot as tier
-from sidecar_balancer.persistence.persister import StatePersister
-from sidecar_balancer.persistence.store import Store
+from sidecar_balancer.persistence.store import LoadedRecords, Store
 
-MOST = 1 << 20
+MAX_BYTES = 1 << 20
+Records = dict[str, bytes]
 
 
-def fresh(folder: Path) -> Store:
-    store = Store(folder, MOST)
+def opened(folder: Path, max_bytes: int = MAX_BYTES) -> Store:
+    store = Store(folder, max_bytes)
     store.open()
     return store
 
 
-def written(folder: Path) -> tuple[list[dict[str, bytes]], Store]:
-    """A life of a snapshot and a log; gives the states that were on disk in turn."""
-    store = fresh(folder)
-    states: list[dict[str, bytes]] = []
+def load(folder: Path) -> LoadedRecords:
+    return Store(folder, MAX_BYTES).open()
+
+
+class WrittenStore(NamedTuple):
+    """A store with a snapshot and a log on disk."""
+
+    folder: Path
+    store: Store
+    states: list[Records]  # that were on disk, one after another
+
+    def path(self, suffix: str) -> Path:
+        return self.folder / f"state-{self.store.incarnation}.{suffix}"
+
+
+@pytest.fixture
+def written(tmp_path: Path) -> WrittenStore:
+    store = opened(tmp_path)
+    states: list[Records] = []
     for number in range(4):
         store.put(f"server/{number}", bytes([number]) * (number + 1))
         store.put("usual", b"u" * number)
         store.put("server/0", None if number == 3 else b"again%d" % number)
         store.flush()
         states.append(store.records())
-    return states, store
+    return WrittenStore(tmp_path, store, states)
 
 
-def prefixes(states: list[dict[str, bytes]]) -> list[dict[str, bytes]]:
-    """The states that any record-wise prefix of the log stands for: each put applied in turn."""
-    seen, held = [dict(states[0])], dict(states[0])
+def states_between(states: list[Records]) -> list[Records]:
+    """The states that any prefix of the log stands for: each change applied in turn."""
+    seen, current = [dict(states[0])], dict(states[0])
     for before, after in pairwise(states):
-        for key in [k for k in [*after, *before] if before.get(k) != after.get(k)]:
-            held.pop(key, None)
+        for key in [key for key in [*after, *before] if before.get(key) != after.get(key)]:
+            current.pop(key, None)
             if key in after:
-                held[key] = after[key]
-            seen.append(dict(held))
+                current[key] = after[key]
+            seen.append(dict(current))
     return seen
 
 
-def test_a_log_torn_at_any_byte_is_a_state_that_was_on_the_way(tmp_path: Path) -> None:
-    states, store = written(tmp_path)
-    log = tmp_path / f"state-{store.incarnation}.log"
-    whole = log.read_bytes()
-    assert Store(tmp_path, MOST).open().records == states[-1]
-    for cut in range(len(whole)):
-        log.write_bytes(whole[:cut])
-        found = Store(tmp_path, MOST).open()
-        assert set(found.records.items()) <= set().union(*(each.items() for each in states))
-        assert found.records in [*states, *prefixes(states)] or len(found.notes) == 1
-
-
-def test_a_snapshot_torn_at_any_byte_gives_its_first_records_or_nothing(tmp_path: Path) -> None:
-    states, store = written(tmp_path)
-    path = tmp_path / f"state-{store.incarnation}.snap"
-    whole = path.read_bytes()
-    (tmp_path / f"state-{store.incarnation}.log").unlink()
-    for cut in range(len(whole)):
-        path.write_bytes(whole[:cut])
-        found = Store(tmp_path, MOST).open()
-        assert list(found.records.items()) == list(states[0].items())[: len(found.records)]
-        assert len(found.notes) == 1  # told in one line
-
-
-def test_a_flipped_bit_anywhere_never_brings_in_what_was_not_there(tmp_path: Path) -> None:
-    states, store = written(tmp_path)
-    known = {item for each in states for item in each.items()}
-    for kind in ("snap", "log"):
-        path = tmp_path / f"state-{store.incarnation}.{kind}"
-        whole = path.read_bytes()
-        for at in range(len(whole)):
-            path.write_bytes(whole[:at] + bytes([whole[at] ^ (1 << at % 8)]) + whole[at + 1 :])
-            found = Store(tmp_path, MOST).open()
-            assert set(found.records.items()) <= known
-            assert found.notes
-        path.write_bytes(whole)
+def full_disk(_: int) -> None:
+    raise OSError(errno.ENOSPC, "no space left")
+
+
+def test_a_log_truncated_at_any_byte_gives_a_state_on_the_way(tmp_path: Path, written: WrittenStore) -> None:
+    states = written.states
+    log = written.path("log")
+    content = log.read_bytes()
+    assert load(tmp_path).records == states[-1]
+    for length in range(len(content)):
+        log.write_bytes(content[:length])
+        found = load(tmp_path)
+        assert set(found.records.items()) <= set().union(*(state.items() for state in states))
+        assert found.records in [*states, *states_between(states)] or len(found.notes) == 1
+
+
+def test_a_snapshot_truncated_at_any_byte_gives_its_first_records(
+    tmp_path: Path, written: WrittenStore
+) -> None:
+    path = written.path("snap")
+    content = path.read_bytes()
+    written.path("log").unlink()
+    for length in range(len(content)):
+        path.write_bytes(content[:length])
+        found = load(tmp_path)
+        assert list(found.records.items()) == list(written.states[0].items())[: len(found.records)]
+        assert len(found.notes) == 1
+
+
+@pytest.mark.parametrize("suffix", ["snap", "log"])
+def test_a_flipped_bit_anywhere_never_adds_a_record(
+    tmp_path: Path, written: WrittenStore, suffix: str
+) -> None:
+    known = {record for state in written.states for record in state.items()}
+    path = written.path(suffix)
+    content = path.read_bytes()
+    for offset in range(len(content)):
+        damaged = bytearray(content)
+        damaged[offset] ^= 1 << offset % 8
+        path.write_bytes(damaged)
+        found = load(tmp_path)
+        assert set(found.records.items()) <= known
+        assert found.notes
 
 
 @given(st.binary(max_size=300), st.binary(max_size=300))
-def test_any_files_are_read_or_refused(
-    tmp_path_factory: pytest.TempPathFactory, one: bytes, two: bytes
+def test_files_of_any_content_are_rejected_without_an_error(
+    tmp_path_factory: pytest.TempPathFactory, snapshot_content: bytes, log_content: bytes
 ) -> None:
     folder = tmp_path_factory.mktemp("any")
-    (folder / "state-3.snap").write_bytes(one)
-    (folder / "state-3.log").write_bytes(two)
-    assert Store(folder, MOST).open().records == {}
+    (folder / "state-3.snap").write_bytes(snapshot_content)
+    (folder / "state-3.log").write_bytes(log_content)
+    assert load(folder).records == {}
     shutil.rmtree(folder)
 
 
-def test_another_version_or_layout_is_refused_and_an_older_life_is_taken(tmp_path: Path) -> None:
-    states, store = written(tmp_path)
+def test_a_snapshot_of_another_version_is_rejected_for_an_older_incarnation(
+    tmp_path: Path, written: WrittenStore
+) -> None:
     newer = snapshot.pack([msgpack.packb([9, 1])])
     (tmp_path / "state-9.snap").write_bytes(newer[:9] + b"\x63" + newer[10:])
-    found = Store(tmp_path, MOST).open()
-    assert found.records == states[-1]
+    found = load(tmp_path)
+    assert found.records == written.states[-1]
     assert "version" in found.notes[0]
+
+
+def test_a_snapshot_of_another_layout_is_rejected_for_an_older_incarnation(
+    tmp_path: Path, written: WrittenStore
+) -> None:
     (tmp_path / "state-9.snap").write_bytes(snapshot.pack([b"junk"]))
-    assert Store(tmp_path, MOST).open().records == states[-1]
-    assert store.incarnation == 1
+    assert load(tmp_path).records == written.states[-1]
+    assert written.store.incarnation == 1
 
 
-def test_of_two_processes_the_older_writes_no_more_once_the_newer_did(tmp_path: Path) -> None:
-    older = fresh(tmp_path)
+def test_of_two_processes_the_older_stops_writing_once_the_newer_has_written(tmp_path: Path) -> None:
+    older = opened(tmp_path)
     older.put("usual", b"old")
     older.flush()
-    newer = fresh(tmp_path)
+    newer = opened(tmp_path)
     assert newer.records() == {"usual": b"old"}
     newer.put("usual", b"new")
     newer.flush()
     older.put("usual", b"late")
     older.flush()
     assert older.is_superseded
-    assert Store(tmp_path, MOST).open().records == {"usual": b"new"}
-
-
-def test_a_full_disk_raises_and_the_next_flush_makes_good(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    states, store = written(tmp_path)
-
-    def full(_: int) -> None:
-        raise OSError(errno.ENOSPC, "no space left")
-
-    with monkeypatch.context() as patch:
-        patch.setattr(os, "fsync", full)
-        store.put("usual", b"later")
-        with pytest.raises(OSError):
-            store.flush()
-    store.flush()
-    assert Store(tmp_path, MOST).open().records == states[-1] | {"usual": b"later"}
+    assert load(tmp_path).records == {"usual": b"new"}
 
 
-def test_a_disk_that_says_no_is_logged_once_and_then_made_good(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
+def test_after_a_full_disk_the_next_flush_writes_all_changes(
+    tmp_path: Path, written: WrittenStore, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    stage = Stage()
-    stage.servers(["s-1", "s-2"])
-    stage.serve(10)
-    keeper = StatePersister(Store(tmp_path, MOST))
-    keeper.restore()
-
-    def full(_: int) -> None:
-        raise OSError(errno.ENOSPC, "no space left")
-
     with monkeypatch.context() as patch:
-        patch.setattr(os, "fsync", full)
-        for _ in range(5):
-            keeper.persist(stage.balancer, stage.now, None, None)
-    assert [each.levelname for each in caplog.records].count("ERROR") == 1
-    keeper.persist(stage.balancer, stage.now, None, None)
-    assert set(StatePersister(Store(tmp_path, MOST)).restore().learned.servers) == {"s-1", "s-2"}
+        patch.setattr(os, "fsync", full_disk)
+        written.store.put("usual", b"later")
+        with pytest.raises(OSError, match="no space left"):
+            written.store.flush()
+    written.store.flush()
+    assert load(tmp_path).records == written.states[-1] | {"usual": b"later"}
 
 
-def test_what_is_kept_is_bounded_and_the_log_is_folded(tmp_path: Path) -> None:
-    store = Store(tmp_path, 64 * 1024)
-    store.open()
+def test_the_size_on_disk_is_bounded(tmp_path: Path) -> None:
+    store = opened(tmp_path, 64 * 1024)
     for number in range(3000):
         store.put(f"server/{number % 700}", bytes([number % 251]) * 64)
         if number % 10 == 0:
             store.flush()
     store.flush()
     assert store.evicted_count > 0
-    assert sum(each.stat().st_size for each in tmp_path.iterdir()) <= 80 * 1024
+    assert sum(path.stat().st_size for path in tmp_path.iterdir()) <= 80 * 1024
     assert Store(tmp_path, 64 * 1024).open().records == store.records()
-
-
-def test_the_tiers_snapshot_is_that_of_the_highest_token(tmp_path: Path) -> None:
-    assert tier.read(tmp_path / "none", MOST) == (0, {}, [])
-    assert tier.write(tmp_path, 4, {"usual": b"a"})
-    assert tier.write(tmp_path, 6, {"usual": b"b"})
-    assert not tier.write(tmp_path, 5, {"usual": b"stale"})  # a holder that woke too late
-    assert tier.read(tmp_path, MOST) == (6, {"usual": b"b"}, [])
-    (tmp_path / "tier-9.snap").write_bytes(b"junk that is long enough")
-    token, records, notes = tier.read(tmp_path, MOST)
-    assert (token, records, len(notes)) == (6, {"usual": b"b"}, 1)
