--- a/sidecar_balancer/__main__.py
+++ b/sidecar_balancer/__main__.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from sidecar_balancer.config.addresses import parse_address
+from sidecar_balancer.addresses import parse_address
 from sidecar_balancer.config.settings import read_locality
 from sidecar_balancer.config.sidecar import SidecarConfig, StateConfig
 from sidecar_balancer.config.wire_names import settings_from_wire
--- a/sidecar_balancer/relay/config.py
+++ b/sidecar_balancer/relay/config.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from sidecar_balancer.config.addresses import Address, parse_address
+from sidecar_balancer.addresses import Address, parse_address
 from sidecar_balancer.observability.logs import LogConfig
 from sidecar_balancer.relay.service import Limits
 
--- a/sidecar_balancer/runtime/sidecar.py
+++ b/sidecar_balancer/runtime/sidecar.py
@@ -14,8 +14,9 @@
 from sidecar_balancer.admin.server import AdminServer
 from sidecar_balancer.admin.views import request_rates_per_s, state_summary
 from sidecar_balancer.config.sidecar import SidecarConfig
-from sidecar_balancer.discovery.client import Discovery
+from sidecar_balancer.discovery.client import DiscoveryClient
 from sidecar_balancer.discovery.endpoint_list import EndpointList, ListUpdate, parse_list
+from sidecar_balancer.discovery.watch_events import WatchEvent
 from sidecar_balancer.downstream.frontend import Frontend, Hooks
 from sidecar_balancer.policy.actions import (
     CloseIdleConnections,
@@ -72,10 +73,10 @@
         poll_times = running_poll_times()
         self._upstream = _upstream(settings, connections_most, budget)
         again_s = _UNHEARD_SPANS * settings.rules.poll_interval_us / 1e6
-        self._discovery = Discovery(
+        self._discovery = DiscoveryClient(
             config.discovery_addresses(),
             config.initial_endpoints.version,
-            self._told,
+            self._on_watch_event,
             again_s,
             poll_times=poll_times,
         )
@@ -113,7 +114,7 @@
         )
         executors: dict[type[Any], Callable[[Any], None]] = {
             CloseIdleConnections: lambda action: self._upstream.close_idle(action.server),
-            WatchEndpoints: lambda action: self._discovery.follow(action.enabled),
+            WatchEndpoints: lambda action: self._discovery.set_watching(action.enabled),
             FetchEndpoints: lambda _: self._discovery.fetch(),
             PublishServerVerdict: self._publish_server_verdict,
             PublishZoneVerdict: self._publish_zone_verdict,
@@ -147,7 +148,7 @@
         if self._keeper is not None:
             self._timers.every(self._keep_every_s, self._keep_state)
         if self._settings.discovery is DiscoveryMode.PUSH:
-            self._discovery.follow(True)
+            self._discovery.set_watching(True)
         if self._takes_over:
             await self._first_of(stop, self._listed, _LISTED_S)
         if not stop.is_set():
@@ -177,7 +178,7 @@
         """Take over what may change while this runs: where discovery is."""
         sources = config.discovery_addresses()
         log.info("reloaded: discovery at %s", ", ".join("{}:{}".format(*each) for each in sources)[:200])
-        if self._discovery.move(sources):
+        if self._discovery.replace_sources(sources):
             self._engine.handle(EndpointListReceived(ListKind.SOURCE_CHANGED))
 
     async def _drain(self) -> None:
@@ -307,7 +308,7 @@
         if self._keeper is None:
             return
         self._kept = kept = self._keeper.restore()
-        if kept.endpoint_list is None or kept.endpoint_list.source != self._discovery.place():
+        if kept.endpoint_list is None or kept.endpoint_list.source != self._discovery.source_key():
             return
         try:
             told = parse_list(kept.endpoint_list.content)
@@ -316,7 +317,7 @@
             return
         if told.version > self._known.version and told.entries:
             self._known = told
-            self._discovery.begin(told.version)
+            self._discovery.resume_from(told.version)
 
     async def _learn(self, stop: asyncio.Event) -> None:
         """Take up what was kept; with nothing kept, ask the peers, for a bounded time."""
@@ -334,20 +335,21 @@
         plane = self._link.plane if self._link is not None else None
         listed = None
         if self._endpoint_list.version:
-            listed = EndpointListRecord(self._discovery.place(), self._endpoint_list.text())
+            listed = EndpointListRecord(self._discovery.source_key(), self._endpoint_list.to_json())
         self._keeper.persist(self._engine.balancer, self._engine.clock.now(), plane, listed)
 
     # -- The list of servers -------------------------------------------------------------------------------
 
-    def _told(self, told: ListUpdate | None, silent: bool = False) -> None:
-        if told is not None:
+    def _on_watch_event(self, event: WatchEvent) -> None:
+        if isinstance(event, ListUpdate):
             self._listed.set()
-            self._list(ListKind.SNAPSHOT if told.complete else ListKind.DELTA, told)
+            self._list(ListKind.SNAPSHOT if event.complete else ListKind.DELTA, event)
             return
-        self._engine.handle(EndpointListReceived(ListKind.TIMED_OUT if silent else ListKind.FAILED))
+        kind = ListKind.TIMED_OUT if event.timed_out else ListKind.FAILED
+        self._engine.handle(EndpointListReceived(kind))
         if self._settings.discovery is DiscoveryMode.PUSH:
-            wait_s = 0.0 if silent else _PUSHED_AGAIN_S  # silence took its time already
-            self._timers.later(wait_s, self._discovery.follow, True)
+            wait_s = 0.0 if event.timed_out else _PUSHED_AGAIN_S  # silence took its time already
+            self._timers.later(wait_s, self._discovery.set_watching, True)
 
     def _list(self, kind: ListKind, told: ListUpdate) -> None:
         """Note the addresses first: the balancer may send on hearing of a server.
--- a/sidecar_balancer/upstream/connection.py
+++ b/sidecar_balancer/upstream/connection.py
@@ -18,7 +18,7 @@
 
 import h11
 
-from sidecar_balancer.config.addresses import Address
+from sidecar_balancer.addresses import Address
 from sidecar_balancer.policy.types import Outcome, ServerState
 from sidecar_balancer.runtime.streams import (
     EVENTS_AT_ONCE,
--- a/tests/runtime/test_life.py
+++ b/tests/runtime/test_life.py
@@ -29,7 +29,7 @@
     until,
     world,
 )
-from sidecar_balancer.config.addresses import Address
+from sidecar_balancer.addresses import Address
 from sidecar_balancer.observability.logs import LogConfig, LogRateLimiter, configure_logging
 from sidecar_balancer.runtime import sidecar
 
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from helpers import settings
-from sidecar_balancer.config.addresses import Address
+from sidecar_balancer.addresses import Address
 from sidecar_balancer.config.sidecar import SidecarConfig
 from sidecar_balancer.discovery.endpoint_list import parse_list
 from sidecar_balancer.policy.actions import Action
