--- a/bench/duties.py
+++ b/bench/leases.py
@@ -5,7 +5,7 @@
 acts out of turn, of all trials (goal: 0).  The sidecars' monotonic clocks are one on one machine, so all
 acts can be put in order.
 
-    .venv/bin/python bench/duties.py [--trials K] [--term MS]
+    .venv/bin/python bench/leases.py [--trials K] [--term MS]
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from typing import Any
 
 from earlier import revision
-from test_duties import Watch, acted, duties
+from test_tier_leases import Watch, acted, duties
 
 from harness import PLANE
 from world import Catalogue, world
--- a/bench/peers.py
+++ b/bench/membership.py
@@ -5,7 +5,7 @@
 simulated second per member (the sans-IO core alone, no sockets).  Each figure is printed beside its bound
 as a ratio: under 1.0 is within it.  Fixed seeds; run from the repository's root:
 
-    .venv/bin/python bench/peers.py [--trials K]
+    .venv/bin/python bench/membership.py [--trials K]
 """
 
 from __future__ import annotations
@@ -17,19 +17,20 @@
 from collections.abc import Callable
 
 from sidecar_balancer.membership.codec import Status, WireVerdict
-from sidecar_balancer.membership.swim import Tuning, retransmits
+from sidecar_balancer.membership.settings import MembershipSettings
+from sidecar_balancer.membership.swim import retransmits
 from simnet import SimNet
 
 STEP_MS = 5
 SERVER = "10.1.0.9:8443"
 
 
-def spread_bound(size: int, tuning: Tuning) -> float:
+def spread_bound(size: int, tuning: MembershipSettings) -> float:
     """Periods within which a verdict reaches all (docs/membership.md): ceil(log2 N) doublings, R more."""
     return math.ceil(math.log2(size)) + retransmits(size, tuning)
 
 
-def death_bound(size: int, tuning: Tuning) -> float:
+def death_bound(size: int, tuning: MembershipSettings) -> float:
     """Periods at health 0 (docs/membership.md): a probe's period, the suspicion timeout, then spread."""
     suspicion = tuning.suspicion_mult * max(1.0, math.log10(size))
     return 1 + suspicion + spread_bound(size, tuning)
@@ -45,7 +46,7 @@
 
 
 def trial(size: int, loss: float, seed: int) -> tuple[float | None, float | None, float, float]:
-    tuning = Tuning()
+    tuning = MembershipSettings()
     net = SimNet(size, loss=loss, seed=seed, tuning=tuning)
     net.run(1_000)
     sent_before, cpu_before, at = net.sent_bytes, time.process_time(), net.now
@@ -83,7 +84,7 @@
     parser = argparse.ArgumentParser(description=__doc__.split("\n\n")[0])
     parser.add_argument("--trials", type=int, default=20, help="trials for each N and loss (64: a quarter)")
     trials = parser.parse_args().trials
-    tuning = Tuning()
+    tuning = MembershipSettings()
     period = tuning.period_ms
     print(f"period {period} ms; figures are p50 / p99; ratio = p99 / bound")
     print(
--- a/bench/many.py
+++ b/bench/membership_processes.py
@@ -4,7 +4,7 @@
 every other alive, ms until a ban at one door holds at all, and then, over `--span` seconds at rest, CPU
 share and bytes a second of a process, and how many members were held dead though they live.
 
-    .venv/bin/python bench/many.py [--size N] [--span S] [--period MS]
+    .venv/bin/python bench/membership_processes.py [--size N] [--span S] [--period MS]
 """
 
 from __future__ import annotations
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -14,7 +14,7 @@
 
 import scale_edge
 import scale_fanout
-import scale_peers
+import scale_membership
 import scale_request
 from earlier import revision
 from scale_fit import Series, report
@@ -55,7 +55,7 @@
         for series in scale_edge.run(LISTED) + scale_request.run(LISTED):
             report(series, TARGET)
     if chosen.peers or everything:
-        for series in scale_peers.run(MEMBERS):
+        for series in scale_membership.run(MEMBERS):
             report(series, TARGET)
     if chosen.fanout or everything:
         fanout([int(each) for each in chosen.sizes.split(",")])
--- a/bench/scale_peers.py
+++ b/bench/scale_membership.py
@@ -7,7 +7,8 @@
 from scale_fit import Series
 
 from sidecar_balancer.membership.codec import Status
-from sidecar_balancer.membership.swim import Swim, Tuning
+from sidecar_balancer.membership.settings import MembershipSettings
+from sidecar_balancer.membership.swim import Swim
 
 TRIALS = 5
 PERIODS = 40
@@ -22,9 +23,9 @@
 
 
 def _tick_us(size: int, seed: int) -> float:
-    member = Swim(0, size, seed, Tuning())
-    member.recall_members(0, dict.fromkeys(range(1, size), (Status.ALIVE, 0)))
-    period_us = 1000 * Tuning().period_ms
+    member = Swim(0, size, seed, MembershipSettings())
+    member.restore_members(0, dict.fromkeys(range(1, size), (Status.ALIVE, 0)))
+    period_us = 1000 * MembershipSettings().period_ms
     began = time.process_time()
     for period in range(1, PERIODS + 1):
         member.tick(period * period_us)
--- a/sidecar_balancer/__main__.py
+++ b/sidecar_balancer/__main__.py
@@ -31,8 +31,8 @@
 from sidecar_balancer.upstream.connection import parse_address
 
 if TYPE_CHECKING:
-    from sidecar_balancer.lease.core import Terms
-    from sidecar_balancer.membership.swim import Tuning
+    from sidecar_balancer.lease.protocol import LeaseTiming
+    from sidecar_balancer.membership.settings import MembershipSettings
 
 log = logging.getLogger(__name__)
 
@@ -135,30 +135,34 @@
     return value
 
 
-def _tuning(value: Any) -> Tuning | None:
-    """The operators' `peer_plane` object: `on` (false unless told) and the knobs of `Tuning`, times in ms."""
+def _tuning(value: Any) -> MembershipSettings | None:
+    """The operators' `peer_plane` object: `on` (false unless told) and the fields of `MembershipSettings`."""
     if value is None:
         return None
-    from sidecar_balancer.membership.swim import Tuning  # loaded where it is asked for: starts cost CPU
+    from sidecar_balancer.membership.settings import (
+        MembershipSettings,  # loaded where it is asked for: starts cost CPU
+    )
 
     if not isinstance(value, dict):
         raise ValueError("peer_plane: an object is needed")
     knobs = {name: each for name, each in value.items() if name != "on"}
-    unknown = set(knobs) - set(Tuning.__dataclass_fields__)
+    unknown = set(knobs) - set(MembershipSettings.__dataclass_fields__)
     if unknown:
         raise ValueError(f"peer_plane: unknown keys {sorted(unknown)!r:.100}")
     if any(type(each) not in (int, float) for each in knobs.values()):
         raise ValueError("peer_plane: numbers are needed")
     if value.get("on", False) is not True:
         return None
-    return Tuning(**{name: type(getattr(Tuning(), name))(each) for name, each in knobs.items()})
+    return MembershipSettings(
+        **{name: type(getattr(MembershipSettings(), name))(each) for name, each in knobs.items()}
+    )
 
 
-def _terms(value: Any, plane: Any) -> Terms | None:
+def _terms(value: Any, plane: Any) -> LeaseTiming | None:
     """The operators' `duties` object: `on` (false unless told), and the leases' times in ms."""
     if value is None:
         return None
-    from sidecar_balancer.lease.core import Terms
+    from sidecar_balancer.lease.protocol import LeaseTiming
 
     knobs = ("term_ms", "renew_ms", "skew_ms", "retry_ms")
     if not isinstance(value, dict) or set(value) - {"on", *knobs}:
@@ -167,7 +171,7 @@
         if name in value and (type(value[name]) is not int or not 0 <= value[name] <= 600_000):
             raise ValueError(f"duties.{name}: whole milliseconds up to 600000 are needed")
     times = {name.replace("_ms", "_us"): 1000 * value[name] for name in knobs if name in value}
-    terms = Terms(**times)
+    terms = LeaseTiming(**times)
     if value.get("on", False) is not True:
         return None
     if not (isinstance(plane, dict) and plane.get("on") is True):
--- a/sidecar_balancer/admin/handlers.py
+++ b/sidecar_balancer/admin/handlers.py
@@ -28,7 +28,7 @@
 from sidecar_balancer.upstream.connection import Upstream
 
 if TYPE_CHECKING:
-    from sidecar_balancer.membership.bridge import PeerLink
+    from sidecar_balancer.membership.bridge import MembershipBridge
     from sidecar_balancer.observability.latency import Latencies
     from sidecar_balancer.observability.logs import Flood
 
@@ -48,7 +48,7 @@
         connections: Upstream,
         discovery: Discovery,
         orders: Orders,
-        link: PeerLink | None,
+        link: MembershipBridge | None,
         latencies: Latencies | None,
     ) -> None:
         self._engine = engine
@@ -125,7 +125,7 @@
         return json.dumps(zones_view(self._engine.balancer.zones, self._engine.clock.now()))
 
     def _tell_duties(self, _: str) -> str:
-        told = self._link.duties() if self._link is not None else None
+        told = self._link.describe_leases() if self._link is not None else None
         if told is None:
             raise Declined(404, "there are no duties: the peer plane or its leases are off")
         return json.dumps(told)
@@ -172,7 +172,7 @@
         self._orders_fault = False
         changed, self.ordered = excluded != self.ordered, excluded
         if changed and self._link is not None:
-            self._link.ban(excluded)
+            self._link.set_disabled_servers(excluded)
         self.hear_exclusions()
         self._hear_zone_orders()
         if evacuated == self._evacuated or self.is_stopping:
@@ -186,7 +186,7 @@
 
     def hear_exclusions(self) -> None:
         """The module hears this sidecar's own orders and the bans that the plane holds for the tier."""
-        wanted = self.ordered | (self._link.bans() if self._link is not None else frozenset())
+        wanted = self.ordered | (self._link.disabled_servers() if self._link is not None else frozenset())
         if wanted != self._excluded:
             self._engine.handle(DisabledServersChanged(wanted))
 
--- a/sidecar_balancer/config/sidecar.py
+++ b/sidecar_balancer/config/sidecar.py
@@ -13,8 +13,8 @@
 from sidecar_balancer.upstream.connection import Address
 
 if TYPE_CHECKING:  # loaded where the plane is on: a start without it costs no more CPU
-    from sidecar_balancer.lease.core import Terms
-    from sidecar_balancer.membership.swim import Tuning
+    from sidecar_balancer.lease.protocol import LeaseTiming
+    from sidecar_balancer.membership.settings import MembershipSettings
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,10 +44,10 @@
     accept_fd: int | None = None  # the listening socket, where the platform holds it
     peer_listen: Address | None = None  # where peers' datagrams come in
     peers: tuple[Address, ...] = ()  # the tier's, this one's own included, by number
-    peer_plane: Tuning | None = None  # None: the peer plane is off
+    peer_plane: MembershipSettings | None = None  # None: the peer plane is off
     logging: LogConfig = field(default_factory=LogConfig)
     state: StateConfig | None = None  # None: nothing is kept across a crash but the orders
-    duties: Terms | None = None  # of the leases of the tier's duties; None: there are none
+    duties: LeaseTiming | None = None  # of the leases of the tier's duties; None: there are none
     identity: str = ""  # this sidecar's name, by which it spreads over the relays
     relays: tuple[RelayAddress, ...] = ()  # asked in place of discovery, where there are any
 
--- a/sidecar_balancer/lease/duties.py
+++ b/sidecar_balancer/lease/manager.py
@@ -12,19 +12,31 @@
 from collections import deque
 from collections.abc import Iterable
 from dataclasses import dataclass
+from enum import IntEnum
 from typing import Any
 
-from sidecar_balancer.lease.core import Fence, Kind, Leases, Message, Terms
+from sidecar_balancer.lease.protocol import Fence, Kind, LeaseProtocol, LeaseTiming, Message
 from sidecar_balancer.membership.codec import ActUpdate, LeaseUpdate
 
-ZONES, SNAPSHOT = 0, 1
 NAMES = ("zones", "snapshot")
-BACK = 1  # the verb of an act on a zone: it answers again
-WROTE = 2  # of the snapshot: it is being written
 ACTS_KEPT = 64  # for the operators' view
 SUBJECTS_MOST = 256  # acts on so many subjects are remembered
 
 
+class TierLease(IntEnum):
+    """The leases of a tier, by their number in datagrams."""
+
+    ZONES = 0
+    SNAPSHOT = 1
+
+
+class CommandVerb(IntEnum):
+    """What a fenced command reports, by its number in datagrams."""
+
+    ZONE_RECOVERED = 1
+    SNAPSHOT_WRITTEN = 2
+
+
 @dataclass(frozen=True, slots=True)
 class Done:
     """An act of this member: when (us, monotonic), of which duty, under which token, on what."""
@@ -35,11 +47,11 @@
     subject: str
 
 
-class Duties:
+class LeaseManager:
     """Member `me` of `size`; `life` is any number that no earlier start of this member used."""
 
-    def __init__(self, me: int, size: int, life: int, terms: Terms, now_us: int) -> None:
-        self.leases = Leases(me, size, len(NAMES), terms, now_us, life=life & 0x3FFF_FFFF)
+    def __init__(self, me: int, size: int, life: int, terms: LeaseTiming, now_us: int) -> None:
+        self.leases = LeaseProtocol(me, size, len(NAMES), terms, now_us, life=life & 0x3FFF_FFFF)
         self.fence = Fence()
         self.done: deque[Done] = deque(maxlen=ACTS_KEPT)
         self.taken = 0  # acts of others that were new and in force
@@ -64,7 +76,7 @@
         """The fencing token while this member holds the duty, else 0."""
         return self.leases.holds(duty, now_us)
 
-    def act(self, now_us: int, duty: int, subject: str, verb: int) -> ActUpdate | None:
+    def issue_command(self, now_us: int, duty: int, subject: str, verb: int) -> ActUpdate | None:
         """An act to tell the tier; None where the duty is not (or no longer) held."""
         token = self.holds(duty, now_us)
         if not token or not self.fence.admit(duty, token):
@@ -75,7 +87,7 @@
         self._note(act)
         return act
 
-    def heard(self, act: ActUpdate) -> bool:
+    def accept_command(self, act: ActUpdate) -> bool:
         """Whether an act of another is new and in force."""
         if act.duty >= len(NAMES):
             return False
@@ -87,6 +99,16 @@
         self.taken += 1
         return True
 
+    def highest_epochs(self) -> dict[int, int]:
+        """The highest epoch known of each lease, by its number."""
+        return {number: lease.highest for number, lease in enumerate(self.leases.table)}
+
+    def restore_epoch(self, lease: int, epoch: int) -> None:
+        """Start from an epoch that an earlier run knew; a lease of an unknown number is ignored."""
+        if 0 <= lease < len(self.leases.table):
+            state = self.leases.table[lease]
+            state.highest = max(state.highest, epoch)
+
     def _note(self, act: ActUpdate) -> None:
         self._seen[(act.duty, act.subject)] = (act.token, act.counter)
         while len(self._seen) > SUBJECTS_MOST:
--- a/sidecar_balancer/lease/core.py
+++ b/sidecar_balancer/lease/protocol.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class LeaseTiming:
     """Times in µs of the member's own monotonic clock.  `skew_us`: what a clock may gain or lose against
     real time over one term.  `retry_us`: how long an ask waits for a majority before it is asked again."""
 
@@ -73,7 +73,7 @@
 
 
 @dataclass(slots=True)
-class Duty:
+class LeaseState:
     """One duty as one member knows it: acceptor side (`promised_to`, `promised_until`, `highest`) and
     candidate side (`epoch`, `until`, the open ask)."""
 
@@ -104,7 +104,7 @@
 
 
 @dataclass
-class Leases:
+class LeaseProtocol:
     """Member `me` of `size`; `duties` named by number (their names live with the caller).
 
     `life` tells this start from earlier ones of the same member: any number that they did not use."""
@@ -112,9 +112,9 @@
     me: int
     size: int
     duties: int
-    terms: Terms
+    terms: LeaseTiming
     started: int
-    table: list[Duty] = field(default_factory=list)
+    table: list[LeaseState] = field(default_factory=list)
     counts: Counts = field(default_factory=Counts)
     life: int = 0
     asks: int = -1  # the number of the last ask; it goes on from `life`
@@ -125,7 +125,7 @@
         if self.asks < 0:
             self.asks = self.life
         if not self.table:
-            self.table = [Duty() for _ in range(self.duties)]
+            self.table = [LeaseState() for _ in range(self.duties)]
 
     # -- Events -----------------------------------------------------------------------------------------
 
@@ -223,7 +223,7 @@
         self.counts.granted += 1
         return Message(Kind.GRANT, ask.duty, ask.epoch, ask.ask)
 
-    def _granted(self, now: int, duty: Duty, sender: int) -> None:
+    def _granted(self, now: int, duty: LeaseState, sender: int) -> None:
         duty.grants |= {sender}
         if len(duty.grants) < self.size // 2 + 1:
             return
--- a/sidecar_balancer/membership/bridge.py
+++ b/sidecar_balancer/membership/bridge.py
@@ -11,11 +11,11 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from sidecar_balancer.lease.duties import BACK, ZONES
+from sidecar_balancer.lease.manager import CommandVerb, TierLease
 from sidecar_balancer.membership import codec
 from sidecar_balancer.membership.codec import ActUpdate, WireVerdict
 from sidecar_balancer.membership.swim import TierVerdict
-from sidecar_balancer.membership.transport import PeerPlane
+from sidecar_balancer.membership.transport import MembershipTransport
 from sidecar_balancer.policy.actions import PublishServerVerdict, PublishZoneVerdict
 from sidecar_balancer.policy.events import (
     Event,
@@ -52,19 +52,19 @@
 Slot = tuple[str, int]  # subject and slot of a verdict
 
 
-class PeerLink:
+class MembershipBridge:
     """One sidecar's link: `hear` takes events for the module, `asked` gives requests a second by tenant."""
 
     def __init__(
         self,
-        plane: PeerPlane,
+        transport: MembershipTransport,
         classes: list[str],
         hear: Callable[[Event], None],
         asked: Callable[[], Mapping[str, float]],
         paces: Callable[[], Mapping[str, float]],
         probe_us: int,
     ) -> None:
-        self.plane = plane
+        self.transport = transport
         self._classes, self._hear = classes, hear
         self._asked, self._paces = asked, paces
         self._held: dict[Slot, tuple[WireVerdict, int]] = {}
@@ -77,7 +77,7 @@
         self._probe_every = max(round(probe_us / 1e6 / _STEP_S), 1)
         self._timer: asyncio.TimerHandle | None = None
         self._task: asyncio.Future[None] | None = None
-        plane.swim.on_act = self._on_act
+        transport.swim.on_act = self._on_act
 
     # -- Life -------------------------------------------------------------------------------------------
 
@@ -85,13 +85,13 @@
         """Bind the plane, then call `bound`; while the process before this one in an upgrade holds the port,
         try each second."""
         try:
-            await self.plane.start()
+            await self.transport.start()
         except OSError as fault:
             if tries == 0:
                 log.warning("the peer plane can't bind yet, it is tried each second: %s", fault)
             self._timer = asyncio.get_running_loop().call_later(_BIND_AGAIN_S, self._again, bound, tries + 1)
             return
-        log.info("the peer plane is bound, member %d of %d", self.plane.swim.me, self.plane.swim.size)
+        log.info("the peer plane is bound, member %d of %d", self.transport.swim.me, self.transport.swim.size)
         bound()
         self._step()
 
@@ -101,9 +101,9 @@
     def stop(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self.plane.stop()
+        self.transport.stop()
 
-    async def warm(self, stop: asyncio.Event, limit_s: float) -> StateRestored:
+    async def fetch_initial_state(self, stop: asyncio.Event, limit_s: float) -> StateRestored:
         """Ask peers for all that they hold and wait until one has told all, `limit_s` at most.
 
         Their verdicts go to the module at once.  What they learned of servers' paces counts half: it is
@@ -111,20 +111,20 @@
         """
         loop = asyncio.get_running_loop()
         began, asked = loop.time(), 0
-        while not self.plane.swim.state_whole and not stop.is_set():
+        while not self.transport.swim.state_complete and not stop.is_set():
             waited = loop.time() - began
             if waited >= limit_s:
                 break
             if waited >= asked * limit_s / 3:  # datagrams get lost
                 asked += 1
-                self.plane.ask_state()
+                self.transport.request_state()
             await asyncio.sleep(min(_WARM_STEP_S, limit_s))
-        swim = self.plane.swim
-        told = "all that a peer held" if swim.state_whole else "no whole answer"
+        swim = self.transport.swim
+        told = "all that a peer held" if swim.state_complete else "no whole answer"
         log.info("warm start: %s in %.0f ms", told, 1000 * (loop.time() - began))
         self.hear_verdicts()
-        paces = {name: 1.0 + (pace / 100 - 1.0) / 2 for name, pace in swim.facts_heard.items()}
-        out = self.plane.with_core(lambda core, now: core.tier_ejected(now))
+        paces = {name: 1.0 + (pace / 100 - 1.0) / 2 for name, pace in swim.received_latencies.items()}
+        out = self.transport.with_core(lambda core, now: core.tier_ejected(now))
         names = sorted({*paces, *out})
         return StateRestored({name: LearnedServer(paces.get(name, 1.0), int(name in out)) for name in names})
 
@@ -144,9 +144,11 @@
         if action.verdict is ZoneVerdict.EVACUATED:
             self._publish(action.zone, codec.ZONE, WireVerdict.ZONE_EVACUATED, action.evidence)
             return
-        self.plane.act(ZONES, action.zone, BACK)  # to all, where this sidecar probes for them
+        self.transport.issue_command(
+            TierLease.ZONES, action.zone, CommandVerb.ZONE_RECOVERED
+        )  # to all, where this sidecar probes for them
         if self._held.pop((action.zone, codec.ZONE), None) is not None:
-            self.plane.publish(action.zone, WireVerdict.CLEARED, 1, LIFE_MS, codec.ZONE)
+            self.transport.publish(action.zone, WireVerdict.CLEARED, 1, LIFE_MS, codec.ZONE)
 
     def _publish(self, subject: str, slot: int, verdict: WireVerdict, evidence: int) -> None:
         key = (subject, slot)
@@ -157,33 +159,33 @@
             return
         else:
             self._held[key] = (verdict, evidence)
-        self.plane.publish(subject, verdict, evidence, LIFE_MS, slot)
+        self.transport.publish(subject, verdict, evidence, LIFE_MS, slot)
 
-    def ban(self, servers: frozenset[str]) -> None:
+    def set_disabled_servers(self, servers: frozenset[str]) -> None:
         """The operators' bans at this sidecar: told to the tier, and their end too."""
         for server in servers - self._banned:
-            self.plane.publish(server, WireVerdict.DISABLED, 1, LIFE_MS, codec.BAN)
+            self.transport.publish(server, WireVerdict.DISABLED, 1, LIFE_MS, codec.BAN)
         for server in self._banned - servers:
-            self.plane.publish(server, WireVerdict.CLEARED, 1, LIFE_MS, codec.BAN)
+            self.transport.publish(server, WireVerdict.CLEARED, 1, LIFE_MS, codec.BAN)
         self._banned = servers
 
     def _renew(self) -> None:
         for (subject, slot), (verdict, evidence) in self._held.items():
-            self.plane.publish(subject, verdict, evidence, LIFE_MS, slot)
+            self.transport.publish(subject, verdict, evidence, LIFE_MS, slot)
         for server in self._banned:
-            self.plane.publish(server, WireVerdict.DISABLED, 1, LIFE_MS, codec.BAN)
+            self.transport.publish(server, WireVerdict.DISABLED, 1, LIFE_MS, codec.BAN)
 
     def _tell_asked(self) -> None:
         for tenant, per_s in self._asked().items():
             if tenant and len(tenant.encode()) <= codec.SERVER_NAME_MOST:
                 hundredths = min(int(per_s * 100), codec.EVIDENCE_MOST)
-                self.plane.publish(tenant, WireVerdict.DEMAND, hundredths, LIFE_MS // 3, codec.ASKED)
+                self.transport.publish(tenant, WireVerdict.DEMAND, hundredths, LIFE_MS // 3, codec.ASKED)
 
     # -- In: what peers hold ----------------------------------------------------------------------------
 
-    def bans(self) -> frozenset[str]:
+    def disabled_servers(self) -> frozenset[str]:
         """The servers that the tier's operators have left out."""
-        return self.plane.with_core(lambda swim, now: swim.tier_bans(now))
+        return self.transport.with_core(lambda swim, now: swim.tier_disabled(now))
 
     def _step(self) -> None:
         self._steps += 1
@@ -193,14 +195,14 @@
             self._tell_asked()
             paces = list(self._paces().items())[:_FACTS_MOST]
             bounded = ((name, max(1, min(int(pace * 100), codec.PACE_MOST))) for name, pace in paces)
-            self.plane.swim.facts = dict(bounded)
+            self.transport.swim.own_latencies = dict(bounded)
             self._hear_asked()
         self.hear_verdicts()
         self._hear_probing()
         self._timer = asyncio.get_running_loop().call_later(_STEP_S, self._step)
 
     def hear_verdicts(self) -> None:
-        held = self.plane.with_core(lambda swim, now: swim.tier_verdicts(now, len(self._classes)))
+        held = self.transport.with_core(lambda swim, now: swim.tier_verdicts(now, len(self._classes)))
         if held != self._heard:
             self._heard = held
             self._hear(self._peer_verdicts(held))
@@ -220,15 +222,15 @@
         return PeerVerdictsReceived(servers, zones)
 
     def _hear_asked(self) -> None:
-        asked = self.plane.with_core(lambda swim, now: swim.tier_asked(now))
+        asked = self.transport.with_core(lambda swim, now: swim.tier_demand(now))
         if asked != self._tier:
             self._tier = asked
             self._hear(TierDemandReceived(asked))
 
     def _hear_probing(self) -> None:
-        if self.plane.duties is None:
+        if self.transport.leases is None:
             return
-        mine = self.plane.holds(ZONES) > 0
+        mine = self.transport.lease_token(TierLease.ZONES) > 0
         if mine != self._probing or (mine and self._steps % self._probe_every == 0):
             if mine != self._probing:
                 log.info("zones are probed %s", "by this sidecar, for the tier" if mine else "by another")
@@ -236,9 +238,9 @@
             self._hear(ZoneHealthCheckerChanged(mine))
 
     def _on_act(self, _: int, act: ActUpdate) -> bool:
-        if self.plane.duties is None or not self.plane.duties.heard(act):
+        if self.transport.leases is None or not self.transport.leases.accept_command(act):
             return False
-        if act.duty == ZONES and act.verb == BACK:
+        if act.duty == TierLease.ZONES and act.verb == CommandVerb.ZONE_RECOVERED:
             self._hear(ZoneRecovered(act.subject))
         return True
 
@@ -248,7 +250,11 @@
             f"{subject} {slot}": codec.VERDICT_NAMES[verdict]
             for (subject, slot), (verdict, _) in self._held.items()
         }
-        return self.plane.describe() | {"told": told, "untold": self._untold}
-
-    def duties(self) -> dict[str, Any] | None:
-        return self.plane.duties.describe(self.plane.now()) if self.plane.duties is not None else None
+        return self.transport.describe() | {"told": told, "untold": self._untold}
+
+    def describe_leases(self) -> dict[str, Any] | None:
+        return (
+            self.transport.leases.describe(self.transport.now())
+            if self.transport.leases is not None
+            else None
+        )
--- a/sidecar_balancer/membership/codec.py
+++ b/sidecar_balancer/membership/codec.py
@@ -12,7 +12,7 @@
   `[2, kind, duty, epoch, ask]` (a lease's message), `[3, duty, token, counter, subject, verb]` (an act of
   a duty's holder) or `[4, server, pace]` (a server's learned pace, in hundredths of the usual).
 
-Anything else raises `Malformed`: the receiver drops it and counts it.  PROTOCOL caps a datagram at 256 bytes.
+Anything else raises `MalformedDatagramError`: the receiver drops it and counts it.
 """
 
 from __future__ import annotations
@@ -79,7 +79,7 @@
 }
 
 
-class Malformed(ValueError):
+class MalformedDatagramError(ValueError):
     """A datagram that is not one of ours, or is out of bounds."""
 
 
@@ -113,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseUpdate:
-    """A message of the lease protocol (sidecar_balancer/lease/core.py), for its receiver alone."""
+    """A message of the lease protocol (sidecar_balancer/lease/protocol.py), for its receiver alone."""
 
     kind: int
     duty: int
@@ -186,9 +186,9 @@
 
 
 def decode(data: bytes) -> Message:
-    """Read one datagram; raise `Malformed` for anything that is not a well-formed message of this version."""
+    """Read one datagram; raise `MalformedDatagramError` for anything but a well-formed message."""
     if len(data) > DATAGRAM_MOST:
-        raise Malformed(f"{len(data)} bytes, over {DATAGRAM_MOST}")
+        raise MalformedDatagramError(f"{len(data)} bytes, over {DATAGRAM_MOST}")
     try:
         value = msgpack.unpackb(
             data,
@@ -200,14 +200,14 @@
             strict_map_key=True,
         )
     except Exception as bad:  # msgpack raises several kinds; all mean the same here
-        raise Malformed(f"not msgpack: {type(bad).__name__}") from None
+        raise MalformedDatagramError(f"not msgpack: {type(bad).__name__}") from None
     if not isinstance(value, list) or len(value) != 6:
-        raise Malformed("not a message")
+        raise MalformedDatagramError("not a message")
     version, kind, incarnation, seq, target, updates = value
     if version != VERSION:
-        raise Malformed(f"version {version!r:.20}")
+        raise MalformedDatagramError(f"version {version!r:.20}")
     if not isinstance(updates, list):
-        raise Malformed("updates: a list is needed")
+        raise MalformedDatagramError("updates: a list is needed")
     return Message(
         Kind(_whole(kind, 0, len(Kind) - 1, "kind")),
         _whole(incarnation, 0, _WORD - 1, "incarnation"),
@@ -218,12 +218,12 @@
 
 
 def update_from(value: Any) -> Update:
-    """An update from the list that a datagram carries; raise `Malformed`."""
+    """An update from the list that a datagram carries; raise `MalformedDatagramError`."""
     if not isinstance(value, list) or not value or type(value[0]) is not int:
-        raise Malformed("update: a list is needed")
+        raise MalformedDatagramError("update: a list is needed")
     reader = _READERS.get((value[0], len(value)))
     if reader is None:
-        raise Malformed("update: unknown kind")
+        raise MalformedDatagramError("update: unknown kind")
     return reader(value)
 
 
@@ -280,11 +280,11 @@
 
 def _name(value: Any, empty: bool = False) -> str:
     if not isinstance(value, str) or not (value or empty):
-        raise Malformed("a name is needed")
+        raise MalformedDatagramError("a name is needed")
     return value
 
 
 def _whole(value: Any, low: int, high: int, name: str) -> int:
     if type(value) is not int or not low <= value <= high:
-        raise Malformed(f"{name}: a whole number in {low}..{high} is needed")
+        raise MalformedDatagramError(f"{name}: a whole number in {low}..{high} is needed")
     return value
--- a/sidecar_balancer/membership/swim.py
+++ b/sidecar_balancer/membership/swim.py
@@ -30,7 +30,7 @@
     FactUpdate,
     Kind,
     LeaseUpdate,
-    Malformed,
+    MalformedDatagramError,
     MemberUpdate,
     Message,
     Status,
@@ -38,7 +38,8 @@
     VerdictUpdate,
     WireVerdict,
 )
-from sidecar_balancer.membership.verdicts import Verdicts
+from sidecar_balancer.membership.settings import MembershipSettings
+from sidecar_balancer.membership.verdict_table import VerdictTable
 
 Datagram = tuple[int, bytes]  # to the member of that number
 STATE_PARTS_MOST = 100  # datagrams of one answer to a member that starts
@@ -46,32 +47,6 @@
 _US_PER_MS = 1000
 
 
-@dataclass(frozen=True, slots=True)
-class Tuning:
-    """The plane's knobs; times in ms.  Defaults: memberlist's LAN profile, scaled to a tier on one host."""
-
-    period_ms: int = 200
-    probe_timeout_ms: int = 80
-    indirect: int = 3  # members asked to ping for us
-    suspicion_mult: float = 6.0
-    retransmit_mult: int = 4
-    health_most: int = 8
-    rejoin_every: int = 8  # one probe in so many goes to a dead member, where there is one
-    verdicts_most: int = 1024
-    ban_quorum: int = 1  # live peers that must hold a ban before this sidecar takes it
-    ban_most: int = 4  # servers that peers' bans may leave out at once: what a lying peer can do
-
-    def __post_init__(self) -> None:
-        if not 0 < self.probe_timeout_ms < self.period_ms <= 60_000:
-            raise ValueError("peer_plane: 0 < probe_timeout_ms < period_ms <= 60000 is needed")
-        if not 1 <= self.ban_quorum <= codec.MEMBERS_MOST or not 0 <= self.ban_most <= codec.MEMBERS_MOST:
-            raise ValueError("peer_plane: ban_quorum in 1..1024 and ban_most in 0..1024 are needed")
-        if not 1 <= self.indirect <= 16 or self.suspicion_mult < 1 or self.retransmit_mult < 1:
-            raise ValueError(
-                "peer_plane: indirect in 1..16, suspicion_mult and retransmit_mult >= 1 are needed"
-            )
-
-
 @dataclass(slots=True)
 class Member:
     incarnation: int = 0
@@ -116,14 +91,16 @@
 class Swim:
     """One member's view of the tier.  `me` in `range(size)`; `seed` draws the probe order."""
 
-    def __init__(self, me: int, size: int, seed: int, tuning: Tuning | None = None, now_us: int = 0) -> None:
+    def __init__(
+        self, me: int, size: int, seed: int, tuning: MembershipSettings | None = None, now_us: int = 0
+    ) -> None:
         if not 0 <= me < size <= codec.MEMBERS_MOST:
             raise ValueError(f"peer_plane: member {me} of {size} is out of range")
-        self.me, self.size, self.tuning = me, size, tuning or Tuning()
+        self.me, self.size, self.tuning = me, size, tuning or MembershipSettings()
         self.incarnation = 0
         self.health = 0
         self.members = {each: Member(changed_us=now_us) for each in range(size) if each != me}
-        self.verdicts = Verdicts(self.tuning.verdicts_most)
+        self.verdicts = VerdictTable(self.tuning.verdicts_most)
         self.counts = Counts()
         self._random = random.Random(seed)
         self._order: list[int] = []
@@ -136,9 +113,9 @@
         self._gossip: dict[tuple[int, int, str], tuple[Update, int]] = {}  # key -> update, sends left
         self.on_lease: Callable[[int, int, LeaseUpdate], list[tuple[int, LeaseUpdate]]] = lambda *_: []
         self.on_act: Callable[[int, ActUpdate], bool] = lambda *_: False  # whether it is new and in force
-        self.facts: dict[str, int] = {}  # what this member learned of servers, for those that start
-        self.facts_heard: dict[str, int] = {}
-        self.state_whole = False
+        self.own_latencies: dict[str, int] = {}  # what this member learned of servers, for those that start
+        self.received_latencies: dict[str, int] = {}
+        self.state_complete = False
         self._state_parts: dict[int, set[int]] = {}
         self._state_told: dict[int, int] = {}  # when each member was last told all
 
@@ -176,7 +153,7 @@
             return []
         try:
             message = codec.decode(data)
-        except Malformed:
+        except MalformedDatagramError:
             self.counts.dropped["malformed"] += 1
             return []
         self._remind(sender, message.incarnation)
@@ -199,8 +176,8 @@
     def spread_act(self, act: ActUpdate) -> None:
         self._spread(act, (3, act.duty, act.subject))
 
-    def ask_state(self, now_us: int) -> list[Datagram]:
-        """Ask a few members for all that they hold; `state_whole` says once one answered in full."""
+    def request_state(self, now_us: int) -> list[Datagram]:
+        """Ask a few members for all that they hold; `state_complete` says once one answered in full."""
         helpers = self._random.sample(self.alive(), min(self.tuning.indirect, len(self.alive())))
         return [self._send(each, Message(Kind.STATE_ASK, self.incarnation, 0)) for each in helpers]
 
@@ -227,7 +204,7 @@
         )
         self._hear_of(now_us, update)
 
-    def resume(
+    def restore(
         self, now_us: int, incarnation: int, counter: int, held: list[tuple[VerdictUpdate, int]]
     ) -> None:
         """Start from what a snapshot kept: a life after `incarnation`, versions after `counter`, and the
@@ -239,7 +216,7 @@
             if update.origin != self.me and update.origin in self.members:
                 self.verdicts.take(now_us, replace(update, ttl_ms=left_ms))
 
-    def recall_members(self, now_us: int, kept: dict[int, tuple[Status, int]]) -> None:
+    def restore_members(self, now_us: int, kept: dict[int, tuple[Status, int]]) -> None:
         """Take the view that an earlier life had; who was dead then is suspect, until it is heard or not."""
         for number, (status, incarnation) in kept.items():
             member = self.members.get(number)
@@ -274,7 +251,7 @@
         live = set(self.alive())
         return [update for update, _ in self.verdicts.live(now_us) if update.origin in live]
 
-    def tier_bans(self, now_us: int) -> frozenset[str]:
+    def tier_disabled(self, now_us: int) -> frozenset[str]:
         """Servers that the operators of at least `ban_quorum` live peers have left out now.
 
         `ban_most` at most: those held by the most peers first, then by name."""
@@ -302,7 +279,7 @@
         enough = max(2, len(self.alive()) / 2)
         return frozenset(server for server, count in held.items() if count >= enough)
 
-    def tier_asked(self, now_us: int) -> dict[str, float]:
+    def tier_demand(self, now_us: int) -> dict[str, float]:
         """What the live peers were asked of late in all, requests a second by tenant."""
         asked = Counter[str]()
         for update in self._told(now_us):
@@ -386,7 +363,7 @@
             return []
         self._state_told[target] = now_us
         left: list[Update] = [replace(each, ttl_ms=ms) for each, ms in self.verdicts.live(now_us)]
-        left += [FactUpdate(server, pace) for server, pace in self.facts.items()]
+        left += [FactUpdate(server, pace) for server, pace in self.own_latencies.items()]
         parts: list[list[Update]] = []
         while left and len(parts) < STATE_PARTS_MOST:
             most = Message(Kind.STATE, self.incarnation, STATE_PARTS_MOST, STATE_PARTS_MOST)
@@ -404,7 +381,7 @@
         got = self._state_parts.setdefault(sender, set())
         got.add(message.seq)
         if len(got) >= message.target:
-            self.state_whole = True
+            self.state_complete = True
 
     def _expire_suspicions(self, now_us: int) -> None:
         timeout = self._suspicion_us()
@@ -436,8 +413,8 @@
                 self.spread_act(update)
             return
         if isinstance(update, FactUpdate):
-            if len(self.facts_heard) < self.tuning.verdicts_most:
-                self.facts_heard[update.server] = update.pace
+            if len(self.received_latencies) < self.tuning.verdicts_most:
+                self.received_latencies[update.server] = update.pace
             return
         if isinstance(update, LeaseUpdate):
             return
@@ -509,7 +486,7 @@
     return update.status > member.status
 
 
-def retransmits(size: int, tuning: Tuning) -> int:
+def retransmits(size: int, tuning: MembershipSettings) -> int:
     """How many messages carry each rumour (memberlist's limit): mult x ceil(log10(N + 1))."""
     return tuning.retransmit_mult * math.ceil(math.log10(size + 1))
 
--- a/sidecar_balancer/membership/transport.py
+++ b/sidecar_balancer/membership/transport.py
@@ -12,11 +12,12 @@
 from collections.abc import Callable
 from typing import Any, TypeVar, cast
 
-from sidecar_balancer.lease.core import Terms
-from sidecar_balancer.lease.duties import Duties
+from sidecar_balancer.lease.manager import LeaseManager
+from sidecar_balancer.lease.protocol import LeaseTiming
 from sidecar_balancer.membership import codec
 from sidecar_balancer.membership.codec import WireVerdict
-from sidecar_balancer.membership.swim import Datagram, Swim, Tuning
+from sidecar_balancer.membership.settings import MembershipSettings
+from sidecar_balancer.membership.swim import Datagram, Swim
 
 log = logging.getLogger(__name__)
 
@@ -28,7 +29,7 @@
     return time.monotonic_ns() // 1000
 
 
-class PeerPlane(asyncio.DatagramProtocol):
+class MembershipTransport(asyncio.DatagramProtocol):
     """One sidecar's end of the plane: `listen` is its `peer_listen`, `peers` the tier's, `me` its number.
 
     `terms`: of the leases of the tier's duties; None: there are none.
@@ -40,14 +41,14 @@
         peers: list[Address],
         me: int,
         seed: int,
-        tuning: Tuning,
-        terms: Terms | None = None,
+        tuning: MembershipSettings,
+        terms: LeaseTiming | None = None,
         clock: Callable[[], int] = monotonic_us,
     ) -> None:
         self.swim = Swim(me, len(peers), seed, tuning, clock())
-        self.duties = Duties(me, len(peers), seed, terms, clock()) if terms is not None else None
-        if self.duties is not None:
-            self.swim.on_lease = self.duties.receive
+        self.leases = LeaseManager(me, len(peers), seed, terms, clock()) if terms is not None else None
+        if self.leases is not None:
+            self.swim.on_lease = self.leases.receive
         self._listen, self._peers, self._clock = listen, peers, clock
         self._index = {address: number for number, address in enumerate(peers)}
         self._transport: asyncio.DatagramTransport | None = None
@@ -87,18 +88,20 @@
     ) -> None:
         self.swim.publish(self._clock(), subject, verdict, evidence, ttl_ms, slot)
 
-    def ask_state(self) -> None:
-        self._post(self.swim.ask_state(self._clock()))
+    def request_state(self) -> None:
+        self._post(self.swim.request_state(self._clock()))
 
-    def act(self, duty: int, subject: str, verb: int) -> bool:
+    def issue_command(self, duty: int, subject: str, verb: int) -> bool:
         """Do an act of a duty and tell the tier; False where the duty is not held."""
-        act = self.duties.act(self._clock(), duty, subject, verb) if self.duties is not None else None
+        act = (
+            self.leases.issue_command(self._clock(), duty, subject, verb) if self.leases is not None else None
+        )
         if act is not None:
             self.swim.spread_act(act)
         return act is not None
 
-    def holds(self, duty: int) -> int:
-        return self.duties.holds(duty, self._clock()) if self.duties is not None else 0
+    def lease_token(self, duty: int) -> int:
+        return self.leases.holds(duty, self._clock()) if self.leases is not None else 0
 
     def with_core(self, use: Callable[[Swim, int], _T]) -> _T:
         """Let `use` read or change the core at this moment of the clock (snapshots)."""
@@ -127,9 +130,9 @@
         now = self._clock()
         self._post(self.swim.tick(now))
         due = self.swim.due_us()
-        if self.duties is not None:
-            self._post(self.swim.direct(self.duties.tick(now, self.swim.alive())))
-            due = min(due, self.duties.due_us(now))
+        if self.leases is not None:
+            self._post(self.swim.direct(self.leases.tick(now, self.swim.alive())))
+            due = min(due, self.leases.due_us(now))
         wait_s = max(due - self._clock(), 1000) / 1e6
         self._timer = asyncio.get_running_loop().call_later(wait_s, self._tick)
 
--- a/sidecar_balancer/membership/verdicts.py
+++ b/sidecar_balancer/membership/verdict_table.py
@@ -22,7 +22,7 @@
     expires_us: int  # on this process's clock
 
 
-class Verdicts:
+class VerdictTable:
     """The table of verdicts: `take` merges, `holding` reads, `fresh` gives what is worth gossiping."""
 
     def __init__(self, most: int) -> None:
--- a/sidecar_balancer/persistence/persister.py
+++ b/sidecar_balancer/persistence/persister.py
@@ -25,10 +25,10 @@
 
 import msgpack  # type: ignore[import-untyped]
 
-from sidecar_balancer.lease.duties import SNAPSHOT, WROTE
+from sidecar_balancer.lease.manager import CommandVerb, TierLease
 from sidecar_balancer.membership import codec
-from sidecar_balancer.membership.codec import Malformed, Status, VerdictUpdate
-from sidecar_balancer.membership.transport import PeerPlane
+from sidecar_balancer.membership.codec import MalformedDatagramError, Status, VerdictUpdate
+from sidecar_balancer.membership.transport import MembershipTransport
 from sidecar_balancer.persistence import tier_snapshot as tier
 from sidecar_balancer.persistence.store import Store
 from sidecar_balancer.policy.balancer import Balancer
@@ -92,16 +92,20 @@
             return
         for note in notes:
             log.warning("state: %s", note)
-        kept.epochs[SNAPSHOT] = max(kept.epochs.get(SNAPSHOT, 0), token)
+        kept.epochs[TierLease.SNAPSHOT] = max(kept.epochs.get(TierLease.SNAPSHOT, 0), token)
         if not kept.recalled.servers:
             shared = _read(records)
             kept.recalled, kept.verdicts = shared.recalled, kept.verdicts or shared.verdicts
             log.info("the tier's snapshot: token %d, %d servers", token, len(shared.recalled.servers))
 
-    def keep_for_tier(self, plane: PeerPlane) -> None:
+    def keep_for_tier(self, plane: MembershipTransport) -> None:
         """Write the tier's snapshot where this sidecar holds that duty."""
-        token = plane.holds(SNAPSHOT)
-        if self._tier is None or not token or not plane.act(SNAPSHOT, "", WROTE):
+        token = plane.lease_token(TierLease.SNAPSHOT)
+        if (
+            self._tier is None
+            or not token
+            or not plane.issue_command(TierLease.SNAPSHOT, "", CommandVerb.SNAPSHOT_WRITTEN)
+        ):
             return
         shared = {k: v for k, v in self.store.records().items() if k.partition("/")[0] in _SHARED}
         try:
@@ -114,7 +118,7 @@
             self._tier_fault = True
 
     def keep(
-        self, balancer: Balancer, now: int, plane: PeerPlane | None, listed: tuple[str, str] | None
+        self, balancer: Balancer, now: int, plane: MembershipTransport | None, listed: tuple[str, str] | None
     ) -> None:
         """Gather all that is to be kept and write what changed.
 
@@ -140,7 +144,7 @@
             self.keep_for_tier(plane)
 
 
-def _records(balancer: Balancer, now: int, plane: PeerPlane | None) -> Iterator[tuple[str, bytes]]:
+def _records(balancer: Balancer, now: int, plane: MembershipTransport | None) -> Iterator[tuple[str, bytes]]:
     pack = msgpack.packb
     for server in balancer.ready[:SERVERS_MOST]:
         if server.last_answer_at >= 0 or server.ejected_until is not None:
@@ -152,9 +156,9 @@
     yield "bearable", pack(float(f"{balancer.bearable:.2g}"))
     if plane is not None:
         yield from plane.with_core(lambda swim, at: list(_plane_records(swim, at)))
-        if plane.duties is not None:
-            for number, duty in enumerate(plane.duties.leases.table):
-                yield f"lease/{number}", pack(duty.highest)
+        if plane.leases is not None:
+            for number, epoch in plane.leases.highest_epochs().items():
+                yield f"lease/{number}", pack(epoch)
 
 
 def _plane_records(swim: Any, now: int) -> Iterator[tuple[str, bytes]]:
@@ -194,7 +198,7 @@
                 kept.verdicts += [update] if isinstance(update, VerdictUpdate) else []
             elif kind == "lease":
                 kept.epochs[int(rest)] = int(given)
-        except (ValueError, TypeError, IndexError, Malformed, msgpack.UnpackException):
+        except (ValueError, TypeError, IndexError, MalformedDatagramError, msgpack.UnpackException):
             log.warning("state: record %.80s is not taken", key)
     kept.recalled = StateRestored(servers, usual, bearable)
     return kept
@@ -214,15 +218,13 @@
     return first, second
 
 
-def resume_plane(plane: PeerPlane, kept: Kept) -> None:
+def resume_plane(plane: MembershipTransport, kept: Kept) -> None:
     """Let the plane go on from what an earlier life kept: a life after it, its members and verdicts."""
     if kept.plane is not None:
         held = [(each, each.ttl_ms) for each in kept.verdicts]
         incarnation, counter = kept.plane
-        plane.with_core(lambda swim, now: swim.resume(now, incarnation, counter, held))
-        plane.with_core(lambda swim, now: swim.recall_members(now, kept.members))
-    if plane.duties is not None:
+        plane.with_core(lambda swim, now: swim.restore(now, incarnation, counter, held))
+        plane.with_core(lambda swim, now: swim.restore_members(now, kept.members))
+    if plane.leases is not None:
         for number, epoch in kept.epochs.items():
-            if 0 <= number < len(plane.duties.leases.table):
-                table = plane.duties.leases.table
-                table[number].highest = max(table[number].highest, epoch)
+            plane.leases.restore_epoch(number, epoch)
--- a/sidecar_balancer/runtime/sidecar.py
+++ b/sidecar_balancer/runtime/sidecar.py
@@ -36,7 +36,7 @@
 from sidecar_balancer.upstream import connection as upstream
 
 if TYPE_CHECKING:  # loaded where the plane is on: a start without it costs no more CPU
-    from sidecar_balancer.membership.bridge import PeerLink
+    from sidecar_balancer.membership.bridge import MembershipBridge
     from sidecar_balancer.observability.latency import Latencies
     from sidecar_balancer.persistence.persister import Keeper, Kept
 
@@ -229,18 +229,18 @@
 
     # -- The peer plane ------------------------------------------------------------------------------------
 
-    def _linked(self, config: Config) -> PeerLink | None:
+    def _linked(self, config: Config) -> MembershipBridge | None:
         if config.peer_plane is None or config.peer_listen is None:
             return None
-        from sidecar_balancer.membership.bridge import PeerLink
-        from sidecar_balancer.membership.transport import PeerPlane
+        from sidecar_balancer.membership.bridge import MembershipBridge
+        from sidecar_balancer.membership.transport import MembershipTransport
 
         me, settings = config.settings.member_index, config.settings
-        plane = PeerPlane(
+        plane = MembershipTransport(
             config.peer_listen, list(config.peers), me, config.seed, config.peer_plane, config.duties
         )
         classes = [each.name for each in settings.classes]
-        return PeerLink(
+        return MembershipBridge(
             plane,
             classes,
             self._engine.handle,
@@ -262,8 +262,8 @@
         if self._kept is not None:
             from sidecar_balancer.persistence.persister import resume_plane
 
-            resume_plane(self._link.plane, self._kept)
-        self._link.ban(self.operations.ordered)
+            resume_plane(self._link.transport, self._kept)
+        self._link.set_disabled_servers(self.operations.ordered)
         self._timers.every(_ORDERS_EVERY_S, self.operations.hear_exclusions)
 
     def _publish_server_verdict(self, action: PublishServerVerdict) -> None:
@@ -305,13 +305,13 @@
         if self._kept is not None and self._kept.recalled.servers:
             self._engine.handle(self._kept.recalled)
         elif self._link is not None and self._warm_s > 0.0:
-            recalled = await self._link.warm(stop, self._warm_s)
+            recalled = await self._link.fetch_initial_state(stop, self._warm_s)
             self._engine.handle(recalled)
 
     def _keep_state(self) -> None:
         """Gather and write what is known, each second; it serves on where the disk says no."""
         assert self._keeper is not None
-        plane = self._link.plane if self._link is not None else None
+        plane = self._link.transport if self._link is not None else None
         listed = (
             (self._discovery.place(), self._endpoint_list.text()) if self._endpoint_list.version else None
         )
--- a/tests/compatibility/golden_subjects.py
+++ b/tests/compatibility/golden_subjects.py
@@ -15,10 +15,10 @@
 from sidecar_balancer.admin.overrides import Orders
 from sidecar_balancer.config.wire_names import settings_from_wire
 from sidecar_balancer.discovery.endpoint_list import parse_list
-from sidecar_balancer.lease.core import Terms
+from sidecar_balancer.lease.protocol import LeaseTiming
 from sidecar_balancer.membership import codec
-from sidecar_balancer.membership.swim import Tuning
-from sidecar_balancer.membership.transport import PeerPlane
+from sidecar_balancer.membership.settings import MembershipSettings
+from sidecar_balancer.membership.transport import MembershipTransport
 from sidecar_balancer.persistence import tier_snapshot as tier
 from sidecar_balancer.persistence.persister import Keeper, resume_plane
 from sidecar_balancer.persistence.store import Store
@@ -90,7 +90,7 @@
     balancer.handle(now, EndpointListReceived(ListKind.CACHED, servers, told.version))
     balancer.handle(now, kept.recalled)
     peers = [("127.0.0.1", 1 + number) for number in range(4)]
-    plane = PeerPlane(peers[0], peers, 0, 7, Tuning(), Terms(), lambda: now)
+    plane = MembershipTransport(peers[0], peers, 0, 7, MembershipSettings(), LeaseTiming(), lambda: now)
     resume_plane(plane, kept)
     store = Store(target, _MOST)
     store.open()
--- a/tests/lease/test_lease.py
+++ b/tests/lease/test_protocol.py
@@ -5,9 +5,9 @@
 import pytest
 
 from lease_explorer import Bound, explore
-from sidecar_balancer.lease.core import Fence, Kind, Leases, Message, Terms
+from sidecar_balancer.lease.protocol import Fence, Kind, LeaseProtocol, LeaseTiming, Message
 
-TERMS = Terms(term_us=3_000, renew_us=1_000, skew_us=100, retry_us=250)
+TERMS = LeaseTiming(term_us=3_000, renew_us=1_000, skew_us=100, retry_us=250)
 
 
 def test_the_explorer_finds_no_two_holders_within_its_bound() -> None:
@@ -18,13 +18,13 @@
 
 
 def test_without_the_skew_margin_the_explorer_finds_two_holders() -> None:
-    no_margin = Terms(term_us=4, renew_us=1, skew_us=0, retry_us=2)
+    no_margin = LeaseTiming(term_us=4, renew_us=1, skew_us=0, retry_us=2)
     found = explore(Bound(ticks=7, terms=no_margin), check_liveness=False)
     assert found.violation.startswith("two holders"), found.states
 
 
 def test_a_majority_grants_and_the_token_fences_older_acts() -> None:
-    members = [Leases(me, 3, 1, TERMS, started=-10_000) for me in range(3)]
+    members = [LeaseProtocol(me, 3, 1, TERMS, started=-10_000) for me in range(3)]
     for lease in members:
         lease.table[0].learned = frozenset({0, 1, 2} - {lease.me})
     first = next(lease for lease in members if lease.tick(0, [0, 1, 2]))
@@ -40,7 +40,7 @@
 
 
 def test_a_member_that_just_started_grants_nothing_before_it_learned_which_epochs_went_out() -> None:
-    fresh = Leases(1, 3, 1, TERMS, started=0, life=40)
+    fresh = LeaseProtocol(1, 3, 1, TERMS, started=0, life=40)
     [(_, reply)] = fresh.receive(10, 0, Message(Kind.ASK, 0, 1, 1))
     assert reply.kind is Kind.REFUSE
     later = TERMS.term_us + 2 * TERMS.skew_us
@@ -57,7 +57,7 @@
     assert reply.kind is Kind.GRANT
 
 
-STEADY = Bound(ticks=5, crashes=1, drift=0, drift_steps=0, in_flight=2, terms=Terms(3, 1, 0, 2))
+STEADY = Bound(ticks=5, crashes=1, drift=0, drift_steps=0, in_flight=2, terms=LeaseTiming(3, 1, 0, 2))
 
 
 def test_a_crash_does_not_give_an_epoch_out_twice() -> None:
@@ -69,5 +69,5 @@
 def test_without_learning_what_went_out_the_explorer_finds_an_epoch_given_out_twice(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(Leases, "knows", lambda *_: True)
+    monkeypatch.setattr(LeaseProtocol, "knows", lambda *_: True)
     assert "holds token" in explore(STEADY).violation
--- a/tests/membership/test_peers.py
+++ b/tests/membership/test_peers.py
@@ -9,9 +9,17 @@
 from hypothesis import strategies as st
 
 from sidecar_balancer.membership import codec
-from sidecar_balancer.membership.codec import Kind, Malformed, Message, Status, VerdictUpdate, WireVerdict
-from sidecar_balancer.membership.swim import Swim, Tuning
-from sidecar_balancer.membership.verdicts import Verdicts
+from sidecar_balancer.membership.codec import (
+    Kind,
+    MalformedDatagramError,
+    Message,
+    Status,
+    VerdictUpdate,
+    WireVerdict,
+)
+from sidecar_balancer.membership.settings import MembershipSettings
+from sidecar_balancer.membership.swim import Swim
+from sidecar_balancer.membership.verdict_table import VerdictTable
 from simnet import SimNet as Net
 
 MS = 1000
@@ -30,7 +38,7 @@
 def test_any_bytes_decode_or_are_refused(data: bytes) -> None:
     try:
         message = codec.decode(data)
-    except Malformed:
+    except MalformedDatagramError:
         return
     assert len(data) <= codec.DATAGRAM_MOST and isinstance(message, Message)
 
@@ -40,7 +48,7 @@
     data = msgpack.packb([codec.VERSION, 0, 0, 0, -1, [[1, *fields]]])
     try:
         codec.decode(data)
-    except Malformed:
+    except MalformedDatagramError:
         return
     raise AssertionError("a verdict of wrong fields was taken")
 
@@ -54,13 +62,13 @@
     ]
     tables = []
     for seed in range(3):
-        table, shuffled = Verdicts(100), list(updates) * 2
+        table, shuffled = VerdictTable(100), list(updates) * 2
         random.Random(seed).shuffle(shuffled)
         for each in shuffled:
             table.take(0, each)
         tables.append(sorted((u.origin, u.server, u.incarnation, u.counter) for u, _ in table.live(0)))
     assert tables[0] == tables[1] == tables[2] and len(tables[0]) == 4
-    small = Verdicts(2)
+    small = VerdictTable(2)
     for origin in range(5):
         small.take(origin * MS, VerdictUpdate(origin, 0, 1, "s", WireVerdict.REJECTING, 1, 1000 + origin))
     assert len(small) == 2 and small.evicted == 3
@@ -154,17 +162,17 @@
     net.run(1_000)
     for _ in range(3):  # heard again while the newer verdict is held: the older one is not taken
         net.members[1].receive(net.clock(1), 0, replay)
-    assert net.members[1].tier_bans(net.clock(1)) == frozenset() and net.members[1].verdicts.stale >= 3
+    assert net.members[1].tier_disabled(net.clock(1)) == frozenset() and net.members[1].verdicts.stale >= 3
 
 
 def test_a_lying_peer_bans_no_more_than_its_bound() -> None:
     for quorum, most in ((1, 4), (2, 4)):
-        net = Net(5, seed=6, tuning=Tuning(ban_quorum=quorum, ban_most=most))
+        net = Net(5, seed=6, tuning=MembershipSettings(ban_quorum=quorum, ban_most=most))
         net.run(500)
         for number in range(10):
             net.members[4].publish(net.clock(4), f"s{number}", WireVerdict.DISABLED, 1, 30_000, codec.BAN)
         net.run(2_000)
-        banned = [net.members[each].tier_bans(net.now) for each in range(4)]
+        banned = [net.members[each].tier_disabled(net.now) for each in range(4)]
         assert all(len(each) == (most if quorum == 1 else 0) for each in banned)
 
 
@@ -179,7 +187,7 @@
 def test_bad_tuning_is_refused() -> None:
     for bad in ({"probe_timeout_ms": 500}, {"indirect": 0}, {"suspicion_mult": 0.5}):
         try:
-            Tuning(**bad)
+            MembershipSettings(**bad)
         except ValueError:
             continue
         raise AssertionError(f"{bad} was taken")
--- a/tests/support/simnet.py
+++ b/tests/support/simnet.py
@@ -1,4 +1,4 @@
-"""An in-process network of `Swim` members on one clock, for tests and `bench/peers.py`; no sockets.
+"""An in-process network of `Swim` members on one clock, for tests and `bench/membership.py`; no sockets.
 
 Each datagram takes `delay_ms` and is lost with odds `loss`; `down` members hear and say nothing; `cut` holds
 pairs of members that do not hear each other.  Each member may run on a clock of its own offset (`skew_us`):
@@ -11,17 +11,23 @@
 
 from sidecar_balancer.membership import codec
 from sidecar_balancer.membership.codec import Status
-from sidecar_balancer.membership.swim import Datagram, Swim, Tuning
+from sidecar_balancer.membership.settings import MembershipSettings
+from sidecar_balancer.membership.swim import Datagram, Swim
 
 _MS = 1000
 
 
 class SimNet:
     def __init__(
-        self, size: int, loss: float = 0.0, seed: int = 1, delay_ms: int = 2, tuning: Tuning | None = None
+        self,
+        size: int,
+        loss: float = 0.0,
+        seed: int = 1,
+        delay_ms: int = 2,
+        tuning: MembershipSettings | None = None,
     ) -> None:
         self.now = 0
-        self.tuning = tuning or Tuning()
+        self.tuning = tuning or MembershipSettings()
         self.skew_us = [0] * size
         self.members = [Swim(each, size, seed * 1000 + each, self.tuning) for each in range(size)]
         self.down: set[int] = set()
--- a/tools/lease_explorer.py
+++ b/tools/lease_explorer.py
@@ -1,8 +1,8 @@
-"""An exhaustive explorer of the lease protocol: it runs `sidecar_balancer.lease.core` itself.
+"""An exhaustive explorer of the lease protocol: it runs `sidecar_balancer.lease.protocol` itself.
 
-`explore(bound)` visits every state reachable within `bound`.  Members run `Leases` on clocks that are real
-time plus an offset in `0 .. drift`, moved by one at a tick, `drift_steps` times in all: over any span a
-clock gains or loses at most `drift` against real time.  A message may be delivered in the tick it was sent or
+`explore(bound)` visits every state reachable within `bound`.  Members run `LeaseProtocol` on clocks
+that are real time plus an offset in `0 .. drift`, moved by one at a tick, `drift_steps` times in all: over any
+span a clock gains or loses at most `drift` against real time.  A message may be delivered in the tick it was sent or
 in the next, in any order, twice (`duplicates`), or never.  A member may crash and restart with nothing
 remembered.  At a tick one member may believe itself alone (`suspicions`), and so ask though another ranks
 first.  In each state:
@@ -22,7 +22,7 @@
 from functools import lru_cache
 from typing import NamedTuple
 
-from sidecar_balancer.lease.core import Duty, Kind, Leases, Message, Terms
+from sidecar_balancer.lease.protocol import Kind, LeaseProtocol, LeaseState, LeaseTiming, Message
 
 Flying = tuple[int, int, Message, int]  # sender, target, message, ticks in flight
 MemberKey = tuple[object, ...]
@@ -40,7 +40,9 @@
     suspicions: int = 1
     in_flight: int = 4  # what would go beyond is lost
     settle: int = 24  # ticks allowed for a holder to appear once faults stop
-    terms: Terms = field(default_factory=lambda: Terms(term_us=4, renew_us=1, skew_us=1, retry_us=2))
+    terms: LeaseTiming = field(
+        default_factory=lambda: LeaseTiming(term_us=4, renew_us=1, skew_us=1, retry_us=2)
+    )
 
 
 class State(NamedTuple):
@@ -113,16 +115,16 @@
 
     # -- One member's moves, by the protocol's own code ------------------------------------------------
 
-    def _lease(self, me: int, key: MemberKey) -> Leases:
+    def _lease(self, me: int, key: MemberKey) -> LeaseProtocol:
         started, *fields = key
-        table = [Duty(*fields)]  # type: ignore[arg-type]
+        table = [LeaseState(*fields)]  # type: ignore[arg-type]
         since: int = started  # type: ignore[assignment]
-        return Leases(me, self.bound.members, 1, self.bound.terms, since, table, asks=1)
+        return LeaseProtocol(me, self.bound.members, 1, self.bound.terms, since, table, asks=1)
 
     def _fresh(self, me: int, started: int) -> MemberKey:
-        return self._key(Leases(me, self.bound.members, 1, self.bound.terms, started), 0)
+        return self._key(LeaseProtocol(me, self.bound.members, 1, self.bound.terms, started), 0)
 
-    def _key(self, lease: Leases, now: int) -> MemberKey:
+    def _key(self, lease: LeaseProtocol, now: int) -> MemberKey:
         """What of a member decides its future: times from its own now, what ran out as 0, asks as 0 or 1."""
         duty = lease.table[0]
         started = max(lease.started - now, -self._quiet)
@@ -300,7 +302,7 @@
         parser.add_argument("--" + name.replace("_", "-"), type=int, default=getattr(Bound, name))
     parser.add_argument("--no-margin", action="store_true", help="leave out the skew margin (finds the bug)")
     args = vars(parser.parse_args())
-    terms = Terms(term_us=4, renew_us=1, skew_us=0 if args.pop("no_margin") else 1, retry_us=2)
+    terms = LeaseTiming(term_us=4, renew_us=1, skew_us=0 if args.pop("no_margin") else 1, retry_us=2)
     bound = Bound(terms=terms, **args)
     found = explore(bound)
     print(f"bound: {bound}")
