--- a/tools/lease_explorer.py
+++ b/tools/lease_explorer.py
@@ -1,9 +1,10 @@
 """An exhaustive explorer of the lease protocol: it runs `sidecar_balancer.lease.protocol` itself.
 
 `explore(bound)` visits every state reachable within `bound`.  Members run `LeaseProtocol` on clocks
-that are real time plus an offset in `0 .. drift`, moved by one at a tick, `drift_steps` times in all: over any
-span a clock gains or loses at most `drift` against real time.  A message may be delivered in the tick it was sent or
-in the next, in any order, twice (`duplicates`), or never.  A member may crash and restart with nothing
+that are real time plus an offset in `0 .. drift`, moved by one at a tick, `drift_steps` times in all:
+over any span a clock gains or loses at most `drift` against real time.  A message may be delivered in the
+tick it was sent or in the next, in any order, twice (`duplicates`), or never.  A member may
+crash and restart with nothing
 remembered.  At a tick one member may believe itself alone (`suspicions`), and so ask though another ranks
 first.  In each state:
 
