--- a/sidecar_balancer/persistence/persister.py
+++ b/sidecar_balancer/persistence/persister.py
@@ -5,8 +5,8 @@
 import logging
 from pathlib import Path
 
-from sidecar_balancer.lease.duties import SNAPSHOT, WROTE
-from sidecar_balancer.membership.transport import PeerPlane
+from sidecar_balancer.lease.manager import CommandVerb, TierLease
+from sidecar_balancer.membership.transport import MembershipTransport
 from sidecar_balancer.persistence import state_records, tier_snapshot
 from sidecar_balancer.persistence.state_records import EndpointListRecord, RestoredState
 from sidecar_balancer.persistence.store import Store
@@ -63,7 +63,8 @@
             )
             return
         _log_rejected_files(snapshot.notes)
-        state.lease_epochs[SNAPSHOT] = max(state.lease_epochs.get(SNAPSHOT, 0), snapshot.token)
+        known_epoch = state.lease_epochs.get(TierLease.SNAPSHOT, 0)
+        state.lease_epochs[TierLease.SNAPSHOT] = max(known_epoch, snapshot.token)
         if not state.learned.servers:
             shared = state_records.decode(snapshot.records)
             state.learned = shared.learned
@@ -79,11 +80,11 @@
         self,
         balancer: Balancer,
         now_us: int,
-        plane: PeerPlane | None,
+        transport: MembershipTransport | None,
         endpoint_list: EndpointListRecord | None,
     ) -> None:
         """Write what changed since the last call; `now_us` is the balancer's clock."""
-        records = state_records.encode(balancer, now_us, plane, endpoint_list)
+        records = state_records.encode(balancer, now_us, transport, endpoint_list)
         for prefix in state_records.DELETED_WHEN_ABSENT:
             for key in self.store.keys(prefix):
                 if key not in records:
@@ -91,8 +92,8 @@
         for key, value in records.items():
             self.store.put(key, value)
         self._flush()
-        if plane is not None:
-            self._persist_tier_snapshot(plane)
+        if transport is not None:
+            self._persist_tier_snapshot(transport)
 
     def _flush(self) -> None:
         try:
@@ -111,10 +112,12 @@
             )
         self._store_fails = True
 
-    def _persist_tier_snapshot(self, plane: PeerPlane) -> None:
+    def _persist_tier_snapshot(self, transport: MembershipTransport) -> None:
         """Write the tier's snapshot if this sidecar is the leader of that duty."""
-        token = plane.holds(SNAPSHOT)
-        if self._tier_folder is None or not token or not plane.act(SNAPSHOT, "", WROTE):
+        token = transport.lease_token(TierLease.SNAPSHOT)
+        if self._tier_folder is None or not token:
+            return
+        if not transport.issue_command(TierLease.SNAPSHOT, "", CommandVerb.SNAPSHOT_WRITTEN):
             return
         records = state_records.shared(self.store.records())
         try:
@@ -140,19 +143,17 @@
         self._tier_snapshot_fails = True
 
 
-def resume_membership(plane: PeerPlane, state: RestoredState) -> None:
+def resume_membership(transport: MembershipTransport, state: RestoredState) -> None:
     """Continue the membership of an earlier incarnation: its version, members, verdicts and lease epochs."""
     if state.membership is not None:
         verdicts = [(verdict, verdict.ttl_ms) for verdict in state.verdicts]
         incarnation, counter = state.membership
-        plane.with_core(lambda swim, now_us: swim.resume(now_us, incarnation, counter, verdicts))
+        transport.with_core(lambda swim, now_us: swim.restore(now_us, incarnation, counter, verdicts))
         members = {number: (member.status, member.incarnation) for number, member in state.members.items()}
-        plane.with_core(lambda swim, now_us: swim.recall_members(now_us, members))
-    if plane.duties is not None:
-        leases = plane.duties.leases.table
+        transport.with_core(lambda swim, now_us: swim.restore_members(now_us, members))
+    if transport.leases is not None:
         for number, epoch in state.lease_epochs.items():
-            if 0 <= number < len(leases):
-                leases[number].highest = max(leases[number].highest, epoch)
+            transport.leases.restore_epoch(number, epoch)
 
 
 def _log_rejected_files(notes: list[str] | tuple[str, ...]) -> None:
--- a/sidecar_balancer/persistence/state_records.py
+++ b/sidecar_balancer/persistence/state_records.py
@@ -23,9 +23,9 @@
 import msgpack  # type: ignore[import-untyped]
 
 from sidecar_balancer.membership import codec
-from sidecar_balancer.membership.codec import Malformed, Status, VerdictUpdate
+from sidecar_balancer.membership.codec import MalformedDatagramError, Status, VerdictUpdate
 from sidecar_balancer.membership.swim import Swim
-from sidecar_balancer.membership.transport import PeerPlane
+from sidecar_balancer.membership.transport import MembershipTransport
 from sidecar_balancer.policy.balancer import Balancer
 from sidecar_balancer.policy.endpoint import Server
 from sidecar_balancer.policy.events import LearnedServer, StateRestored
@@ -83,13 +83,18 @@
 
 
 def encode(
-    balancer: Balancer, now_us: int, plane: PeerPlane | None, endpoint_list: EndpointListRecord | None
+    balancer: Balancer,
+    now_us: int,
+    transport: MembershipTransport | None,
+    endpoint_list: EndpointListRecord | None,
 ) -> dict[str, bytes]:
     """Return the records of the current state; `now_us` is the balancer's clock."""
     records = dict(_balancer_records(balancer, now_us))
-    if plane is not None:
-        records.update(plane.with_core(lambda swim, plane_now_us: dict(_member_records(swim, plane_now_us))))
-        records.update(_lease_records(plane))
+    if transport is not None:
+        records.update(
+            transport.with_core(lambda swim, swim_now_us: dict(_member_records(swim, swim_now_us)))
+        )
+        records.update(_lease_records(transport))
     if endpoint_list is not None:
         records["list"] = msgpack.packb(endpoint_list)
     return records
@@ -134,10 +139,10 @@
             yield key, msgpack.packb(codec.flat(replace(update, ttl_ms=rounded_ttl_ms)))
 
 
-def _lease_records(plane: PeerPlane) -> Iterator[tuple[str, bytes]]:
-    if plane.duties is not None:
-        for number, lease in enumerate(plane.duties.leases.table):
-            yield f"lease/{number}", msgpack.packb(lease.highest)
+def _lease_records(transport: MembershipTransport) -> Iterator[tuple[str, bytes]]:
+    if transport.leases is not None:
+        for number, epoch in transport.leases.highest_epochs().items():
+            yield f"lease/{number}", msgpack.packb(epoch)
 
 
 def decode(records: Mapping[str, bytes]) -> RestoredState:
@@ -147,7 +152,7 @@
         kind, _, name = key.partition("/")
         try:
             decoder.add(kind, name, msgpack.unpackb(value))
-        except (ValueError, TypeError, IndexError, Malformed, msgpack.UnpackException):
+        except (ValueError, TypeError, IndexError, MalformedDatagramError, msgpack.UnpackException):
             log.warning("state: record %.80s is rejected", key, extra={"event": "state_record_rejected"})
     return decoder.result()
 
