--- a/sidecar_balancer/config/values.py
+++ b/sidecar_balancer/config/values.py
@@ -6,6 +6,8 @@
 from enum import Enum
 from typing import Any, TypeVar
 
+from sidecar_balancer.addresses import Address, parse_address
+
 _Choice = TypeVar("_Choice", bound=Enum)
 _LARGEST_EXACT_INTEGER = 2**53  # beyond it a JSON number may have lost digits
 
@@ -14,6 +16,16 @@
     """A configuration value that can't be used; the message names its key."""
 
 
+def read_address(value: object, key: str) -> Address:
+    """Read an address `host:port`; raises ConfigurationError, which names `key`."""
+    if not isinstance(value, str):
+        raise ConfigurationError(f"{key}: an address is needed")
+    try:
+        return parse_address(value)
+    except ValueError as error:
+        raise ConfigurationError(f"{key}: {error}") from None
+
+
 class ValueReader:
     """Typed access to one mapping.  Each error names the path of the key; a null counts as absent."""
 
--- a/sidecar_balancer/runtime/sidecar.py
+++ b/sidecar_balancer/runtime/sidecar.py
@@ -37,9 +37,10 @@
 from sidecar_balancer.upstream import connection as upstream
 
 if TYPE_CHECKING:  # loaded where the plane is on: a start without it costs no more CPU
-    from sidecar_balancer.membership.bridge import PeerLink
+    from sidecar_balancer.membership.bridge import MembershipBridge
     from sidecar_balancer.observability.latency import LatencyHistograms
-    from sidecar_balancer.persistence.persister import RestoredState, StatePersister
+    from sidecar_balancer.persistence.persister import StatePersister
+    from sidecar_balancer.persistence.state_records import RestoredState
 
 log = logging.getLogger(__name__)
 
@@ -238,14 +239,14 @@
 
     # -- The peer plane ------------------------------------------------------------------------------------
 
-    def _linked(self, config: SidecarConfig) -> PeerLink | None:
+    def _linked(self, config: SidecarConfig) -> MembershipBridge | None:
         if config.membership is None or config.membership_address is None:
             return None
-        from sidecar_balancer.membership.bridge import PeerLink
-        from sidecar_balancer.membership.transport import PeerPlane
+        from sidecar_balancer.membership.bridge import MembershipBridge
+        from sidecar_balancer.membership.transport import MembershipTransport
 
         me, settings = config.settings.member_index, config.settings
-        plane = PeerPlane(
+        plane = MembershipTransport(
             config.membership_address,
             list(config.member_addresses),
             me,
@@ -254,7 +255,7 @@
             config.leases,
         )
         classes = [each.name for each in settings.classes]
-        return PeerLink(
+        return MembershipBridge(
             plane,
             classes,
             self._engine.handle,
@@ -280,8 +281,8 @@
         if self._kept is not None:
             from sidecar_balancer.persistence.persister import resume_membership
 
-            resume_membership(self._link.plane, self._kept)
-        self._link.ban(self.operations.disabled_servers)
+            resume_membership(self._link.transport, self._kept)
+        self._link.set_disabled_servers(self.operations.disabled_servers)
         self._timers.every(_ORDERS_EVERY_S, self.operations.apply_disabled_servers)
 
     def _publish_server_verdict(self, action: PublishServerVerdict) -> None:
@@ -307,10 +308,10 @@
         if self._keeper is None:
             return
         self._kept = kept = self._keeper.restore()
-        if kept.endpoint_list is None or kept.endpoint_list[0] != self._discovery.source_key():
+        if kept.endpoint_list is None or kept.endpoint_list.source != self._discovery.source_key():
             return
         try:
-            told = parse_list(kept.endpoint_list[1])
+            told = parse_list(kept.endpoint_list.content)
         except ValueError as bad:
             log.warning("state: the list kept is not taken: %s", bad)
             return
@@ -323,18 +324,18 @@
         if self._kept is not None and self._kept.learned.servers:
             self._engine.handle(self._kept.learned)
         elif self._link is not None and self._warm_s > 0.0:
-            recalled = await self._link.warm(stop, self._warm_s)
+            recalled = await self._link.fetch_initial_state(stop, self._warm_s)
             self._engine.handle(recalled)
 
     def _keep_state(self) -> None:
         """Gather and write what is known, each second; it serves on where the disk says no."""
         assert self._keeper is not None
-        plane = self._link.plane if self._link is not None else None
-        listed = (
-            (self._discovery.source_key(), self._endpoint_list.to_json())
-            if self._endpoint_list.version
-            else None
-        )
+        from sidecar_balancer.persistence.state_records import EndpointListRecord
+
+        plane = self._link.transport if self._link is not None else None
+        listed = None
+        if self._endpoint_list.version:
+            listed = EndpointListRecord(self._discovery.source_key(), self._endpoint_list.to_json())
         self._keeper.persist(self._engine.balancer, self._engine.clock.now(), plane, listed)
 
     # -- The list of servers -------------------------------------------------------------------------------
