--- a/tests/discovery/test_discovery_waits.py
+++ b/tests/discovery/test_discovery_waits.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from helpers import START, S, Stage, names, settings
+from helpers import START, BalancerDriver, S, server_names, settings
 from loopback import answer, ask, request, until, world
 from sidecar_balancer.discovery import client as net_discovery
 from sidecar_balancer.policy.actions import WatchEndpoints
@@ -31,12 +31,12 @@
     return answer(200, b"served")
 
 
-def wait_for_the_next_call(stage: Stage) -> float:
+def wait_for_the_next_call(driver: BalancerDriver) -> float:
     """Let time pass until discovery is asked once more; return how long that took, in seconds."""
-    began, asked = stage.now, len(stage.said(WatchEndpoints))
-    while len(stage.said(WatchEndpoints)) == asked:
-        stage.wait(S // 100)
-    return (stage.now - began) / S
+    began, asked = driver.now, len(driver.actions_of(WatchEndpoints))
+    while len(driver.actions_of(WatchEndpoints)) == asked:
+        driver.advance(S // 100)
+    return (driver.now - began) / S
 
 
 @pytest.mark.parametrize("poll_interval_us", [1 * S, 10 * S, 60 * S])
@@ -46,15 +46,15 @@
 ) -> None:
     longest_s = 0.0
     for seed in range(12):
-        stage = Stage(
+        driver = BalancerDriver(
             settings(fleet_size=fleet_size, rules={"poll_interval_us": poll_interval_us}), seed=seed
         )
-        stage.servers(names(2), ListKind.CACHED)
-        first = [at for at, each in stage.log if isinstance(each, WatchEndpoints)]
-        longest_s = max(longest_s, 0.0 if first else wait_for_the_next_call(stage))
+        driver.receive_list(server_names(2), ListKind.CACHED)
+        first = [at for at, each in driver.timeline if isinstance(each, WatchEndpoints)]
+        longest_s = max(longest_s, 0.0 if first else wait_for_the_next_call(driver))
         for _ in range(FAILED_CALLS):
-            stage.play(EndpointListReceived(ListKind.FAILED))
-            longest_s = max(longest_s, wait_for_the_next_call(stage))
+            driver.feed(EndpointListReceived(ListKind.FAILED))
+            longest_s = max(longest_s, wait_for_the_next_call(driver))
     # Discovery comes back just after a call failed: the wait, the next call and its answer follow.
     assert longest_s + CALL_S + MARGIN_S <= TOLD_S
 
@@ -63,10 +63,10 @@
 def test_waits_after_failures_spread_the_calls_of_a_large_group(fleet_size: int) -> None:
     called_at = []
     for seed in range(100):
-        stage = Stage(settings(fleet_size=fleet_size), seed=seed)
-        stage.servers(names(2))
-        stage.play(EndpointListReceived(ListKind.FAILED))  # all watches end together as discovery goes down
-        called_at.append(wait_for_the_next_call(stage))
+        driver = BalancerDriver(settings(fleet_size=fleet_size), seed=seed)
+        driver.receive_list(server_names(2))
+        driver.feed(EndpointListReceived(ListKind.FAILED))  # all watches end together as discovery goes down
+        called_at.append(wait_for_the_next_call(driver))
     busiest = max(sum(at <= each < at + 0.5 for each in called_at) for at in called_at)
     assert busiest <= 35  # of 100 in any half second
 
@@ -139,8 +139,8 @@
 def test_the_first_call_of_a_member_of_any_group_comes_within_the_bound() -> None:
     for fleet_size in GROUP_SIZES:
         for seed in range(20):
-            stage = Stage(settings(fleet_size=fleet_size), seed=seed)
-            stage.servers(names(2), ListKind.CACHED)
-            if not stage.said(WatchEndpoints):
-                wait_for_the_next_call(stage)
-            assert (stage.now - START) / S + CALL_S + MARGIN_S <= TOLD_S
+            driver = BalancerDriver(settings(fleet_size=fleet_size), seed=seed)
+            driver.receive_list(server_names(2), ListKind.CACHED)
+            if not driver.actions_of(WatchEndpoints):
+                wait_for_the_next_call(driver)
+            assert (driver.now - START) / S + CALL_S + MARGIN_S <= TOLD_S
--- a/tests/persistence/test_persister.py
+++ b/tests/persistence/test_persister.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from helpers import Stage
+from helpers import BalancerDriver
 from sidecar_balancer.persistence.persister import StatePersister
 from sidecar_balancer.persistence.store import Store
 
@@ -16,12 +16,12 @@
 
 
 @pytest.fixture
-def stage() -> Stage:
+def driver() -> BalancerDriver:
     """A balancer that has served requests with two servers."""
-    stage = Stage()
-    stage.servers(["s-1", "s-2"])
-    stage.serve(10)
-    return stage
+    driver = BalancerDriver()
+    driver.receive_list(["s-1", "s-2"])
+    driver.serve_traffic(10)
+    return driver
 
 
 @pytest.fixture
@@ -39,7 +39,7 @@
 
 
 def test_a_full_disk_is_logged_once_and_the_state_written_once_it_has_space(
-    stage: Stage,
+    driver: BalancerDriver,
     persister: StatePersister,
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
@@ -48,8 +48,8 @@
     with monkeypatch.context() as patch:
         fill_disk(patch)
         for _ in range(5):
-            persister.persist(stage.balancer, stage.now, None, None)
+            persister.persist(driver.balancer, driver.now, None, None)
     assert [record.levelname for record in caplog.records].count("ERROR") == 1
-    persister.persist(stage.balancer, stage.now, None, None)
+    persister.persist(driver.balancer, driver.now, None, None)
     restored = StatePersister(Store(tmp_path, MAX_BYTES)).restore()
     assert set(restored.learned.servers) == {"s-1", "s-2"}
--- a/tests/policy/test_any_sequence.py
+++ b/tests/policy/test_any_sequence.py
@@ -9,7 +9,16 @@
 from hypothesis import settings as how
 from hypothesis import strategies as st
 
-from helpers import KEYED, MS, SAFE, START, UNSAFE, S, names, settings
+from helpers import (
+    IDEMPOTENCY_KEY,
+    IDEMPOTENT,
+    MS,
+    NON_IDEMPOTENT,
+    START,
+    S,
+    server_names,
+    settings,
+)
 from sidecar_balancer import Balancer
 from sidecar_balancer.policy.actions import (
     ApplyDisabledServers,
@@ -36,14 +45,17 @@
 from sidecar_balancer.policy.settings import Idempotency
 from sidecar_balancer.policy.types import ListKind, Outcome, ServerState
 
-SERVERS = names(7)
+SERVERS = server_names(7)
 ZONES = ("east", "west")
 TICK = 5 * MS
 FOREVER = 2**70
 CLASSES = [
-    SAFE,
-    UNSAFE,
-    *({**KEYED, "name": f"amend-{group}", "deduplication_scope": group} for group in ("all", "zone", "cell")),
+    IDEMPOTENT,
+    NON_IDEMPOTENT,
+    *(
+        {**IDEMPOTENCY_KEY, "name": f"amend-{group}", "deduplication_scope": group}
+        for group in ("all", "zone", "cell")
+    ),
 ]
 
 
@@ -91,7 +103,8 @@
                 case SetTimer():
                     self.timers.append((self.now + action.in_us, action.token))
                 case HealthCheck():
-                    assert self.settings.limits.may_health_check and action.server in self.listed
+                    assert self.settings.limits.may_health_check
+                    assert action.server in self.listed
                     self.probes.append((action.server, self.now))
                 case _:
                     pass
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from helpers import MS, START, S, Stage, names, settings
+from helpers import MS, START, BalancerDriver, S, server_names, settings
 from sidecar_balancer.policy.events import ListedServer
 from sidecar_balancer.policy.types import ListKind
 
@@ -33,29 +33,29 @@
     return 2.0 * math.sqrt(bound) + 2.0
 
 
-def arrivals(stages: list[Stage], per_s: float, seed: int, until: int) -> list[tuple[int, int]]:
-    """Requests of the whole fleet as (time, stage), a Poisson process with a few busy sidecars."""
+def arrivals(drivers: list[BalancerDriver], per_s: float, seed: int, until: int) -> list[tuple[int, int]]:
+    """Requests of the whole fleet as (time, driver), a Poisson process with a few busy sidecars."""
     source = random.Random(seed)
-    weights = [4.0 if index % 10 == 0 else 1.0 for index in range(len(stages))]
-    found, at = [], float(stages[0].now)
+    weights = [4.0 if index % 10 == 0 else 1.0 for index in range(len(drivers))]
+    found, at = [], float(drivers[0].now)
     while at < until:
         at += source.expovariate(per_s) * S
-        found.append((int(at), source.choices(range(len(stages)), weights)[0]))
+        found.append((int(at), source.choices(range(len(drivers)), weights)[0]))
     return found
 
 
-def play_fleet(stages: list[Stage], requests: list[tuple[int, int]], until: int) -> None:
+def play_fleet(drivers: list[BalancerDriver], requests: list[tuple[int, int]], until: int) -> None:
     """Let all balancers live through the same time; each request is answered after the same time."""
     ends: list[tuple[int, int, int]] = []
     while requests and requests[0][0] <= until:
         now, index = requests.pop(0)
         while ends and ends[0][0] <= now:
             due, other, ident = ends.pop(0)
-            stages[other].wait(due - stages[other].now)
-            if stages[other].sends(ident):
-                stages[other].end(ident)
-        stages[index].wait(now - stages[index].now)
-        ends.append((now + TAKING_US, index, stages[index].request()))
+            drivers[other].advance(due - drivers[other].now)
+            if drivers[other].attempts(ident):
+                drivers[other].end_attempt(ident)
+        drivers[index].advance(now - drivers[index].now)
+        ends.append((now + TAKING_US, index, drivers[index].request()))
 
 
 @pytest.mark.parametrize("seed", range(2))
@@ -70,18 +70,18 @@
     given = settings(
         fleet_size=processes, rules={"slow_start_min_ratio": COLD_FROM, "slow_start_us": COLD_US}
     )
-    stages = [Stage(given, seed=100 * seed + number) for number in range(processes)]
-    warm = names(10)
-    for stage in stages:
-        stage.servers(warm)
+    drivers = [BalancerDriver(given, seed=100 * seed + number) for number in range(processes)]
+    warm = server_names(10)
+    for driver in drivers:
+        driver.receive_list(warm)
     joined = START + 15 * S
-    play_fleet(stages, arrivals(stages, per_s, seed, joined), joined)
-    for stage in stages:
-        stage.wait(joined - stage.now)
-        stage.servers([ListedServer(JOINER, zone="east", started_at=joined)], ListKind.DELTA)
+    play_fleet(drivers, arrivals(drivers, per_s, seed, joined), joined)
+    for driver in drivers:
+        driver.advance(joined - driver.now)
+        driver.receive_list([ListedServer(JOINER, zone="east", started_at=joined)], ListKind.DELTA)
     end = joined + COLD_US
-    play_fleet(stages, arrivals(stages, burst * per_s, seed + 50, end), end)
-    sent = sorted(at for stage in stages for at, each in stage.sends() if each.server == JOINER)
+    play_fleet(drivers, arrivals(drivers, burst * per_s, seed + 50, end), end)
+    sent = sorted(at for driver in drivers for at, each in driver.attempts() if each.server == JOINER)
     assert sent, "it is used while it warms up"
     for at in sent:
         bound = budget(at - joined, per_s / len(warm))  # of the usual load: a burst makes no server stronger
--- a/tests/runtime/test_close_range.py
+++ b/tests/runtime/test_close_range.py
@@ -17,7 +17,7 @@
 import h11
 import pytest
 
-from helpers import SAFE, UNSAFE, S
+from helpers import IDEMPOTENT, NON_IDEMPOTENT, S
 from loopback import (
     FakeDiscovery,
     FakeServer,
@@ -703,7 +703,7 @@
 
     async def scene() -> None:
         limits = {"max_attempts": 3, "may_cancel": False}
-        classes = [SAFE | {"deadline_us": 2 * S}, UNSAFE | {"deadline_us": 4 * S}]
+        classes = [IDEMPOTENT | {"deadline_us": 2 * S}, NON_IDEMPOTENT | {"deadline_us": 4 * S}]
         async with world(hung, drained=True, limits=limits, classes=classes) as w:
             client = Client(w)
             client.send(request(budget="1.0"))
@@ -1181,7 +1181,7 @@
 
 def test_what_is_held_at_the_last_moment_is_answered_on_the_wire(on_clock: Play) -> None:
     async def scene() -> None:
-        async with world(hung, classes=[UNSAFE | {"deadline_us": 60 * S}]) as w:
+        async with world(hung, classes=[NON_IDEMPOTENT | {"deadline_us": 60 * S}]) as w:
             client = Client(w)
             client.send(request("pay", body=b"x", budget="50") + b"unread" * 100)
             await until(w.sent)
@@ -1201,7 +1201,7 @@
 @pytest.mark.parametrize("version", [b"HTTP/1.0", b"HTTP/1.1"])
 def test_a_long_answer_that_the_exit_cuts_off_is_visibly_broken(on_clock: Play, version: bytes) -> None:
     async def scene() -> None:
-        async with world(hung, classes=[SAFE | {"deadline_us": 1 * S}]) as w:
+        async with world(hung, classes=[IDEMPOTENT | {"deadline_us": 1 * S}]) as w:
             client = Client(w)
             client.send(request(budget="1.0").replace(b"HTTP/1.1", version))
             await until(w.sent)
@@ -1303,7 +1303,10 @@
 
 
 def test_two_sidecars_of_one_process_go_each_by_its_own_settings(on_clock: Play) -> None:
-    other = [UNSAFE | {"name": "look", "deadline_us": 1 * S}, SAFE | {"name": "pay"}]
+    other = [
+        NON_IDEMPOTENT | {"name": "look", "deadline_us": 1 * S},
+        IDEMPOTENT | {"name": "pay"},
+    ]
     limits = {"max_attempts": 1, "may_hedge": False, "may_cancel": False}
 
     async def scene() -> None:
--- a/tests/runtime/test_queueing.py
+++ b/tests/runtime/test_queueing.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from helpers import SAFE, S
+from helpers import IDEMPOTENT, S
 from loopback import answer, read_answer, request, until, world
 from sidecar_balancer.downstream import frontend
 from sidecar_balancer.runtime.queueing import BacklogAge, PollTimes, TimedLoop, since_last_data_s
@@ -145,7 +145,9 @@
             return None if head["x-call-id"] == "held" else served()
 
         # 66 descriptors leave one connection for clients: the second waits in the backlog.
-        async with world(script, drained=True, sockets=66, classes=[SAFE | {"deadline_us": 9 * S}]) as w:
+        async with world(
+            script, drained=True, sockets=66, classes=[IDEMPOTENT | {"deadline_us": 9 * S}]
+        ) as w:
             first, holder = await asyncio.open_connection(*w.sidecar.frontend.address)
             holder.write(request(budget=str(hold_s), X_Call_Id="held"))
             await until(lambda: w.sent())
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -67,11 +67,9 @@
     code, reply, _ = play(begin(), [work])
     sends = [each for each in reply if each[0] == "ASSIGN"]
     assert code == 0
-    assert (
-        len(sends) == 1
-        and sends[0][1:3] == ["sidecar-1", 5]
-        and sends[0][3] in ("10.0.0.1:80", "10.0.0.2:80")
-    )
+    assert len(sends) == 1
+    assert sends[0][1:3] == ["sidecar-1", 5]
+    assert sends[0][3] in ("10.0.0.1:80", "10.0.0.2:80")
 
 
 def test_a_killed_instance_forgets_all_and_may_begin_again_in_the_same_batch() -> None:
@@ -95,7 +93,8 @@
     ]
     _, reply, _ = play(batch)
     targets = {each[1]: each[3] for each in reply if each[0] == "ASSIGN"}
-    assert targets["sidecar-2"] == "10.0.0.9:80" and targets["sidecar-1"] != "10.0.0.9:80"
+    assert targets["sidecar-2"] == "10.0.0.9:80"
+    assert targets["sidecar-1"] != "10.0.0.9:80"
 
 
 @pytest.mark.parametrize(
@@ -123,7 +122,9 @@
     good = "".join(json.dumps(each) + "\n" for each in (["FRAME", 1], *begin()))
     code, _, err = play_text(good + line + "\n")
     assert code != 0
-    assert err.startswith("line 5: ") and complaint in err and err.count("\n") == 1
+    assert err.startswith("line 5: ")
+    assert complaint in err
+    assert err.count("\n") == 1
 
 
 @how(max_examples=150, deadline=None, derandomize=True)
@@ -177,7 +178,8 @@
         ).stdout
         for hash_seed in ("1", "2")
     ]
-    assert replies[0] == replies[1] and replies[0].count("ASSIGN") == 60
+    assert replies[0] == replies[1]
+    assert replies[0].count("ASSIGN") == 60
 
 
 def test_the_further_rules_and_prices_of_the_wire_reach_the_settings() -> None:
@@ -191,7 +193,8 @@
             "goal": {"whole": 1.0},
         }
     )
-    assert read.warm_keys and read.rules.late_shedding
+    assert read.warm_keys
+    assert read.rules.late_shedding
     assert (read.prices.connection, read.prices.handshake) == (0.08, 0.07)
     plain = settings_from_wire(BOOT)
     assert not (plain.warm_keys or plain.rules.late_shedding)
@@ -204,4 +207,6 @@
         ({**BOOT, "domain": {"warmKeys": 3}}, "warm_keys"),
     ):
         code, _, err = play(begin(boot=boot))
-        assert code == 2 and key in err and err.count("\n") == 1
+        assert code == 2
+        assert key in err
+        assert err.count("\n") == 1
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -1,4 +1,4 @@
-"""A small stage for scripted events: it plays them and keeps what comes out."""
+"""A small driver for scripted events: it plays them and keeps what comes out."""
 
 from __future__ import annotations
 
@@ -22,21 +22,21 @@
 S = 1_000_000
 START = 50 * S
 
-SAFE = {
+IDEMPOTENT = {
     "name": "look",
     "deadline_us": 2 * S,
     "latency_objective_us": 500 * MS,
     "priority_weight": 1,
     "idempotency": "idempotent",
 }
-UNSAFE = {
+NON_IDEMPOTENT = {
     "name": "pay",
     "deadline_us": 2 * S,
     "latency_objective_us": 500 * MS,
     "priority_weight": 10,
     "idempotency": "non_idempotent",
 }
-KEYED = {
+IDEMPOTENCY_KEY = {
     "name": "amend",
     "deadline_us": 4 * S,
     "latency_objective_us": 500 * MS,
@@ -52,7 +52,7 @@
 def settings(**changes: Any) -> Settings:
     """Settings of a permissive deployment; `limits` and `rules` are merged, the rest replaced."""
     given: dict[str, Any] = {
-        "classes": [SAFE, UNSAFE, KEYED],
+        "classes": [IDEMPOTENT, NON_IDEMPOTENT, IDEMPOTENCY_KEY],
         "zone": "east",
         "tick_us": 5 * MS,
         "limits": {"max_attempts": 5, "may_hedge": True, "may_cancel": True},
@@ -70,36 +70,36 @@
     return read_settings(given)
 
 
-def names(count: int) -> list[str]:
+def server_names(count: int) -> list[str]:
     return [f"10.0.0.{number}:80" for number in range(1, count + 1)]
 
 
-class Stage:
+class BalancerDriver:
     """Plays events to one balancer; timers fire by themselves as time moves on."""
 
     def __init__(self, given: Settings | None = None, seed: int = 7, now: int = START) -> None:
         self.now = now
         self.balancer = Balancer(given or settings(), seed)
-        self.log: list[tuple[int, Action]] = []
+        self.timeline: list[tuple[int, Action]] = []
         self._timers: list[tuple[int, str]] = []
         self._next = 1
 
-    def play(self, event: Event) -> list[Action]:
+    def feed(self, event: Event) -> list[Action]:
         actions = self.balancer.handle(self.now, event)
         for action in actions:
-            self.log.append((self.now, action))
+            self.timeline.append((self.now, action))
             if isinstance(action, SetTimer):
                 self._timers.append((self.now + action.in_us, action.token))
         return actions
 
-    def servers(
+    def receive_list(
         self, listed: Iterable[str | ListedServer], kind: ListKind = ListKind.SNAPSHOT
     ) -> list[Action]:
         lines = [ListedServer(each, zone="east") if isinstance(each, str) else each for each in listed]
-        return self.play(EndpointListReceived(kind, lines, 1))
+        return self.feed(EndpointListReceived(kind, lines, 1))
 
     def drain(self, server: str, state: ServerState = ServerState.DRAINING) -> list[Action]:
-        return self.servers([ListedServer(server, zone="east", state=state)], ListKind.DELTA)
+        return self.receive_list([ListedServer(server, zone="east", state=state)], ListKind.DELTA)
 
     def request(
         self,
@@ -110,10 +110,10 @@
         tenant: str | None = None,
     ) -> int:
         number, self._next = self._next, self._next + 1
-        self.play(RequestReceived(number, name, tenant, key, remaining_us, cost_us))
+        self.feed(RequestReceived(number, name, tenant, key, remaining_us, cost_us))
         return number
 
-    def end(
+    def end_attempt(
         self,
         request: int,
         outcome: Outcome = Outcome.DELIVERED,
@@ -121,14 +121,14 @@
         answered: bool | None = None,
         report: dict[str, float] | None = None,
     ) -> list[Action]:
-        sends = self.sends(request)
+        sends = self.attempts(request)
         index = len(sends) - 1 if attempt is None else attempt
         sent_at, send = sends[index]
         done = outcome is Outcome.DELIVERED if answered is None else answered
         took = self.now - sent_at
-        return self.play(AttemptEnded(request, index, send.server, outcome, took, done, report))
+        return self.feed(AttemptEnded(request, index, send.server, outcome, took, done, report))
 
-    def wait(self, span_us: int) -> None:
+    def advance(self, span_us: int) -> None:
         """Let time pass; due timers fire on the way."""
         until = self.now + span_us
         while True:
@@ -137,35 +137,35 @@
                 break
             self._timers.remove(due[0])
             self.now = max(self.now, due[0][0])
-            self.play(TimerFired(due[0][1]))
+            self.feed(TimerFired(due[0][1]))
         self.now = until
 
-    def sends(self, request: int | None = None) -> list[tuple[int, SendAttempt]]:
+    def attempts(self, request: int | None = None) -> list[tuple[int, SendAttempt]]:
         return [
             (at, each)
-            for at, each in self.log
+            for at, each in self.timeline
             if isinstance(each, SendAttempt) and (request is None or each.request == request)
         ]
 
-    def target(self, request: int) -> str:
-        return self.sends(request)[-1][1].server
+    def target_of(self, request: int) -> str:
+        return self.attempts(request)[-1][1].server
 
-    def said(self, kind: type[_Kind]) -> list[_Kind]:
-        return [each for _, each in self.log if isinstance(each, kind)]
+    def actions_of(self, kind: type[_Kind]) -> list[_Kind]:
+        return [each for _, each in self.timeline if isinstance(each, kind)]
 
-    def serve(
+    def serve_traffic(
         self, count: int, every_us: int = 20 * MS, taking_us: int = 50 * MS, name: str = "look"
     ) -> None:
         """Traffic in good health: a request every so often, each answered after the same time."""
         pending: list[tuple[int, int]] = []
         for _ in range(count):
-            self.wait(every_us)
+            self.advance(every_us)
             pending.append((self.now + taking_us, self.request(name)))
             while pending and pending[0][0] <= self.now:
                 done = pending.pop(0)[1]
-                if self.sends(done):
-                    self.end(done)
+                if self.attempts(done):
+                    self.end_attempt(done)
         for _, done in pending:
-            self.wait(every_us)
-            if self.sends(done):
-                self.end(done)
+            self.advance(every_us)
+            if self.attempts(done):
+                self.end_attempt(done)
