--- /dev/null
+++ b/tests/policy/test_admission.py
@@ -0,0 +1,178 @@
+"""Load shedding, with many requests and with few."""
+
+from __future__ import annotations
+
+import math
+
+from helpers import (
+    IDEMPOTENT,
+    MS,
+    NON_IDEMPOTENT,
+    BalancerDriver,
+    S,
+    serve_one_at_a_time,
+    server_names,
+    settings,
+)
+from sidecar_balancer.policy.actions import (
+    CancelAttempt,
+    Fail,
+    Reject,
+)
+from sidecar_balancer.policy.types import Outcome
+
+
+def _overload(driver: BalancerDriver, spans: int) -> None:
+    """Servers that answer ever later as more is in flight, asked for far more than they can do."""
+    driver.receive_list(server_names(4))
+    out: list[int] = []
+    for tick in range(spans):
+        driver.advance(10 * MS)
+        for name in ("look", "pay"):
+            request = driver.request(name)
+            if driver.attempts(request):
+                out.append(request)
+        if tick % 2 and out:  # one answer for four requests, oldest first
+            request = out.pop(0)
+            if (
+                request in driver.balancer.open_requests
+                and not driver.balancer.open_requests[request].answered
+            ):
+                driver.end_attempt(request, attempt=0)
+
+
+def test_a_surge_is_rejected_before_sending_and_low_priorities_are_shed_more() -> None:
+    driver = BalancerDriver()
+    driver.receive_list(server_names(4))
+    driver.serve_traffic(200)
+    _overload(driver, 600)
+    asked = {each.request for each in driver.actions_of(Reject)}
+    looks = sum(1 for each in asked if each % 2)  # asked for in turn, so half of them would be even-handed
+    assert len(asked) > 300
+    assert looks > 0.5 * len(asked)
+    unsent = [each.request for each in driver.actions_of(Reject) if not driver.attempts(each.request)]
+    assert len(unsent) > 0.5 * len(driver.actions_of(Reject))
+
+
+def test_everything_is_admitted_once_the_load_has_fallen() -> None:
+    driver = BalancerDriver()
+    driver.serve_traffic(1)
+    _overload(driver, 400)
+    driver.advance(10 * S)
+    for request in list(driver.balancer.open_requests.values()):
+        for attempt in request.attempts:
+            if attempt.pending:
+                driver.end_attempt(request.request_id, Outcome.CANCELLED, attempt.index, answered=True)
+    driver.advance(11 * S)  # what was given up on counts for as long again
+    driver.serve_traffic(150)  # a small window takes some aims to grow
+    refused = len(driver.actions_of(Reject))
+    driver.serve_traffic(300)
+    assert len(driver.actions_of(Reject)) == refused
+
+
+def test_nothing_is_rejected_without_overload() -> None:
+    driver = BalancerDriver()
+    driver.receive_list(server_names(4))
+    driver.serve_traffic(800)
+    assert driver.actions_of(Reject) == []
+    assert driver.actions_of(CancelAttempt) == []
+
+
+def test_a_balancer_with_little_traffic_sheds_a_part_while_every_response_is_late() -> None:
+    driver = BalancerDriver()
+    driver.receive_list(server_names(8))
+    for _ in range(120):  # hardly ever two in flight, so a window of two would never refuse
+        driver.advance(900 * MS)
+        request = driver.request()
+        if driver.attempts(request):
+            driver.advance(700 * MS)
+            driver.end_attempt(request)
+    refused = len(driver.actions_of(Reject))
+    assert 20 <= refused < 120
+    driver.advance(10 * S)
+    serve_one_at_a_time(driver, 60)
+    refused = len(driver.actions_of(Reject))
+    serve_one_at_a_time(driver, 60)
+    assert len(driver.actions_of(Reject)) == refused
+
+
+def test_two_concurrent_requests_are_no_overload_for_a_balancer_with_little_traffic() -> None:
+    driver = BalancerDriver()
+    driver.receive_list(server_names(8))
+    driver.balancer.components.window.size = 1.0
+    driver.balancer.components.window.sized_at = driver.now
+    for _ in range(10):
+        pair = (driver.request(), driver.request())
+        driver.advance(50 * MS)
+        for request in pair:
+            driver.end_attempt(request)
+        driver.advance(900 * MS)
+    assert not driver.actions_of(Reject)
+
+
+def test_missing_responses_count_as_overload() -> None:
+    driver = BalancerDriver()
+    driver.receive_list(server_names(8))
+    for _ in range(20):
+        driver.advance(50 * MS)
+        request = driver.request()
+        driver.advance(50 * MS)
+        driver.end_attempt(request, attempt=0)
+    for _ in range(400):
+        driver.advance(20 * MS)
+        driver.request("pay")  # none of these is ever answered
+    assert len(driver.actions_of(Reject)) > 100
+
+
+def test_few_late_responses_cause_shedding_that_ends_with_time_alone() -> None:
+    driver = BalancerDriver()
+    driver.receive_list(server_names(4))
+    for _ in range(30):
+        request = driver.request("look")
+        driver.advance(600 * MS)
+        if driver.attempts(request):
+            driver.end_attempt(request)
+    refused = len(driver.actions_of(Reject))
+    assert refused > 3
+    driver.advance(10 * S)
+    assert all(driver.attempts(driver.request("look")) for _ in range(2))
+
+
+def test_connection_failures_are_no_overload() -> None:
+    driver = BalancerDriver()
+    driver.receive_list(server_names(6))
+    for _ in range(12):
+        request = driver.request("pay")
+        driver.advance(200 * MS)
+        driver.end_attempt(request, Outcome.CONNECTION_LOST)
+    assert driver.actions_of(Reject) == []
+    assert len(driver.actions_of(Fail)) == 12
+
+
+def test_the_first_late_responses_after_a_start_cause_no_shedding() -> None:
+    # At an upgrade the new process starts amid full traffic, and its own start makes the first answers late.
+    slow = {**NON_IDEMPOTENT, "deadline_us": 4 * S, "latency_objective_us": 2 * S}
+    driver = BalancerDriver(settings(classes=[IDEMPOTENT, slow]))
+    driver.receive_list(server_names(8))
+    assert _serve_late(driver, 1 * S)
+    assert not driver.actions_of(Reject)
+    assert driver.balancer.window == math.inf
+    _serve_late(driver, 4 * S)
+    assert driver.balancer.window < math.inf  # later on they tell of overload
+
+
+def _serve_late(driver: BalancerDriver, span_us: int) -> int:
+    """Steady traffic, each request of it answered too late; gives how many."""
+    until, out, done = driver.now + span_us, [], 0
+    while driver.now < until:
+        out.append((driver.now + 600 * MS, driver.request()))
+        driver.advance(5 * MS)
+        while out and out[0][0] <= driver.now:
+            request = out.pop(0)[1]
+            if driver.attempts(request):
+                driver.end_attempt(request)
+                done += 1
+    for _, request in out:
+        if driver.attempts(request):
+            driver.end_attempt(request)
+    return done
--- /dev/null
+++ b/tests/policy/test_discovery_schedule.py
@@ -0,0 +1,111 @@
+"""When discovery is called."""
+
+from __future__ import annotations
+
+import itertools
+
+from helpers import (
+    MS,
+    START,
+    BalancerDriver,
+    S,
+    server_names,
+    settings,
+)
+from sidecar_balancer.policy.actions import (
+    FetchEndpoints,
+    WatchEndpoints,
+)
+from sidecar_balancer.policy.events import (
+    EndpointListReceived,
+)
+from sidecar_balancer.policy.types import ListKind
+
+
+def test_the_endpoint_list_is_watched_from_the_first_event() -> None:
+    driver = BalancerDriver()
+    driver.receive_list(server_names(2), ListKind.CACHED)
+    driver.advance(0)
+    assert driver.actions_of(WatchEndpoints) == [WatchEndpoints(True)]
+
+
+def test_a_small_fleet_calls_discovery_at_once() -> None:
+    for seed in range(8):
+        driver = BalancerDriver(settings(fleet_size=8), seed=seed)
+        driver.receive_list(server_names(2), ListKind.CACHED)
+        driver.advance(0)  # what it remembers may be old, and requests come at once
+        assert driver.actions_of(WatchEndpoints) == [WatchEndpoints(True)]
+
+
+def test_a_large_fleet_spreads_its_calls_at_the_start_and_after_failures() -> None:
+    first, again = [], []
+    for seed in range(40):
+        driver = BalancerDriver(settings(fleet_size=40), seed=seed)
+        driver.receive_list(server_names(2), ListKind.CACHED)
+        driver.advance(4 * S)
+        asked = [at for at, each in driver.timeline if isinstance(each, WatchEndpoints)]
+        first.append(asked[0] - START)
+        driver.now = max(driver.now, asked[0] + 2 * S)
+        failed = driver.now
+        driver.feed(EndpointListReceived(ListKind.FAILED))
+        driver.advance(4 * S)
+        again.append(
+            next(at for at, each in driver.timeline if isinstance(each, WatchEndpoints) and at > failed)
+            - failed
+        )
+    for waits in (first, again):
+        busiest = max(sum(at <= each < at + S for each in waits) for at in waits)
+        assert busiest <= 25  # of 40 in any second
+    assert min(again) > 500 * MS
+
+
+def test_discovery_is_not_called_where_changes_are_pushed() -> None:
+    driver = BalancerDriver(settings(discovery="pushed"))
+    driver.receive_list(server_names(2), ListKind.CACHED)
+    driver.advance(60 * S)
+    assert driver.actions_of(WatchEndpoints) == []
+    assert driver.actions_of(FetchEndpoints) == []
+
+
+def test_failed_calls_are_retried_forever_with_backoff() -> None:
+    driver = BalancerDriver()
+    asked = []
+    driver.receive_list(server_names(2), ListKind.CACHED)
+    for _ in range(12):
+        asked.append(driver.now)
+        count = len(driver.actions_of(WatchEndpoints))
+        driver.feed(EndpointListReceived(ListKind.FAILED))
+        while len(driver.actions_of(WatchEndpoints)) == count:
+            driver.advance(5 * MS)
+    waits = [later - earlier for earlier, later in itertools.pairwise(asked)]
+    assert max(waits) < 10 * S / 2
+    assert waits[-1] > 2 * waits[0]
+
+
+def test_a_call_without_an_answer_is_repeated_within_the_poll_interval() -> None:
+    driver = BalancerDriver()
+    driver.receive_list(server_names(2), ListKind.CACHED)
+    driver.advance(10 * S)
+    times = [at for at, each in driver.timeline if isinstance(each, WatchEndpoints)]
+    assert len(times) > 1
+    assert all(later - earlier < 10 * S for earlier, later in itertools.pairwise(times))
+
+
+def test_an_unanswered_watch_is_reopened_twice_at_once_and_then_with_backoff() -> None:
+    # join+mass: 11 of 200 sidecars asked again only 13 s later, and sent to servers that had left meanwhile.
+    driver = BalancerDriver(settings(fleet_size=200))
+    driver.receive_list(server_names(3))
+    before = len(driver.actions_of(WatchEndpoints))
+    for silent in (
+        1,
+        2,
+    ):  # the first call after a silent watch may be silent too: its news soon counts as told
+        driver.feed(EndpointListReceived(ListKind.TIMED_OUT))
+        assert len(driver.actions_of(WatchEndpoints)) == before + silent
+    driver.feed(
+        EndpointListReceived(ListKind.TIMED_OUT)
+    )  # a service that is overbooked is not asked in step by all
+    assert len(driver.actions_of(WatchEndpoints)) == before + 2
+    driver.receive_list(server_names(3))
+    driver.feed(EndpointListReceived(ListKind.TIMED_OUT))
+    assert len(driver.actions_of(WatchEndpoints)) == before + 3
--- /dev/null
+++ b/tests/policy/test_selection.py
@@ -0,0 +1,187 @@
+"""Selection of servers: best of k by load, odds, subsets and zones."""
+
+from __future__ import annotations
+
+from collections import Counter
+
+import pytest
+
+from helpers import (
+    MS,
+    BalancerDriver,
+    S,
+    serve_one_at_a_time,
+    server_names,
+    settings,
+)
+from sidecar_balancer.policy.actions import (
+    Reject,
+)
+from sidecar_balancer.policy.endpoint import Server
+from sidecar_balancer.policy.events import ListedServer
+from sidecar_balancer.policy.types import Outcome
+
+
+def test_the_candidate_with_the_lowest_load_is_selected() -> None:
+    driver = BalancerDriver()
+    driver.receive_list(server_names(4))  # all are drawn
+    for _ in range(40):
+        driver.request()
+    assert set(Counter(each.server for _, each in driver.attempts()).values()) == {10}
+
+
+def test_each_rejection_widens_the_sample_and_excludes_the_server_that_rejected() -> None:
+    driver = BalancerDriver()
+    driver.receive_list(server_names(5))
+    request = driver.request("pay")
+    for _ in range(4):
+        driver.end_attempt(request, Outcome.REJECTED)
+    targets = [each.server for _, each in driver.attempts(request)]
+    assert sorted(targets) == server_names(5)
+    driver.end_attempt(request, Outcome.REJECTED)
+    assert [each.request for each in driver.actions_of(Reject)] == [request]
+
+
+def test_a_single_server_is_selected() -> None:
+    driver = BalancerDriver()
+    driver.receive_list(server_names(1))
+    assert driver.target_of(driver.request()) == server_names(1)[0]
+
+
+def test_slower_servers_are_selected_less_often() -> None:
+    driver = BalancerDriver()
+    driver.receive_list(server_names(12))
+    slow = server_names(12)[0]
+    for _ in range(1_500):
+        request = driver.request()
+        driver.advance(90 * MS if driver.target_of(request) == slow else 30 * MS)
+        driver.end_attempt(request)
+    late = Counter(each.server for _, each in driver.attempts()[500:])
+    assert late[slow] < 0.6 * sum(late.values()) / 12
+
+
+def test_an_abandoned_attempt_counts_as_load_for_a_while() -> None:
+    driver = BalancerDriver()
+    driver.receive_list(server_names(2))
+    request = driver.request("pay", remaining_us=400 * MS)
+    hung = driver.target_of(request)
+    driver.advance(395 * MS)  # answered by then, and called off
+    driver.end_attempt(request, Outcome.CANCELLED, answered=True)
+    other = driver.request("pay")
+    assert driver.target_of(other) != hung
+    again = driver.request("pay")
+    assert driver.target_of(again) in server_names(2)
+    driver.advance(S)
+    assert driver.balancer.servers[hung].load(driver.now) <= 1
+
+
+def test_quick_errors_do_not_attract_more_requests() -> None:
+    driver = BalancerDriver()
+    driver.receive_list(server_names(6))
+    bad = server_names(6)[2]
+    for _ in range(300):
+        driver.advance(10 * MS)
+        request = driver.request("pay")
+        if driver.target_of(request) == bad:
+            driver.end_attempt(request, Outcome.APPLICATION_ERROR)
+        else:
+            driver.advance(40 * MS)
+            driver.end_attempt(request)
+    assert sum(1 for _, each in driver.attempts() if each.server == bad) < 300 / 6
+
+
+def _servers_in_two_zones() -> list[ListedServer]:
+    return [ListedServer(name, "east" if index < 4 else "west") for index, name in enumerate(server_names(8))]
+
+
+def _cross_zone_ratio(driver: BalancerDriver, near_us: int, far_us: int) -> float:
+    driver.receive_list(_servers_in_two_zones())
+    near = set(server_names(8)[:4])
+    for _ in range(600):
+        request = driver.request()
+        driver.advance(near_us if driver.target_of(request) in near else far_us)
+        driver.end_attempt(request)
+    late = driver.attempts()[300:]
+    return sum(1 for _, each in late if each.server not in near) / len(late)
+
+
+def test_the_own_zone_is_preferred_while_it_is_as_fast_and_cross_zone_traffic_has_a_price() -> None:
+    spared = sum(
+        _cross_zone_ratio(BalancerDriver(settings(prices={"cross_zone": 0.03}), seed=seed), 40 * MS, 44 * MS)
+        for seed in range(5)
+    )
+    assert spared < 5 * 0.3
+
+
+def test_other_zones_are_preferred_while_the_own_zone_is_slow() -> None:
+    assert _cross_zone_ratio(BalancerDriver(settings(prices={"cross_zone": 0.03})), 90 * MS, 40 * MS) > 0.5
+
+
+def test_slow_servers_have_lower_odds_for_heavy_requests(monkeypatch: pytest.MonkeyPatch) -> None:
+    driver = BalancerDriver()
+    driver.receive_list(
+        [
+            ListedServer(name, "east", nominal=0.5 if name == server_names(5)[0] else 1.0)
+            for name in server_names(5)
+        ]
+    )
+    seen: list[float] = []
+    drawn = driver.balancer.components.selector.draw
+
+    def watch(pool: list[Server], odds: list[float], count: int) -> list[Server]:
+        by_name = {each.name: chance for each, chance in zip(pool, odds, strict=True)}
+        slow = by_name.pop(server_names(5)[0])
+        seen.append(slow / max(by_name.values()))
+        return drawn(pool, odds, count)
+
+    monkeypatch.setattr(driver.balancer.components.selector, "draw", watch)
+    for cost in (20 * MS, 20 * MS, 100 * MS):
+        driver.end_attempt(driver.request(cost_us=cost))
+    assert seen[2] < 0.5 * seen[0]
+
+
+def test_a_server_with_errors_in_every_other_response_is_selected_less_often() -> None:
+    driver = BalancerDriver()
+    driver.receive_list(server_names(12))
+    bad = server_names(12)[3]
+    errors = 0
+    for _ in range(1_200):
+        request = driver.request("pay")
+        target = driver.target_of(request)
+        driver.advance(5 * MS if target == bad else 40 * MS)
+        errors += target == bad
+        driver.end_attempt(
+            request, Outcome.APPLICATION_ERROR if target == bad and errors % 2 else Outcome.DELIVERED
+        )
+    assert sum(1 for _, each in driver.attempts()[400:] if each.server == bad) < 0.5 * 800 / 12
+
+
+def test_a_balancer_with_little_traffic_uses_a_small_subset_and_replaces_drained_servers() -> None:
+    driver = BalancerDriver()
+    driver.receive_list(server_names(60))
+    serve_one_at_a_time(driver, 200)
+    met = {each.server for _, each in driver.attempts()}
+    assert 2 <= len(met) <= 8
+    for gone in met:
+        driver.drain(gone)
+    serve_one_at_a_time(driver, 50)
+    later = {each.server for _, each in driver.attempts()[200:]}
+    assert later
+    assert not later & met
+
+
+def test_a_busy_balancer_uses_all_servers() -> None:
+    driver = BalancerDriver()
+    driver.receive_list(server_names(30))
+    driver.serve_traffic(2_000, every_us=5 * MS, taking_us=250 * MS)
+    assert len({each.server for _, each in driver.attempts()}) == 30
+
+
+def test_balancers_with_little_traffic_use_different_subsets() -> None:
+    first: set[str] = set()
+    for seed in range(12):
+        driver = BalancerDriver(seed=seed)
+        driver.receive_list(server_names(60))
+        serve_one_at_a_time(driver, 20)
+        first |= {each.server for _, each in driver.attempts()}
+    assert len(first) > 25
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -169,3 +169,15 @@
             self.advance(every_us)
             if self.attempts(done):
                 self.end_attempt(done)
+
+
+def serve_one_at_a_time(
+    driver: BalancerDriver, count: int, taking_us: int = 50 * MS, every_us: int = 400 * MS
+) -> None:
+    """Traffic of a small balancer: each request is answered before the next comes."""
+    for _ in range(count):
+        request = driver.request()
+        driver.advance(taking_us)
+        if driver.attempts(request):
+            driver.end_attempt(request)
+        driver.advance(every_us - taking_us)
