--- a/sidecar_balancer/policy/admission.py
+++ b/sidecar_balancer/policy/admission.py
@@ -11,7 +11,7 @@
 from sidecar_balancer.policy.request import Request
 from sidecar_balancer.policy.settings import ServiceClass
 from sidecar_balancer.policy.stalls import StallDetector
-from sidecar_balancer.policy.window import FREE_RATIO, ConcurrencyWindow
+from sidecar_balancer.policy.window import UNRESTRICTED_RATIO, ConcurrencyWindow
 
 PRESSURE_AT_FULL = 4.0  # of the typical requests one in fifty is admitted then
 RANK_SLOPE = 2.0  # the lowest rank meets this many times the pressure, the highest almost none
@@ -75,9 +75,9 @@
         if in_flight < RELIABLE_LOAD / 2:
             return self._sheds_by_count(now, self._priorities.rank(now, request.flow))
         fill = self._window.fill(now)
-        if fill <= FREE_RATIO:
+        if fill <= UNRESTRICTED_RATIO:
             return False
-        pressure = PRESSURE_AT_FULL * (fill - FREE_RATIO) / (1.0 - FREE_RATIO)
+        pressure = PRESSURE_AT_FULL * (fill - UNRESTRICTED_RATIO) / (1.0 - UNRESTRICTED_RATIO)
         rank = self._priorities.rank(now, request.flow)
         admitted_ratio = math.exp(-RANK_SLOPE * pressure * (1.0 - rank))
         if fill < 1.0 and self._chance.random() < admitted_ratio:
--- a/sidecar_balancer/policy/latency.py
+++ b/sidecar_balancer/policy/latency.py
@@ -58,8 +58,8 @@
     def overdue_after_us(self, request: Request, server: Server) -> int:
         """After how long an attempt at this server is overdue."""
         expected_us = OVERDUE_BASELINE_RATIO * self.expected_us(request) * max(server.relative_latency, 1.0)
-        least_us = OVERDUE_MIN_OBJECTIVE_RATIO * request.service_class.latency_objective_us
-        return int(max(expected_us, least_us, self._clock_tick_us))
+        minimum_us = OVERDUE_MIN_OBJECTIVE_RATIO * request.service_class.latency_objective_us
+        return int(max(expected_us, minimum_us, self._clock_tick_us))
 
     def response_received(self, server: Server, request: Request, elapsed_us: int) -> None:
         """Follow a response; the first of its class and cost sets the baseline."""
--- a/sidecar_balancer/policy/locality.py
+++ b/sidecar_balancer/policy/locality.py
@@ -1,4 +1,4 @@
-"""Zones: which ones a balancer draws from, when one is evacuated as a whole, and how it recovers.
+"""Zones: which ones a balancer selects servers from, when one is evacuated as a whole, and how it recovers.
 
 Unused unless `Locality.enabled`.  Levels, overprovisioning, the panic threshold and slow start with its
 aggression are those of Envoy's load balancing; see docs/zones.md.
@@ -222,7 +222,7 @@
         self.invalidate_shares()
 
     def is_open(self, name: str) -> bool:
-        """Whether servers of this zone may be drawn; in a panic those of evacuated zones may."""
+        """Whether servers of this zone may be selected; in a panic those of evacuated zones may."""
         zone = self.by_name.get(name)
         if zone is None or zone.is_in_use():
             return True
@@ -230,7 +230,7 @@
         return zone.override is not ZoneOverride.DRAIN and self.is_panicking
 
     def candidates(self, roll: float, strength: float) -> Sequence[Server]:
-        """The servers that an attempt is drawn from; `roll` in 0..1 picks the level.
+        """The servers that an attempt's server is sampled from; `roll` in 0..1 picks the level.
 
         The own zone takes `strength` times its share of the requests, the own region what that leaves by the
         same measure, and the rest go anywhere.
@@ -288,9 +288,9 @@
         return several and healthy >= max(self.settings.panic_threshold * len(self.ready_servers), 1)
 
     def _is_failing(self, now: int, zone: Zone) -> bool:
-        least = max(self.settings.evacuation_min_failures - FAILURES_PER_PEER * zone.peers_evacuated, 1)
+        minimum = max(self.settings.evacuation_min_failures - FAILURES_PER_PEER * zone.peers_evacuated, 1)
         return (
-            zone.failures.count(now) > least - 0.5
+            zone.failures.count(now) > minimum - 0.5
             and self.failure_ratio(now, zone) >= self.settings.evacuation_failure_ratio
         )
 
--- a/sidecar_balancer/policy/outliers.py
+++ b/sidecar_balancer/policy/outliers.py
@@ -91,7 +91,7 @@
                 return
             self.ejected.append(server)
             self._load.pending_at_ejected += server.in_flight
-            self._actions.append(LogEvent(f"ejected {server.name}: {reason}", "ejected", server.name))
+            self._actions.append(LogEvent(f"ejected {server.name}: {reason}", "server_ejected", server.name))
             self._verdicts.publish(server, None, ServerVerdict.EJECTED, server.consecutive_failures)
             self._zones.invalidate_shares()
         objectives = min(EJECTION_OBJECTIVES * 2**server.ejections, EJECTION_MAX_OBJECTIVES)
@@ -105,7 +105,7 @@
         self.ejected.remove(server)
         self._load.pending_at_ejected -= server.in_flight
         server.ejections = server.consecutive_failures = 0
-        self._actions.append(LogEvent(f"readmitted {server.name}", "readmitted", server.name))
+        self._actions.append(LogEvent(f"readmitted {server.name}", "server_readmitted", server.name))
         server.readmitted_at = now
         self._verdicts.publish(server, None, ServerVerdict.CLEARED)
         self._zones.invalidate_shares()
--- a/sidecar_balancer/policy/overdue.py
+++ b/sidecar_balancer/policy/overdue.py
@@ -11,9 +11,11 @@
 from sidecar_balancer.policy.stalls import StallDetector
 from sidecar_balancer.policy.timer_queue import TimerKind, TimerQueue
 
-UNRESPONSIVE_OVERDUE_RATIO = 2.0  # overdue again by this factor, a silent server counts as unresponsive
+UNRESPONSIVE_OVERDUE_RATIO = (
+    2.0  # overdue again by this factor, a server without a response counts as unresponsive
+)
 UNRESPONSIVE_MIN_OBJECTIVE_RATIO = 0.5  # but never before this part of the objective
-RESPONSES_FROM_OTHERS = 4  # since the attempt was sent, that make the silence its server's own
+RESPONSES_FROM_OTHERS = 4  # since the attempt was sent, that show that just this server does not respond
 
 
 @unique
@@ -21,8 +23,8 @@
     """What an overdue attempt shows."""
 
     NOTHING = "nothing"  # its server answered others meanwhile, or the balancer itself stood still
-    SILENT = "silent"  # no response from its server since it was sent
-    UNRESPONSIVE = "unresponsive"  # found now: silent for long, while other servers responded
+    UNANSWERED = "unanswered"  # no response from its server since it was sent
+    UNRESPONSIVE = "unresponsive"  # found now: no response for long, while other servers responded
 
 
 class OverdueMonitor:
@@ -52,10 +54,10 @@
             self._check_again(now + self._clock_tick_us, request, attempt)
             return OverdueFinding.NOTHING
         server = attempt.server
-        is_silent = server.last_response_at <= attempt.sent_at
+        is_unanswered = server.last_response_at <= attempt.sent_at
         waited_us = now - attempt.sent_at - (self._stalls.stalled_us - attempt.stalled_us_before)
         self._check_objective(now, request, attempt, waited_us)
-        if not is_silent:
+        if not is_unanswered:
             return OverdueFinding.NOTHING
         enough_us = max(
             UNRESPONSIVE_OVERDUE_RATIO * self._latency.overdue_after_us(request, server),
@@ -63,12 +65,12 @@
         )
         if waited_us < enough_us:
             self._check_again(now + int(enough_us) - waited_us, request, attempt)
-            return OverdueFinding.SILENT
+            return OverdueFinding.UNANSWERED
         if attempt.unresponsive:
-            return OverdueFinding.SILENT
+            return OverdueFinding.UNANSWERED
         attempt.unresponsive = self._zones_enabled  # the response to a hedge in another zone will show it
         if self._outliers.responses - attempt.responses_before < RESPONSES_FROM_OTHERS:
-            return OverdueFinding.SILENT
+            return OverdueFinding.UNANSWERED
         if server.ejected_until is None:
             self._outliers.eject(now, server, "silent", UNRESPONSIVE_MAX_RATIO)
         return OverdueFinding.UNRESPONSIVE
--- a/sidecar_balancer/policy/selection.py
+++ b/sidecar_balancer/policy/selection.py
@@ -1,6 +1,6 @@
-"""Selection of the server for an attempt: best of k random candidates, redrawn wider after rejections.
+"""Selection of the server for an attempt: best of k random candidates, sampled wider after rejections.
 
-Of k distinct servers, drawn by their odds, the one with the lowest load gets the attempt.
+Of k distinct servers, sampled by their odds, the one with the lowest load gets the attempt.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from sidecar_balancer.policy.settings import Idempotency, Prices
 from sidecar_balancer.policy.slow_start import SlowStart
 from sidecar_balancer.policy.verdicts import VerdictExchange, peers_against
-from sidecar_balancer.policy.window import FREE_RATIO, LATE_MAX_RATIO, ConcurrencyWindow
+from sidecar_balancer.policy.window import LATE_MAX_RATIO, UNRESTRICTED_RATIO, ConcurrencyWindow
 
 CANDIDATES = 4  # k: loads are mostly small here, where two candidates find too little
 COST_POWER_MAX = 3.0  # of relative latency, in the odds for a request of four times the mean cost or more
@@ -66,25 +66,25 @@
         if not pool:
             return None
         odds = self._odds(now, pool, request)
-        drawn = self.draw(pool, odds, CANDIDATES << request.rejections)
+        sampled = self.sample(pool, odds, CANDIDATES << request.rejections)
         if self._zones.enabled:  # what recovers counts as more loaded than it is, by its weight
             weight = self._zones.weight
             return min(
-                drawn,
+                sampled,
                 key=lambda server: ((server.load(now) + 1) / weight(now, server), server.relative_latency),
             )
-        return min(drawn, key=lambda server: (server.load(now), server.relative_latency))
+        return min(sampled, key=lambda server: (server.load(now), server.relative_latency))
 
-    def draw(self, pool: list[Server], odds: list[float], count: int) -> list[Server]:
-        """Draw distinct servers by their odds, in random order, so that the first of equals is random."""
-        drawn, left, total = list[Server](), list(range(len(pool))), sum(odds)
+    def sample(self, pool: list[Server], odds: list[float], count: int) -> list[Server]:
+        """Sample distinct servers by their odds, in random order, so that the first of equals is random."""
+        sampled, remaining, total = list[Server](), list(range(len(pool))), sum(odds)
         for _ in range(min(count, len(pool))):
             point, at = self._draws.random() * total, 0
-            while at < len(left) - 1 and point >= odds[left[at]]:
-                point, at = point - odds[left[at]], at + 1
-            total -= odds[left[at]]
-            drawn.append(pool[left.pop(at)])
-        return drawn
+            while at < len(remaining) - 1 and point >= odds[remaining[at]]:
+                point, at = point - odds[remaining[at]], at + 1
+            total -= odds[remaining[at]]
+            sampled.append(pool[remaining.pop(at)])
+        return sampled
 
     def _trial_due(self, now: int, request: Request) -> Server | None:
         """A server that this request should try: just enabled, in an evacuated zone, or ejected."""
@@ -120,7 +120,7 @@
         return self._side_draws.choice(fit) if fit else None
 
     def _pool(self, now: int, request: Request) -> list[Server]:
-        """The servers to draw from: near ones where zones are enabled and enough of them are left."""
+        """The servers to sample from: near ones where zones are enabled and enough of them remain."""
         if self._remote_odds_at != now:
             self._remote_odds_at, self._remote_odds = now, self._compute_remote_odds(now)
         zones = self._zones
@@ -181,7 +181,7 @@
         """Odds of servers in other zones: lower while the own zone is as quick and nothing is late."""
         if not self._weighs_zones:
             return 1.0
-        if self._window.late_ratio >= LATE_MAX_RATIO or self._window.fill(now) > FREE_RATIO:
+        if self._window.late_ratio >= LATE_MAX_RATIO or self._window.fill(now) > UNRESTRICTED_RATIO:
             return 1.0  # spare capacity anywhere is worth more than local traffic
         own_zone = self._zones.own_zone
         servers = [server for server in self._zones.ready_servers if server.ejected_until is None]
--- a/sidecar_balancer/policy/slow_start.py
+++ b/sidecar_balancer/policy/slow_start.py
@@ -53,20 +53,20 @@
         """The part of its full capacity that a server has at least, 1.0 after its slow start."""
         if server.warming_since is None or not self.is_warming_up(now, server):
             return 1.0
-        least = self._rules.slow_start_min_ratio
+        minimum = self._rules.slow_start_min_ratio
         age_us = max(now - server.warming_since, 0)
-        return least + (1.0 - least) * age_us / self._duration_us
+        return minimum + (1.0 - minimum) * age_us / self._duration_us
 
     def has_capacity(self, now: int, server: Server, cost: float) -> bool:
         """Whether the server's bucket has the tokens for a request of this cost, after a refill."""
         if server.warming_since is None or not self.is_warming_up(now, server):
             return True
         limit = self._rules.overload_multiple * self.weight(now, server) * self.estimate_capacity(now)
-        most = max(1.0, BURST_RATIO * limit * self._rules.overload_window_us)
+        maximum = max(1.0, BURST_RATIO * limit * self._rules.overload_window_us)
         refill = REFILL_RATIO * limit * max(now - server.slow_start_tokens_at, 0)
-        server.slow_start_tokens = min(server.slow_start_tokens + refill, most)
+        server.slow_start_tokens = min(server.slow_start_tokens + refill, maximum)
         server.slow_start_tokens_at = now
-        return server.slow_start_tokens >= min(cost, most)
+        return server.slow_start_tokens >= min(cost, maximum)
 
     def attempt_sent(self, now: int, server: Server, cost: float) -> None:
         """Take the tokens of an attempt."""
--- a/sidecar_balancer/policy/window.py
+++ b/sidecar_balancer/policy/window.py
@@ -13,14 +13,14 @@
 TARGET_FLOOR_RATIO = 1.2  # but never less than this many times what it takes when the fleet is idle
 TYPICAL_MAX_RATIO = 1.0  # the median is not followed further: from there it must recover
 TYPICAL_STEP = 0.04  # of the running median: some 25 responses turn it round
-FLOOR_CREEP_RATIO = 0.02  # of the median's step that the floor may rise at each response
-FLOOR_CREEP_SHEDDING_RATIO = 0.002
+FLOOR_RISE_RATIO = 0.02  # of the median's step that the floor may rise at each response
+FLOOR_RISE_SHEDDING_RATIO = 0.002
 LATE_MAX_RATIO = 0.05  # a fleet is not overloaded while no more than this part of its responses is late
 LATE_STEP_RATIO = 0.02  # follows the last fifty responses or so
 SHRINK_OBJECTIVES = 0.5  # at twice the target the window shrinks e-fold in this many longest objectives
 START_OBJECTIVES = 1.0  # how many must have passed before the window is first sized
 SIZE_MIN = 0.1  # a trickle passes at any time, so that relief is seen
-FREE_RATIO = 0.5  # up to this part of the window everything is admitted, and the window does not grow
+UNRESTRICTED_RATIO = 0.5  # up to this part of the window everything is admitted, and the window does not grow
 
 
 class ConcurrencyWindow:
@@ -73,9 +73,9 @@
             factor * LATE_STEP_RATIO * ((1.0 if latency_ratio > 1.0 else 0.0) - self.late_ratio)
         )
         load = self._load.current(now)
-        creep = FLOOR_CREEP_RATIO if load <= FREE_RATIO * self.size else FLOOR_CREEP_SHEDDING_RATIO
+        rise = FLOOR_RISE_RATIO if load <= UNRESTRICTED_RATIO * self.size else FLOOR_RISE_SHEDDING_RATIO
         self._floor_ratio = min(
-            self._floor_ratio + creep * TYPICAL_STEP, max(self.typical_ratio, TYPICAL_STEP)
+            self._floor_ratio + rise * TYPICAL_STEP, max(self.typical_ratio, TYPICAL_STEP)
         )
         # Before, the load is averaged from nothing, and a few late responses would shut the window.
         if now - self._started_at >= START_OBJECTIVES * self._longest_objective_us:
@@ -90,7 +90,7 @@
         if excess > 0.0 and self.late_ratio < LATE_MAX_RATIO:
             return  # slower than usual, yet in time
         if excess > 0.0:
-            self.size = min(self.size, max(load, self._load.mean / FREE_RATIO))
+            self.size = min(self.size, max(load, self._load.mean / UNRESTRICTED_RATIO))
         elif not self.has_shed:
             return  # nothing shows that it is too small
         self.has_shed = False
--- a/sidecar_balancer/policy/zone_evacuation.py
+++ b/sidecar_balancer/policy/zone_evacuation.py
@@ -41,7 +41,9 @@
             return None
         self._zones.evacuate(now, zone)
         self._admission.zone_evacuated()
-        self._actions.append(LogEvent(f"left zone {zone.name}: its servers fail", "zone_left", zone.name))
+        self._actions.append(
+            LogEvent(f"evacuated zone {zone.name}: its servers fail", "zone_evacuated", zone.name)
+        )
         self._actions.append(PublishZoneVerdict(zone.name, ZoneVerdict.EVACUATED, len(zone.failing)))
         return zone
 
@@ -70,5 +72,5 @@
         if zone.evacuated_at is None:
             return  # checked on behalf of peers that have evacuated it
         self._zones.recover(now, zone)
-        self._actions.append(LogEvent(f"zone {zone.name} is back, easing in", "zone_back", zone.name))
+        self._actions.append(LogEvent(f"zone {zone.name} recovers", "zone_recovered", zone.name))
         self._outliers.readmit_zone(now, zone.name)
--- a/tests/cluster/test_zones.py
+++ b/tests/cluster/test_zones.py
@@ -93,7 +93,7 @@
             await made.load.stop()
             assert {each.status for each in made.load.answers} == {200}
             log = (tmp_path / "n0" / "log").read_text("utf-8")
-            assert log.count('"zone_left"') == log.count('"zone_back"') == 3
+            assert log.count('"zone_evacuated"') == log.count('"zone_recovered"') == 3
 
     play(scene())
 
--- a/tests/policy/test_any_sequence.py
+++ b/tests/policy/test_any_sequence.py
@@ -2,11 +2,12 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass, field
 from typing import Any
 
 from hypothesis import HealthCheck as HypothesisCheck
 from hypothesis import given
-from hypothesis import settings as how
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from helpers import (
@@ -21,6 +22,7 @@
 )
 from sidecar_balancer import Balancer
 from sidecar_balancer.policy.actions import (
+    Action,
     ApplyDisabledServers,
     CancelAttempt,
     Fail,
@@ -29,8 +31,8 @@
     SendAttempt,
     SetTimer,
 )
-from sidecar_balancer.policy.events import AttemptEnded as Ended
 from sidecar_balancer.policy.events import (
+    AttemptEnded,
     ClientDisconnected,
     EndpointListReceived,
     Event,
@@ -42,7 +44,7 @@
     ServerOverrideRequested,
     TimerFired,
 )
-from sidecar_balancer.policy.settings import Idempotency
+from sidecar_balancer.policy.settings import Idempotency, ServiceClass
 from sidecar_balancer.policy.types import ListKind, Outcome, ServerState
 
 SERVERS = server_names(7)
@@ -59,218 +61,264 @@
 ]
 
 
-class Referee:
+@dataclass
+class TrackedAttempt:
+    """An attempt as its server sees it."""
+
+    server: str
+    entry: ListedServer
+    sent_at: int
+    pending: bool = True
+    outcome: Outcome | None = None
+    response_started: bool = False
+
+
+@dataclass
+class TrackedRequest:
+    """A request as its client sees it."""
+
+    service_class: ServiceClass
+    deadline: int
+    remaining_us: int
+    late_on_arrival: bool
+    body_consumed: bool = False
+    answered: bool = False
+    attempts: list[TrackedAttempt] = field(default_factory=list)
+
+
+class RuleChecker:
     """Keeps what a client, the servers and the list know, and checks every action against the rules."""
 
     def __init__(
         self,
         may_hedge: bool,
-        attempts: int,
+        max_attempts: int,
         late_shedding: bool,
-        probing: bool,
-        rng_seed: int,
+        may_health_check: bool,
+        seed: int,
     ) -> None:
         self.settings = settings(
             classes=CLASSES,
-            limits={"may_hedge": may_hedge, "max_attempts": attempts, "may_health_check": probing},
+            limits={
+                "may_hedge": may_hedge,
+                "max_attempts": max_attempts,
+                "may_health_check": may_health_check,
+            },
             report={"source": "probes", "columns": ["inflight", "queue"]},
             prices={"cross_zone": 0.1},
             rules={"late_shedding": late_shedding},
         )
-        self.proofs = [Outcome.CONNECT_FAILED, Outcome.UNSENT] + [Outcome.REJECTED] * (not late_shedding)
-        self.balancer = Balancer(self.settings, rng_seed)
-        self.kinds = {each.name: each for each in self.settings.classes}
+        rejected = [Outcome.REJECTED] * (not late_shedding)
+        self.outcomes_without_execution = [Outcome.CONNECT_FAILED, Outcome.UNSENT, *rejected]
+        self.balancer = Balancer(self.settings, seed)
+        self.classes = {each.name: each for each in self.settings.classes}
         self.now = START
         self.timers: list[tuple[int, str]] = []
-        self.requests: dict[int, dict[str, Any]] = {}
-        self.probes: list[tuple[str, int]] = []
+        self.requests: dict[int, TrackedRequest] = {}
+        self.health_checks: list[tuple[str, int]] = []
         self.listed: dict[str, ListedServer] = {}
-        self.excluded: frozenset[str] = frozenset()
-        self.next = 1
+        self.disabled: frozenset[str] = frozenset()
+        self.next_request = 1
+
+    # -- Checks of actions --------------------------------------------------------------------------------
 
-    def play(self, event: Event) -> None:
+    def feed(self, event: Event) -> None:
         for action in self.balancer.handle(self.now, event):
-            match action:
-                case SendAttempt():
-                    self.sent(action)
-                case Reject() | Fail():
-                    self.answered(action)
-                case ApplyDisabledServers():
-                    self.excluded = action.servers
-                case CancelAttempt():
-                    assert not self.requests[action.request]["attempts"][action.attempt]["started"]
-                    assert action.attempt < len(self.requests[action.request]["attempts"])
-                case SetTimer():
-                    self.timers.append((self.now + action.in_us, action.token))
-                case HealthCheck():
-                    assert self.settings.limits.may_health_check
-                    assert action.server in self.listed
-                    self.probes.append((action.server, self.now))
-                case _:
-                    pass
-        self.check_counts()
-
-    def sent(self, action: SendAttempt) -> None:
+            self.check_action(action)
+        self.check_in_flight()
+
+    def check_action(self, action: Action) -> None:
+        match action:
+            case SendAttempt():
+                self.check_attempt(action)
+            case Reject() | Fail():
+                self.check_final_answer(action)
+            case ApplyDisabledServers():
+                self.disabled = action.servers
+            case CancelAttempt():
+                assert action.attempt < len(self.requests[action.request].attempts)
+                assert not self.requests[action.request].attempts[action.attempt].response_started
+            case SetTimer():
+                self.timers.append((self.now + action.in_us, action.token))
+            case HealthCheck():
+                assert self.settings.limits.may_health_check
+                assert action.server in self.listed
+                self.health_checks.append((action.server, self.now))
+            case _:
+                pass
+
+    def check_attempt(self, action: SendAttempt) -> None:
         request = self.requests[action.request]
-        kind = request["kind"]
-        assert not request["over"], "sent after the final answer"
-        assert self.now < request["deadline"], "sent after the deadline"
-        line = self.listed[action.server]
-        assert line.state is ServerState.READY, "sent to a draining or gone server"
-        assert action.server not in self.excluded, "sent to an excluded server"
-        assert not request["spent"], "sent again without its body"
-        earlier = request["attempts"]
-        assert len(earlier) < self.settings.limits.max_attempts, "more attempts than allowed"
+        assert not request.answered, "sent after the final answer"
+        assert self.now < request.deadline, "sent after the deadline"
+        entry = self.listed[action.server]
+        assert entry.state is ServerState.READY, "sent to a draining or removed server"
+        assert action.server not in self.disabled, "sent to a disabled server"
+        assert not request.body_consumed, "sent again without its body"
+        assert len(request.attempts) < self.settings.limits.max_attempts, "more attempts than allowed"
         if not self.settings.limits.may_hedge:
-            assert not any(each["pending"] for each in earlier), "two copies out at once"
-        maybe = [each for each in earlier if each["pending"] or each["outcome"] not in self.proofs]
-        if maybe and kind.idempotency is Idempotency.NON_IDEMPOTENT:
-            raise AssertionError("an unsafe request was sent again")
-        if maybe and kind.idempotency is Idempotency.IDEMPOTENCY_KEY:
-            assert self.now < maybe[0]["at"] + kind.deduplication_window_us, "sent after servers forgot"
-            for each in maybe:
-                assert kind.deduplication_scope.value != "zone" or each["line"].zone == line.zone, (
-                    "left the zone"
-                )
-                assert kind.deduplication_scope.value != "cell" or each["line"].cell == line.cell, (
-                    "left the cell"
-                )
-        earlier.append(
-            {
-                "server": action.server,
-                "line": line,
-                "at": self.now,
-                "pending": True,
-                "outcome": None,
-                "started": False,
-            }
-        )
+            assert not any(attempt.pending for attempt in request.attempts), "two attempts at once"
+        self.check_execution(request, entry)
+        request.attempts.append(TrackedAttempt(action.server, entry, self.now))
+
+    def check_execution(self, request: TrackedRequest, entry: ListedServer) -> None:
+        """Check that another attempt at this server can have no effect twice."""
+        executed = self.maybe_executed(request)
+        service_class = request.service_class
+        if executed and service_class.idempotency is Idempotency.NON_IDEMPOTENT:
+            raise AssertionError("a non-idempotent request was sent again")
+        if executed and service_class.idempotency is Idempotency.IDEMPOTENCY_KEY:
+            window_end = executed[0].sent_at + service_class.deduplication_window_us
+            assert self.now < window_end, "sent after servers forgot the key"
+            scope = service_class.deduplication_scope
+            for attempt in executed:
+                assert scope.value != "zone" or attempt.entry.zone == entry.zone, "left the zone"
+                assert scope.value != "cell" or attempt.entry.cell == entry.cell, "left the cell"
 
-    def answered(self, action: Reject | Fail) -> None:
+    def maybe_executed(self, request: TrackedRequest) -> list[TrackedAttempt]:
+        return [
+            attempt
+            for attempt in request.attempts
+            if attempt.pending or attempt.outcome not in self.outcomes_without_execution
+        ]
+
+    def check_final_answer(self, action: Reject | Fail) -> None:
         request = self.requests[action.request]
-        assert not request["over"], "two final answers"
-        assert self.now < request["deadline"] or request["late"], "answered after the deadline"
-        assert not any(each["started"] for each in request["attempts"]), "answered beside an answer under way"
-        if isinstance(action, Reject) and request["kind"].idempotency is not Idempotency.IDEMPOTENT:
-            maybe = [
-                each for each in request["attempts"] if each["pending"] or each["outcome"] not in self.proofs
-            ]
-            whole = (
-                request["kind"].idempotency is Idempotency.IDEMPOTENCY_KEY
-                and request["kind"].deduplication_scope.value == "all"
+        assert not request.answered, "two final answers"
+        assert self.now < request.deadline or request.late_on_arrival, "answered after the deadline"
+        assert not any(attempt.response_started for attempt in request.attempts), "answered beside a response"
+        service_class = request.service_class
+        if isinstance(action, Reject) and service_class.idempotency is not Idempotency.IDEMPOTENT:
+            is_deduplicated = (
+                service_class.idempotency is Idempotency.IDEMPOTENCY_KEY
+                and service_class.deduplication_scope.value == "all"
             )
-            assert not maybe or whole, "a refusal that may have run"
-        request["over"] = True
+            assert not self.maybe_executed(request) or is_deduplicated, "rejected, yet maybe executed"
+        request.answered = True
 
-    def check_counts(self) -> None:
-        out: dict[str, int] = dict.fromkeys(SERVERS, 0)
+    def check_in_flight(self) -> None:
+        in_flight: dict[str, int] = dict.fromkeys(SERVERS, 0)
         for request in self.requests.values():
-            for each in request["attempts"]:
-                out[each["server"]] += each["pending"] and not each["started"]
+            for attempt in request.attempts:
+                in_flight[attempt.server] += attempt.pending and not attempt.response_started
         for name, server in self.balancer.servers.items():
-            assert server.in_flight == out[name], "the count of requests in flight is off"
-
-    def arrive(self, name: str, remaining_us: int, is_open: bool) -> None:
-        number, self.next = self.next, self.next + 1
-        self.requests[number] = {
-            "kind": self.kinds[name],
-            "deadline": FOREVER if is_open else self.now + remaining_us,
-            "remaining": remaining_us,
-            "spent": False,
-            "late": remaining_us <= 2 * TICK,
-            "attempts": [],
-            "over": False,
-        }
-        self.play(RequestReceived(number, name, None, None, remaining_us, body_open=is_open))
+            assert server.in_flight == in_flight[name], "the count of requests in flight is wrong"
+
+    def check_deadlines(self) -> None:
+        for request in self.requests.values():
+            assert request.answered or self.now < request.deadline, "a request was left unanswered"
+
+    # -- Steps of a script --------------------------------------------------------------------------------
+
+    def receive_request(self, service_class: str, remaining_us: int, body_open: bool) -> None:
+        number, self.next_request = self.next_request, self.next_request + 1
+        self.requests[number] = TrackedRequest(
+            self.classes[service_class],
+            deadline=FOREVER if body_open else self.now + remaining_us,
+            remaining_us=remaining_us,
+            late_on_arrival=remaining_us <= 2 * TICK,
+        )
+        self.feed(RequestReceived(number, service_class, None, None, remaining_us, body_open=body_open))
 
     def end_body(self, choice: int) -> None:
-        waiting = [n for n, r in self.requests.items() if r["deadline"] == FOREVER and not r["over"]]
+        waiting = [
+            number
+            for number, request in self.requests.items()
+            if request.deadline == FOREVER and not request.answered
+        ]
         if waiting:
             number = waiting[choice % len(waiting)]
             request = self.requests[number]
-            request["deadline"] = self.now + request["remaining"]
-            self.play(RequestBodyEnded(number, request["remaining"]))
+            request.deadline = self.now + request.remaining_us
+            self.feed(RequestBodyEnded(number, request.remaining_us))
 
-    def start(self, choice: int) -> None:
-        """An answer begins: it is the client's, and ends in its own time."""
-        out = [
+    def pending_attempts(self) -> list[tuple[int, int]]:
+        return [
             (number, index)
             for number, request in self.requests.items()
-            for index, each in enumerate(request["attempts"])
-            if each["pending"] and not request["over"]
+            for index, attempt in enumerate(request.attempts)
+            if attempt.pending
         ]
-        if out:
-            number, index = out[choice % len(out)]
-            each = self.requests[number]["attempts"][index]
-            each["started"] = self.requests[number]["over"] = True
-            self.play(ResponseStarted(number, index, each["server"], self.now - each["at"]))
-
-    def exclude(self, server: str, excluded: bool) -> None:
-        self.play(ServerOverrideRequested(server, excluded))
-        if server in self.listed:
-            assert (server in self.excluded) is excluded, "an order was not followed"
 
-    def end(self, choice: int, outcome: Outcome) -> None:
-        out = [
-            (number, index)
-            for number, request in self.requests.items()
-            for index, each in enumerate(request["attempts"])
-            if each["pending"]
-        ]
-        if out:
-            self.end_one(*out[choice % len(out)], outcome)
+    def start_response(self, choice: int) -> None:
+        """A response starts: it is the client's final answer, and ends in its own time."""
+        pending = [each for each in self.pending_attempts() if not self.requests[each[0]].answered]
+        if pending:
+            number, index = pending[choice % len(pending)]
+            attempt = self.requests[number].attempts[index]
+            attempt.response_started = self.requests[number].answered = True
+            self.feed(ResponseStarted(number, index, attempt.server, self.now - attempt.sent_at))
+
+    def override(self, server: str, disabled: bool) -> None:
+        self.feed(ServerOverrideRequested(server, disabled))
+        if server in self.listed:
+            assert (server in self.disabled) is disabled, "an override was not applied"
 
-    def end_one(self, number: int, index: int, outcome: Outcome) -> None:
+    def end_attempt(self, choice: int, outcome: Outcome) -> None:
+        pending = self.pending_attempts()
+        if not pending:
+            return
+        number, index = pending[choice % len(pending)]
         request = self.requests[number]
-        if request["deadline"] == FOREVER:
+        if request.deadline == FOREVER:
             if outcome is Outcome.DELIVERED:
-                return  # no server answers before it has the whole request
-            request["spent"] = True
-        each = request["attempts"][index]
-        each["pending"], each["outcome"] = False, outcome
+                return  # no server responds before it has the complete request
+            request.body_consumed = True
+        attempt = request.attempts[index]
+        attempt.pending, attempt.outcome = False, outcome
         if outcome is Outcome.DELIVERED:
-            request["over"] = True
-        took, spent = self.now - each["at"], request["spent"]
-        self.play(Ended(number, index, each["server"], outcome, took, request["over"], None, spent))
-
-    def probed(self, outcome: Outcome, held: float | None) -> None:
-        if self.probes:
-            server, sent = self.probes.pop(0)
-            report = None if held is None else {"inflight": held}
-            self.play(HealthCheckEnded(server, outcome, self.now - sent, report))
-
-    def leave(self, choice: int) -> None:
-        waiting = [number for number, request in self.requests.items() if not request["over"]]
+            request.answered = True
+        elapsed_us = self.now - attempt.sent_at
+        self.feed(
+            AttemptEnded(
+                number,
+                index,
+                attempt.server,
+                outcome,
+                elapsed_us,
+                request.answered,
+                None,
+                request.body_consumed,
+            )
+        )
+
+    def end_health_check(self, outcome: Outcome, in_flight: float | None) -> None:
+        if self.health_checks:
+            server, sent_at = self.health_checks.pop(0)
+            report = None if in_flight is None else {"inflight": in_flight}
+            self.feed(HealthCheckEnded(server, outcome, self.now - sent_at, report))
+
+    def disconnect_client(self, choice: int) -> None:
+        waiting = [number for number, request in self.requests.items() if not request.answered]
         if waiting:
             number = waiting[choice % len(waiting)]
-            self.requests[number]["over"] = True
-            self.play(ClientDisconnected(number))
+            self.requests[number].answered = True
+            self.feed(ClientDisconnected(number))
 
-    def list(self, kind: ListKind, lines: list[ListedServer]) -> None:
+    def receive_list(self, kind: ListKind, entries: list[ListedServer]) -> None:
+        if kind is ListKind.FAILED:
+            self.feed(EndpointListReceived(kind))
+            return
         if kind is not ListKind.DELTA:
-            for line in self.listed.values():
-                line.state = ServerState.REMOVED
-        for line in lines:
-            self.listed[line.server] = line
-        self.play(EndpointListReceived(kind, lines, 1))
+            for entry in self.listed.values():
+                entry.state = ServerState.REMOVED
+        for entry in entries:
+            self.listed[entry.server] = entry
+        self.feed(EndpointListReceived(kind, entries, 1))
 
-    def wait(self, span_us: int) -> None:
+    def advance(self, span_us: int) -> None:
         until = self.now + span_us
         while self.timers and min(self.timers)[0] <= until:
-            due = min(self.timers)
-            self.timers.remove(due)
-            self.now = max(self.now, due[0])
-            self.play(TimerFired(due[1]))
+            timer = min(self.timers)
+            self.timers.remove(timer)
+            self.now = max(self.now, timer[0])
+            self.feed(TimerFired(timer[1]))
             self.check_deadlines()
         self.now = until
         self.check_deadlines()
 
-    def check_deadlines(self) -> None:
-        for request in self.requests.values():
-            assert request["over"] or self.now < request["deadline"], "a request was left unanswered"
 
-
-lines = st.builds(
+list_entries = st.builds(
     ListedServer,
     server=st.sampled_from(SERVERS),
     zone=st.sampled_from(ZONES),
@@ -281,7 +329,7 @@
     started_at=st.sampled_from([None, START - 5 * S, START, START + 2 * S]),
 )
 arrivals = st.tuples(
-    st.just("arrive"),
+    st.just("receive_request"),
     st.sampled_from([str(each["name"]) for each in CLASSES]),
     st.integers(1, 2_500).map(lambda ms: ms * MS),
     st.sampled_from([False, False, False, True]),
@@ -289,27 +337,29 @@
 steps = st.one_of(
     arrivals,
     arrivals,
-    st.tuples(st.just("end body"), st.integers(0, 50)),
-    st.tuples(st.just("start"), st.integers(0, 50)),
-    st.tuples(st.just("exclude"), st.sampled_from(SERVERS), st.booleans()),
-    st.tuples(st.just("end"), st.integers(0, 50), st.sampled_from(list(Outcome))),
-    st.tuples(st.just("end"), st.integers(0, 50), st.just(Outcome.DELIVERED)),
+    st.tuples(st.just("end_body"), st.integers(0, 50)),
+    st.tuples(st.just("start_response"), st.integers(0, 50)),
+    st.tuples(st.just("override"), st.sampled_from(SERVERS), st.booleans()),
+    st.tuples(st.just("end_attempt"), st.integers(0, 50), st.sampled_from(list(Outcome))),
+    st.tuples(st.just("end_attempt"), st.integers(0, 50), st.just(Outcome.DELIVERED)),
     st.tuples(
-        st.just("probed"),
+        st.just("end_health_check"),
         st.sampled_from([Outcome.DELIVERED, Outcome.DELIVERED, Outcome.TIMED_OUT, Outcome.CONNECT_FAILED]),
         st.sampled_from([None, 0.0, 3.0, 50.0]),
     ),
-    st.tuples(st.just("leave"), st.integers(0, 50)),
-    st.tuples(st.just("wait"), st.integers(1, 1_500).map(lambda ms: ms * MS)),
+    st.tuples(st.just("disconnect_client"), st.integers(0, 50)),
+    st.tuples(st.just("advance"), st.integers(1, 1_500).map(lambda ms: ms * MS)),
     st.tuples(
-        st.just("list"),
+        st.just("receive_list"),
         st.sampled_from([ListKind.DELTA, ListKind.SNAPSHOT, ListKind.FAILED]),
-        st.lists(lines, max_size=5, unique_by=lambda each: each.server),
+        st.lists(list_entries, max_size=5, unique_by=lambda each: each.server),
     ),
 )
 
 
-@how(max_examples=250, deadline=None, derandomize=True, suppress_health_check=list(HypothesisCheck))
+@hypothesis_settings(
+    max_examples=250, deadline=None, derandomize=True, suppress_health_check=list(HypothesisCheck)
+)
 @given(
     st.booleans(),
     st.integers(0, 4),
@@ -319,37 +369,16 @@
     st.lists(steps, min_size=5, max_size=60),
 )
 def test_no_sequence_breaks_a_rule(
-    copies: bool,
-    attempts: int,
+    may_hedge: bool,
+    max_attempts: int,
     late_shedding: bool,
-    probing: bool,
-    rng: int,
+    may_health_check: bool,
+    seed: int,
     script: list[Any],
 ) -> None:
-    referee = Referee(copies, attempts, late_shedding, probing, rng)
+    checker = RuleChecker(may_hedge, max_attempts, late_shedding, may_health_check, seed)
     ready = [ListedServer(name, "east", "box", index % 3) for index, name in enumerate(SERVERS)]
-    referee.list(ListKind.CACHED, ready)
-    for step in script:
-        match step:
-            case ("arrive", name, remaining, is_open):
-                referee.arrive(name, remaining, is_open)
-            case ("end body", choice):
-                referee.end_body(choice)
-            case ("start", choice):
-                referee.start(choice)
-            case ("exclude", server, excluded):
-                referee.exclude(server, excluded)
-            case ("end", choice, outcome):
-                referee.end(choice, outcome)
-            case ("probed", outcome, held):
-                referee.probed(outcome, held)
-            case ("leave", choice):
-                referee.leave(choice)
-            case ("wait", span):
-                referee.wait(span)
-            case ("list", kind, changed):
-                if kind is ListKind.FAILED:
-                    referee.play(EndpointListReceived(kind))
-                else:
-                    referee.list(kind, changed)
-    referee.wait(4 * S)
+    checker.receive_list(ListKind.CACHED, ready)
+    for name, *arguments in script:
+        getattr(checker, name)(*arguments)
+    checker.advance(4 * S)
--- a/tests/policy/test_discovery_schedule.py
+++ b/tests/policy/test_discovery_schedule.py
@@ -4,6 +4,8 @@
 
 import itertools
 
+import pytest
+
 from helpers import (
     MS,
     START,
@@ -29,12 +31,12 @@
     assert driver.actions_of(WatchEndpoints) == [WatchEndpoints(True)]
 
 
-def test_a_small_fleet_calls_discovery_at_once() -> None:
-    for seed in range(8):
-        driver = BalancerDriver(settings(fleet_size=8), seed=seed)
-        driver.receive_list(server_names(2), ListKind.CACHED)
-        driver.advance(0)  # what it remembers may be old, and requests come at once
-        assert driver.actions_of(WatchEndpoints) == [WatchEndpoints(True)]
+@pytest.mark.parametrize("seed", range(8))
+def test_a_small_fleet_calls_discovery_at_once(seed: int) -> None:
+    driver = BalancerDriver(settings(fleet_size=8), seed=seed)
+    driver.receive_list(server_names(2), ListKind.CACHED)
+    driver.advance(0)  # what it remembers may be old, and requests come at once
+    assert driver.actions_of(WatchEndpoints) == [WatchEndpoints(True)]
 
 
 def test_a_large_fleet_spreads_its_calls_at_the_start_and_after_failures() -> None:
--- a/tests/policy/test_overrides.py
+++ b/tests/policy/test_overrides.py
@@ -18,7 +18,7 @@
     return driver
 
 
-def ask(driver: BalancerDriver, server: str, excluded: bool) -> bool:
+def override(driver: BalancerDriver, server: str, excluded: bool) -> bool:
     """Make the call; whether it was taken."""
     return any(
         isinstance(each, ApplyDisabledServers)
@@ -26,7 +26,7 @@
     )
 
 
-def targets(driver: BalancerDriver) -> set[str]:
+def servers_used(driver: BalancerDriver) -> set[str]:
     """Where requests go, of which a few are in flight at any time."""
     before = len(driver.timeline)
     driver.serve_traffic(80)
@@ -34,17 +34,17 @@
 
 
 @pytest.mark.parametrize("kind", [ListKind.SNAPSHOT, ListKind.DELTA, ListKind.CACHED])
-def test_an_excluded_server_is_left_out_whatever_the_list_says(kind: ListKind) -> None:
+def test_a_disabled_server_gets_no_requests_whatever_list_is_received(kind: ListKind) -> None:
     driver = driver_with_servers()
-    assert ask(driver, SERVERS[0], True)
-    assert targets(driver) == set(SERVERS[1:])
+    assert override(driver, SERVERS[0], True)
+    assert servers_used(driver) == set(SERVERS[1:])
     lines = [ListedServer(each, zone="east", started_at=driver.now) for each in SERVERS[:1]]
     driver.receive_list([*lines, *SERVERS[1:]], kind)
     driver.advance(20 * S)  # long warm
-    assert targets(driver) == set(SERVERS[1:])
+    assert servers_used(driver) == set(SERVERS[1:])
 
 
-def test_a_retry_and_a_trial_leave_an_excluded_server_out() -> None:
+def test_retries_and_trials_avoid_a_disabled_server() -> None:
     driver = driver_with_servers(2)
     for _ in range(2):  # two strikes eject the first
         request = driver.request()
@@ -53,116 +53,116 @@
             request = driver.request()
         driver.end_attempt(request, Outcome.CONNECTION_LOST)
     assert driver.balancer.ejected_servers
-    assert ask(driver, SERVERS[0], True)
+    assert override(driver, SERVERS[0], True)
     driver.advance(60 * S)  # its trial is long due
-    assert targets(driver) == {SERVERS[1]}
+    assert servers_used(driver) == {SERVERS[1]}
     request = driver.request()
     driver.end_attempt(request, Outcome.REJECTED)
     assert {each.server for _, each in driver.attempts(request)} == {SERVERS[1]}
 
 
-def test_one_call_back_ends_repeated_calls_out_and_the_server_is_cold() -> None:
+def test_a_server_that_is_enabled_after_repeated_overrides_warms_up() -> None:
     driver = driver_with_servers()
     driver.serve_traffic(60)
     for _ in range(3):
-        assert ask(driver, SERVERS[0], True)
-    assert ask(driver, SERVERS[0], False)
+        assert override(driver, SERVERS[0], True)
+    assert override(driver, SERVERS[0], False)
     server = driver.balancer.servers[SERVERS[0]]
     assert driver.balancer.is_warming_up(server)
     driver.advance(11 * S)
-    assert targets(driver) == set(SERVERS)
+    assert servers_used(driver) == set(SERVERS)
     assert not driver.balancer.is_warming_up(server)
 
 
-def test_a_server_back_from_its_ban_is_used_within_five_seconds() -> None:
-    for seed in range(10):
-        driver = BalancerDriver(seed=seed)
-        driver.receive_list(SERVERS)
-        driver.serve_traffic(100)
-        ask(driver, SERVERS[0], True)
-        driver.serve_traffic(100)
-        ask(driver, SERVERS[0], False)
-        assert SERVERS[0] in targets(driver), seed  # 1.6 s of fifty requests a second
+@pytest.mark.parametrize("seed", range(10))
+def test_a_server_is_used_within_five_seconds_of_being_enabled(seed: int) -> None:
+    driver = BalancerDriver(seed=seed)
+    driver.receive_list(SERVERS)
+    driver.serve_traffic(100)
+    override(driver, SERVERS[0], True)
+    driver.serve_traffic(100)
+    override(driver, SERVERS[0], False)
+    assert SERVERS[0] in servers_used(driver)  # 1.6 s of fifty requests a second
 
 
 @pytest.mark.parametrize(("told", "waited_s"), [(False, 10), (True, 5)])
-def test_after_its_ban_a_server_is_cold_from_its_told_restart_or_else_from_now(
+def test_an_enabled_server_warms_up_from_its_listed_restart_or_else_from_now(
     told: bool, waited_s: int
 ) -> None:
     driver = driver_with_servers()
     driver.receive_list([ListedServer(SERVERS[0], "east", started_at=driver.now - 1 * S)], ListKind.DELTA)
-    ask(driver, SERVERS[0], True)
+    override(driver, SERVERS[0], True)
     if told:
         driver.receive_list([ListedServer(SERVERS[0], "east", started_at=driver.now)], ListKind.DELTA)
     driver.advance(5 * S)
-    ask(driver, SERVERS[0], False)
+    override(driver, SERVERS[0], False)
     server = driver.balancer.servers[SERVERS[0]]
     assert server.warming_since is not None
     assert server.warming_since + 10 * S == driver.now + waited_s * S
 
 
-def test_a_server_back_from_its_ban_is_used_at_once_where_requests_are_few_and_others_quicker() -> None:
-    for seed in range(10):
-        driver = BalancerDriver(seed=seed)
-        driver.receive_list(server_names(8))
-        driver.serve_traffic(60)
-        server = driver.balancer.servers[SERVERS[0]]
-        server.relative_latency = 3.0
-        ask(driver, server.name, True)
-        driver.advance(1 * S)
-        ask(driver, server.name, False)
-        before = len(driver.timeline)
-        for _ in range(100):  # one at a time: all servers are empty, and the quicker ones win the draw
-            driver.advance(50 * MS)
-            request = driver.request()
-            driver.advance(20 * MS)
-            driver.end_attempt(request)
-        sent = [each.server for _, each in driver.timeline[before:] if isinstance(each, SendAttempt)]
-        assert server.name in sent, seed
-        assert server not in driver.balancer.components.disabled.unused
+@pytest.mark.parametrize("seed", range(10))
+def test_an_enabled_server_is_used_with_few_requests_and_faster_servers_beside_it(seed: int) -> None:
+    driver = BalancerDriver(seed=seed)
+    driver.receive_list(server_names(8))
+    driver.serve_traffic(60)
+    server = driver.balancer.servers[SERVERS[0]]
+    server.relative_latency = 3.0
+    override(driver, server.name, True)
+    driver.advance(1 * S)
+    override(driver, server.name, False)
+    before = len(driver.timeline)
+    for _ in range(100):  # one at a time: all servers are empty, and the quicker ones win the draw
+        driver.advance(50 * MS)
+        request = driver.request()
+        driver.advance(20 * MS)
+        driver.end_attempt(request)
+    sent = [each.server for _, each in driver.timeline[before:] if isinstance(each, SendAttempt)]
+    assert server.name in sent
+    assert server not in driver.balancer.components.disabled.unused
 
 
-def test_after_the_ban_a_server_is_as_the_list_says() -> None:
+def test_an_enabled_server_has_the_state_that_the_list_gives_it() -> None:
     driver = driver_with_servers()
-    ask(driver, SERVERS[0], True)
+    override(driver, SERVERS[0], True)
     driver.drain(SERVERS[0])
-    ask(driver, SERVERS[0], False)
+    override(driver, SERVERS[0], False)
     driver.advance(20 * S)
-    assert targets(driver) == set(SERVERS[1:])
+    assert servers_used(driver) == set(SERVERS[1:])
     driver.drain(SERVERS[0], ServerState.READY)
-    assert targets(driver) == set(SERVERS)
+    assert servers_used(driver) == set(SERVERS)
 
 
-def test_only_a_name_that_was_never_listed_is_declined() -> None:
+def test_only_overrides_of_servers_that_were_never_listed_are_ignored() -> None:
     driver = driver_with_servers()
     for excluded in (True, False):
-        assert not ask(driver, "10.9.9.9:80", excluded)
+        assert not override(driver, "10.9.9.9:80", excluded)
     driver.receive_list(SERVERS[1:])  # the first leaves and is forgotten
     assert SERVERS[0] not in driver.balancer.servers
-    assert ask(driver, SERVERS[0], True)
+    assert override(driver, SERVERS[0], True)
     driver.receive_list(SERVERS)
-    assert targets(driver) == set(SERVERS[1:])
+    assert servers_used(driver) == set(SERVERS[1:])
 
 
-def test_a_server_that_leaves_during_its_ban_and_comes_again_is_still_left_out() -> None:
+def test_a_disabled_server_that_is_removed_and_listed_again_stays_disabled() -> None:
     driver = driver_with_servers()
-    ask(driver, SERVERS[0], True)
+    override(driver, SERVERS[0], True)
     driver.receive_list(SERVERS[1:])
     driver.receive_list(SERVERS)
-    assert targets(driver) == set(SERVERS[1:])
+    assert servers_used(driver) == set(SERVERS[1:])
 
 
-def test_stored_exclusions_hold_for_servers_listed_later_and_replace_earlier_ones() -> None:
+def test_a_set_of_disabled_servers_replaces_the_previous_one_and_applies_to_later_lists() -> None:
     driver = BalancerDriver()
     driver.feed(DisabledServersChanged([SERVERS[0]]))
     driver.receive_list(SERVERS)
-    assert targets(driver) == set(SERVERS[1:])
+    assert servers_used(driver) == set(SERVERS[1:])
     driver.feed(DisabledServersChanged([SERVERS[1]]))
     driver.advance(20 * S)
-    assert targets(driver) == {SERVERS[0], SERVERS[2]}
+    assert servers_used(driver) == {SERVERS[0], SERVERS[2]}
 
 
-def test_names_of_servers_that_left_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_names_of_removed_servers_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("sidecar_balancer.policy.endpoint_table.FORMER_NAMES_MAX", 20)
     driver = BalancerDriver(settings())
     for deploy in range(10):
@@ -170,11 +170,12 @@
     driver.receive_list([])
     assert len(driver.balancer.components.endpoints.former_names) == 20
     assert not driver.balancer.servers
-    assert ask(driver, f"9-{SERVERS[0]}", True)
+    assert override(driver, f"9-{SERVERS[0]}", True)
 
 
-def test_both_processes_of_an_upgrade_together_send_a_cold_server_no_more_than_one_would() -> None:
-    def sent_to_cold(drivers: list[BalancerDriver]) -> int:
+@pytest.mark.parametrize("seed", range(5))
+def test_both_processes_of_an_upgrade_send_a_warming_server_no_more_than_one_alone(seed: int) -> None:
+    def attempts_at_warming_server(drivers: list[BalancerDriver]) -> int:
         """Ten seconds of a hundred requests a second, dealt out in turn; one of four servers is cold."""
         until, count = drivers[0].now + 10 * S, 0
         out: list[tuple[BalancerDriver, int]] = []
@@ -200,8 +201,7 @@
         driver.serve_traffic(300, every_us=10 * MS)
         return driver
 
-    for seed in range(5):
-        alone = sent_to_cold([served(seed)])
-        old, new = served(seed), BalancerDriver(seed=seed + 100, now=served(seed).now)
-        new.receive_list(SERVERS)
-        assert 0 < sent_to_cold([old, new]) <= 1.15 * alone, seed
+    alone = attempts_at_warming_server([served(seed)])
+    old, new = served(seed), BalancerDriver(seed=seed + 100, now=served(seed).now)
+    new.receive_list(SERVERS)
+    assert 0 < attempts_at_warming_server([old, new]) <= 1.15 * alone
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -24,7 +24,7 @@
 
 def test_the_candidate_with_the_lowest_load_is_selected() -> None:
     driver = BalancerDriver()
-    driver.receive_list(server_names(4))  # all are drawn
+    driver.receive_list(server_names(4))  # all are sample
     for _ in range(40):
         driver.request()
     assert set(Counter(each.server for _, each in driver.attempts()).values()) == {10}
@@ -126,15 +126,15 @@
         ]
     )
     seen: list[float] = []
-    drawn = driver.balancer.components.selector.draw
+    sample = driver.balancer.components.selector.sample
 
     def watch(pool: list[Server], odds: list[float], count: int) -> list[Server]:
         by_name = {each.name: chance for each, chance in zip(pool, odds, strict=True)}
         slow = by_name.pop(server_names(5)[0])
         seen.append(slow / max(by_name.values()))
-        return drawn(pool, odds, count)
+        return sample(pool, odds, count)
 
-    monkeypatch.setattr(driver.balancer.components.selector, "draw", watch)
+    monkeypatch.setattr(driver.balancer.components.selector, "sample", watch)
     for cost in (20 * MS, 20 * MS, 100 * MS):
         driver.end_attempt(driver.request(cost_us=cost))
     assert seen[2] < 0.5 * seen[0]
--- a/tests/policy/test_zone_evacuation.py
+++ b/tests/policy/test_zone_evacuation.py
@@ -42,7 +42,7 @@
     return driver.target_of(request).partition("-")[0]
 
 
-def serve(driver: BalancerDriver, count: int, lost: str = "", every_us: int = 20 * MS) -> Counter[str]:
+def serve_zones(driver: BalancerDriver, count: int, lost: str = "", every_us: int = 20 * MS) -> Counter[str]:
     """Requests one by one, each answered after 10 ms, but refused at once by the servers of zone `lost`."""
     drawn: Counter[str] = Counter()
     for _ in range(count):
@@ -62,36 +62,36 @@
     return drawn
 
 
-def left(driver: BalancerDriver) -> set[str]:
+def evacuated_zones(driver: BalancerDriver) -> set[str]:
     return {zone.name for zone in driver.balancer.zones.by_name.values() if zone.evacuated_at is not None}
 
 
 def test_traffic_stays_in_the_own_zone_while_that_is_healthy() -> None:
     driver = driver_with_zones({"a": 4, "b": 4})
-    assert set(serve(driver, 200)) == {"a"}
+    assert set(serve_zones(driver, 200)) == {"a"}
 
 
-def test_a_sidecar_that_does_not_know_its_zone_draws_from_all() -> None:
+def test_all_zones_are_used_if_the_own_zone_is_unknown() -> None:
     driver = driver_with_zones({"a": 4, "b": 4}, here="")
-    drawn = serve(driver, 300)
+    drawn = serve_zones(driver, 300)
     assert min(drawn["a"], drawn["b"]) > 60
 
 
-def test_a_zone_of_one_server_does_not_take_all_alone() -> None:
-    drawn = serve(driver_with_zones({"a": 1, "b": 6}), 300)
+def test_an_own_zone_of_one_server_does_not_get_all_traffic() -> None:
+    drawn = serve_zones(driver_with_zones({"a": 1, "b": 6}), 300)
     # the draw weighs two servers at least
     assert drawn["a"] > 0
     assert drawn["b"] >= 100
 
 
-def test_the_own_region_comes_before_a_far_one() -> None:
+def test_the_own_region_is_preferred_to_others() -> None:
     driver = driver_with_zones({"a": 3, "b": 3, "c": 3}, regions={"a": "north", "b": "north", "c": "south"})
-    assert set(serve(driver, 100)) == {"a"}
+    assert set(serve_zones(driver, 100)) == {"a"}
     driver.feed(ZoneOverridesChanged({"a": ZoneOverride.DRAIN}))
-    assert set(serve(driver, 100)) == {"b"}
+    assert set(serve_zones(driver, 100)) == {"b"}
 
 
-def test_the_spill_grows_as_the_own_zone_loses_servers() -> None:
+def test_the_spillover_grows_as_servers_of_the_own_zone_are_ejected() -> None:
     driver = driver_with_zones({"a": 10, "b": 10})
     spills = []
     for gone in range(8):
@@ -103,83 +103,85 @@
     assert spills == [0.0, 0.0, 0.0, 0.02, 0.16, 0.3, 0.44, 0.58]  # 1 - 1.4 x the healthy part
 
 
-def test_a_lost_zone_is_left_after_a_few_failures_and_no_more_goes_there() -> None:
+def test_a_failing_zone_is_evacuated_after_a_few_failures() -> None:
     driver = driver_with_zones({"a": 4, "b": 4})
-    serve(driver, 50)
-    drawn = serve(driver, 40, lost="a")
-    assert left(driver) == {"a"}
+    serve_zones(driver, 50)
+    drawn = serve_zones(driver, 40, lost="a")
+    assert evacuated_zones(driver) == {"a"}
     assert drawn["a"] <= 6
     assert (ZoneVerdict.EVACUATED, "a") in [
         (e.verdict, e.zone) for e in driver.actions_of(PublishZoneVerdict)
     ]
 
 
-def test_one_own_failure_is_enough_where_a_peer_has_left_the_zone_and_its_word_alone_is_not() -> None:
+def test_a_zone_that_peers_evacuated_is_evacuated_at_the_first_own_failure_and_not_before() -> None:
     driver = driver_with_zones({"a": 4, "b": 4})
-    serve(driver, 50)
+    serve_zones(driver, 50)
     driver.feed(PeerVerdictsReceived(evacuated_zones={"a": 1}))
-    serve(driver, 50)
-    assert left(driver) == set()  # it answers: own evidence wins
+    serve_zones(driver, 50)
+    assert evacuated_zones(driver) == set()  # it answers: own evidence wins
     driver.advance(5 * SECOND)
     driver.feed(PeerVerdictsReceived(evacuated_zones={"a": 2}))
-    drawn = serve(driver, 5, lost="a")
-    assert left(driver) == {"a"}
+    drawn = serve_zones(driver, 5, lost="a")
+    assert evacuated_zones(driver) == {"a"}
     assert drawn["a"] == 1
 
 
-def test_a_zone_that_flaps_is_left_for_longer_each_time() -> None:
+def test_a_flapping_zone_is_evacuated_for_longer_each_time() -> None:
     driver = driver_with_zones({"a": 4, "b": 4})
     away: list[int] = []
     for _ in range(4):
-        serve(driver, 60)
-        while not left(driver):
-            serve(driver, 1, lost="a")
+        serve_zones(driver, 60)
+        while not evacuated_zones(driver):
+            serve_zones(driver, 1, lost="a")
         zone = driver.balancer.zones.by_name["a"]
         assert zone.evacuated_at is not None
         away.append(zone.next_trial_at - zone.evacuated_at)
-        while left(driver):
-            serve(driver, 5)
+        while evacuated_zones(driver):
+            serve_zones(driver, 5)
     assert away == sorted(away)
     assert away[-1] >= 4 * away[0]
 
 
-def test_what_comes_back_eases_in() -> None:
+def test_a_recovering_zone_gets_a_growing_part_of_the_traffic() -> None:
     driver = driver_with_zones({"a": 3, "b": 3}, here="")
-    serve(driver, 100)
-    serve(driver, 30, lost="a")
-    assert left(driver) == {"a"}
-    while left(driver):
-        serve(driver, 5)
+    serve_zones(driver, 100)
+    serve_zones(driver, 30, lost="a")
+    assert evacuated_zones(driver) == {"a"}
+    while evacuated_zones(driver):
+        serve_zones(driver, 5)
     parts = []
     for _ in range(3):
-        first = serve(driver, 66)  # some two seconds: half the ramp
+        first = serve_zones(driver, 66)  # some two seconds: half the ramp
         parts.append(first["a"] / sum(first.values()))
     assert parts[0] < parts[1] <= 0.65
     assert 0.3 < parts[2] < 0.7
 
 
-def test_with_too_little_left_all_is_used_and_nothing_is_refused_for_it() -> None:
+def test_no_zone_is_evacuated_below_the_panic_threshold() -> None:
     driver = driver_with_zones({"a": 3, "b": 3}, panic=0.6)
-    serve(driver, 50)
-    serve(driver, 30, lost="a")
-    assert left(driver) == set()  # without a, half of the servers would remain: under the threshold
+    serve_zones(driver, 50)
+    serve_zones(driver, 30, lost="a")
+    assert (
+        evacuated_zones(driver) == set()
+    )  # without a, half of the servers would remain: under the threshold
 
 
-def test_who_probes_for_the_tier_brings_a_zone_back_and_others_wait_for_its_word() -> None:
+def test_the_health_checker_recovers_a_zone_and_others_wait_for_its_report() -> None:
     driver = driver_with_zones({"a": 3, "b": 3})
-    serve(driver, 50)
+    serve_zones(driver, 50)
     driver.feed(ZoneHealthCheckerChanged(False))
-    serve(driver, 30, lost="a")
+    serve_zones(driver, 30, lost="a")
     before = len(driver.attempts())
     # no trial of its own
-    assert serve(driver, 20) == Counter(b=20)
+    assert serve_zones(driver, 20) == Counter(b=20)
     assert len(driver.attempts()) == before + 20
     driver.feed(ZoneRecovered("a"))
-    assert left(driver) == set()  # its backoff has run by now
+    assert evacuated_zones(driver) == set()  # its backoff has run by now
     driver.feed(ZoneRecovered("nowhere"))
-    serve(driver, 60)
-    serve(driver, 40, lost="a")
-    assert left(driver) == {"a"}
+    serve_zones(driver, 60)
+    serve_zones(driver, 40, lost="a")
+    assert evacuated_zones(driver) == {"a"}
     assert not driver.actions_of(HealthCheck)
     for turn in range(2):
         driver.feed(ZoneHealthCheckerChanged(True))
@@ -187,10 +189,10 @@
         assert probe.server.startswith("a-")
         assert len(driver.actions_of(HealthCheck)) == turn + 1
         driver.feed(HealthCheckEnded(probe.server, Outcome.DELIVERED, 1000))
-    assert left(driver) == set()
+    assert evacuated_zones(driver) == set()
 
 
-def test_who_probes_does_so_for_zones_that_only_peers_have_left_and_tells_them() -> None:
+def test_the_health_checker_checks_zones_that_only_peers_evacuated_and_publishes_their_recovery() -> None:
     driver = driver_with_zones({"a": 3, "b": 3})
     driver.feed(PeerVerdictsReceived(evacuated_zones={"b": 1}))
     for _ in range(2):
@@ -202,16 +204,16 @@
     assert not driver.actions_of(PublishServerVerdict)
 
 
-def test_a_peers_word_does_not_bring_back_a_zone_before_its_backoff() -> None:
+def test_a_reported_recovery_is_ignored_until_the_backoff_has_passed() -> None:
     driver = driver_with_zones({"a": 4, "b": 4})
-    serve(driver, 50)
-    while not left(driver):
-        serve(driver, 1, lost="a", every_us=1 * MS)
+    serve_zones(driver, 50)
+    while not evacuated_zones(driver):
+        serve_zones(driver, 1, lost="a", every_us=1 * MS)
     driver.feed(ZoneRecovered("a"))
-    assert left(driver) == {"a"}
+    assert evacuated_zones(driver) == {"a"}
 
 
-def test_a_peers_verdict_costs_odds_until_an_own_answer_and_makes_one_failure_eject() -> None:
+def test_a_peer_verdict_lowers_odds_until_an_own_response_and_makes_one_failure_eject() -> None:
     def drawn(peers: int, seed: int) -> int:
         driver = BalancerDriver(settings(), seed=seed)
         driver.receive_list([f"s-{n}" for n in range(8)])
@@ -239,7 +241,7 @@
     assert [each.name for each in driver.balancer.ejected_servers] == [failed]
 
 
-def test_a_class_that_peers_saw_fail_is_kept_away_after_one_own_error() -> None:
+def test_a_class_avoids_a_server_after_one_error_if_peers_saw_it_fail() -> None:
     driver = BalancerDriver(settings())
     driver.receive_list([f"s-{n}" for n in range(8)])
     driver.feed(
@@ -255,7 +257,7 @@
     assert [(each.server, each.service_class) for each in told] == [(failed, "look")]
 
 
-def test_what_the_tier_was_asked_weighs_a_tenants_requests() -> None:
+def test_the_demand_of_the_tier_reduces_the_weight_of_a_tenant_beyond_its_quota() -> None:
     driver = BalancerDriver(
         settings(tenants=[{"name": "t", "share": 1.0, "quota_per_s": 10.0}], over_share_weight=0.1)
     )
@@ -269,6 +271,6 @@
 @pytest.mark.parametrize(
     "bad", [{"on": 1}, {"panic": 2}, {"regions": {"a": 1}}, {"odd": 1}, 7, {"aggression": 0}]
 )
-def test_a_bad_locality_is_named(bad: Any) -> None:
+def test_an_invalid_locality_is_rejected_by_its_name(bad: Any) -> None:
     with pytest.raises(ValueError, match="locality"):
         read_locality(bad)
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -1,4 +1,4 @@
-"""The wire: what it accepts, what it complains of, and that it adds nothing of its own."""
+"""The simulator's wire: what it accepts, how it reports errors, and that it adds nothing of its own."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 import pytest
 from hypothesis import given
-from hypothesis import settings as how
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from sidecar_balancer.config.wire_names import settings_from_wire
 from sidecar_balancer.simulator.__main__ import run
 
-BOOT: dict[str, Any] = {
+SETTINGS: dict[str, Any] = {
     "bounds": {"sendCap": 3, "secondCopies": True, "mayCancel": True, "streamsPerConn": 1},
     "discovery": "on_request",
     "guarantees": {"askWithinUs": 10_000_000, "coldFrom": 0.3, "coldUs": 8_000_000},
@@ -41,30 +41,34 @@
 ]
 
 
-def begin(who: str = "sidecar-1", boot: Any = None) -> list[list[Any]]:
-    return [["BEGIN", who, 7, BOOT if boot is None else boot], PAGE, ["TARGETS", who, "cached", 0, 1]]
+def start_instance(instance: str = "sidecar-1", settings: Any = None) -> list[list[Any]]:
+    return [
+        ["BEGIN", instance, 7, SETTINGS if settings is None else settings],
+        PAGE,
+        ["TARGETS", instance, "cached", 0, 1],
+    ]
 
 
-def play(*batches: list[list[Any]]) -> tuple[int, list[list[Any]], str]:
+def run_batches(*batches: list[list[Any]]) -> tuple[int, list[list[Any]], str]:
     lines = []
     for index, batch in enumerate(batches):
         lines += [["FRAME", 1_000_000 + 5_000 * index], *batch, ["COMMIT"]]
-    return play_text("".join(json.dumps(each) + "\n" for each in lines))
+    return run_text("".join(json.dumps(each) + "\n" for each in lines))
 
 
-def play_text(text: str) -> tuple[int, list[list[Any]], str]:
+def run_text(text: str) -> tuple[int, list[list[Any]], str]:
     out, err = io.StringIO(), io.StringIO()
     code = run(io.StringIO(text), out, err)
     return code, [json.loads(each) for each in out.getvalue().splitlines()], err.getvalue()
 
 
-def test_an_empty_batch_is_answered_by_done() -> None:
-    assert play([]) == (0, [["DONE"]], "")
+def test_an_empty_batch_is_acknowledged() -> None:
+    assert run_batches([]) == (0, [["DONE"]], "")
 
 
-def test_a_request_is_assigned() -> None:
+def test_a_request_is_sent_to_a_listed_server() -> None:
     work = ["WORK_ITEM", "sidecar-1", 5, "look", 0, None, 900_000, 12_000, 1, "a field to come"]
-    code, reply, _ = play(begin(), [work])
+    code, reply, _ = run_batches(start_instance(), [work])
     sends = [each for each in reply if each[0] == "ASSIGN"]
     assert code == 0
     assert len(sends) == 1
@@ -72,33 +76,35 @@
     assert sends[0][3] in ("10.0.0.1:80", "10.0.0.2:80")
 
 
-def test_a_killed_instance_forgets_all_and_may_begin_again_in_the_same_batch() -> None:
+def test_a_restarted_instance_has_no_state_of_its_predecessor() -> None:
     work = ["WORK_ITEM", "sidecar-1", 5, "look", None, None, 900_000, None, 0]
     end = ["ATTEMPT_END", "sidecar-1", 5, 0, "10.0.0.1:80", "delivered", 100, True, {"util": 0.5}]
     wake = ["WAKE", "sidecar-1", "agenda"]
-    code, reply, _ = play(begin(), [wake, work, ["EXIT", "sidecar-1"], *begin()], [end, wake])
+    code, reply, _ = run_batches(
+        start_instance(), [wake, work, ["EXIT", "sidecar-1"], *start_instance()], [end, wake]
+    )
     assert code == 0
     assert [each[0] for each in reply].count("FOLLOW") == 2
 
 
-def test_a_page_number_may_be_used_again_within_a_batch() -> None:
+def test_the_number_of_a_list_can_be_reused_within_a_batch() -> None:
     other = ["PAGE", 0, [["10.0.0.9:80", "east", "box", 0, "ready", 1, None]]]
     work = [["WORK_ITEM", f"sidecar-{n}", n, "look", None, None, 900_000, None, 0] for n in (1, 2)]
     batch = [
-        *begin(),
-        ["BEGIN", "sidecar-2", 8, BOOT],
+        *start_instance(),
+        ["BEGIN", "sidecar-2", 8, SETTINGS],
         other,
         ["TARGETS", "sidecar-2", "cached", 0, 1],
         *work,
     ]
-    _, reply, _ = play(batch)
+    _, reply, _ = run_batches(batch)
     targets = {each[1]: each[3] for each in reply if each[0] == "ASSIGN"}
     assert targets["sidecar-2"] == "10.0.0.9:80"
     assert targets["sidecar-1"] != "10.0.0.9:80"
 
 
 @pytest.mark.parametrize(
-    ("line", "complaint"),
+    ("line", "expected_error"),
     [
         ("nonsense", "not JSON"),
         ("[" * 100_000, "not JSON"),
@@ -118,16 +124,16 @@
         ('["BEGIN","sidecar-2",1,{"lanes":[{"name":"a","giveUpUs":-1}]}]', "classes[0].deadline_us"),
     ],
 )
-def test_bad_input_is_named_with_its_line_and_ends_the_run(line: str, complaint: str) -> None:
-    good = "".join(json.dumps(each) + "\n" for each in (["FRAME", 1], *begin()))
-    code, _, err = play_text(good + line + "\n")
+def test_invalid_input_ends_the_run_with_its_line_number(line: str, expected_error: str) -> None:
+    good = "".join(json.dumps(each) + "\n" for each in (["FRAME", 1], *start_instance()))
+    code, _, err = run_text(good + line + "\n")
     assert code != 0
     assert err.startswith("line 5: ")
-    assert complaint in err
+    assert expected_error in err
     assert err.count("\n") == 1
 
 
-@how(max_examples=150, deadline=None, derandomize=True)
+@hypothesis_settings(max_examples=150, deadline=None, derandomize=True)
 @given(
     st.lists(
         st.one_of(
@@ -153,15 +159,15 @@
         max_size=5,
     )
 )
-def test_no_line_makes_a_traceback(lines: list[str]) -> None:
-    start = "".join(json.dumps(each) + "\n" for each in (["FRAME", 1], *begin()))
+def test_arbitrary_input_never_raises(lines: list[str]) -> None:
+    start = "".join(json.dumps(each) + "\n" for each in (["FRAME", 1], *start_instance()))
     body = "".join(each.replace("\n", " ").replace("\r", " ") + "\n" for each in lines)
-    code, _, err = play_text(start + body + '["COMMIT"]\n')
+    code, _, err = run_text(start + body + '["COMMIT"]\n')
     assert (code == 0) == (err == "")
 
 
 def test_the_same_events_give_the_same_actions_whatever_the_hash_seed() -> None:
-    script = [["FRAME", 1_000_000], *begin(), ["COMMIT"]]
+    script = [["FRAME", 1_000_000], *start_instance(), ["COMMIT"]]
     for number in range(60):
         work = ["WORK_ITEM", "sidecar-1", number, "look", None, None, 900_000, None, 0]
         script += [["FRAME", 1_000_000 + 5_000 * number], work, ["COMMIT"]]
@@ -182,10 +188,10 @@
     assert replies[0].count("ASSIGN") == 60
 
 
-def test_the_further_rules_and_prices_of_the_wire_reach_the_settings() -> None:
+def test_optional_rules_and_prices_of_the_wire_reach_the_settings() -> None:
     read = settings_from_wire(
         {
-            **BOOT,
+            **SETTINGS,
             "guarantees": {"lateShedding": True},
             "prices": {"connection": 0.08, "handshake": 0.07, "lateFail": 0.05},
             "domain": {"warmKeys": True, "passesDeadline": True},
@@ -196,17 +202,21 @@
     assert read.warm_keys
     assert read.rules.late_shedding
     assert (read.prices.connection, read.prices.handshake) == (0.08, 0.07)
-    plain = settings_from_wire(BOOT)
-    assert not (plain.warm_keys or plain.rules.late_shedding)
-
-
-def test_nonsense_in_the_further_rules_is_named() -> None:
-    for boot, key in (
-        ({**BOOT, "guarantees": {"lateShedding": "yes"}}, "late_shedding"),
-        ({**BOOT, "guarantees": {"drainGraceUs": -1}}, "drain_grace_us"),
-        ({**BOOT, "domain": {"warmKeys": 3}}, "warm_keys"),
-    ):
-        code, _, err = play(begin(boot=boot))
-        assert code == 2
-        assert key in err
-        assert err.count("\n") == 1
+    plain = settings_from_wire(SETTINGS)
+    assert not plain.warm_keys
+    assert not plain.rules.late_shedding
+
+
+@pytest.mark.parametrize(
+    ("section", "key"),
+    [
+        ({"guarantees": {"lateShedding": "yes"}}, "late_shedding"),
+        ({"guarantees": {"drainGraceUs": -1}}, "drain_grace_us"),
+        ({"domain": {"warmKeys": 3}}, "warm_keys"),
+    ],
+)
+def test_invalid_optional_rules_are_rejected_by_their_key(section: dict[str, Any], key: str) -> None:
+    code, _, err = run_batches(start_instance(settings={**SETTINGS, **section}))
+    assert code == 2
+    assert key in err
+    assert err.count("\n") == 1
