--- a/sidecar_balancer/policy/admission.py
+++ b/sidecar_balancer/policy/admission.py
@@ -82,7 +82,7 @@
         admitted_ratio = math.exp(-RANK_SLOPE * pressure * (1.0 - rank))
         if fill < 1.0 and self._chance.random() < admitted_ratio:
             return False
-        self._window.has_shed = True
+        self._window.request_shed()
         return True
 
     def _sheds_by_count(self, now: int, rank: float) -> bool:
--- a/sidecar_balancer/policy/endpoint_table.py
+++ b/sidecar_balancer/policy/endpoint_table.py
@@ -90,7 +90,7 @@
                 server.warming_since = None
             server.disabled = server.name in names
             if server.name in enabled:
-                self._disabled.unused[server] = None
+                self._disabled.server_enabled(server)
                 if not self._slow_start.is_warming_up(now, server):
                     self._slow_start.start(now, server, now)
                 if server.ejected_until is not None:
@@ -135,6 +135,6 @@
             self.former_names[server.name] = None
             if len(self.former_names) > FORMER_NAMES_MAX:
                 del self.former_names[next(iter(self.former_names))]
-            self._disabled.unused.pop(server, None)
+            self._disabled.server_used(server)
             self._verdicts.withdraw_all(server)
             self._outliers.forget(server)
--- a/sidecar_balancer/policy/load.py
+++ b/sidecar_balancer/policy/load.py
@@ -63,6 +63,14 @@
         if server.ejected_until is not None:
             self.pending_at_ejected -= 1
 
+    def server_ejected(self, server: Server) -> None:
+        """Leave out the pending attempts at a server from now on."""
+        self.pending_at_ejected += server.in_flight
+
+    def server_readmitted(self, server: Server) -> None:
+        """Count the pending attempts at a server again."""
+        self.pending_at_ejected -= server.in_flight
+
     def attempt_abandoned(self, server: Server, until: int) -> None:
         """Count an abandoned attempt until that time, as it may still run on the server."""
         server.abandoned_until.append(until)
--- a/sidecar_balancer/policy/locality.py
+++ b/sidecar_balancer/policy/locality.py
@@ -209,6 +209,10 @@
             zone.recovering_since, zone.trials = None, 0
         return min(weight, self.recovery_weight(now, server.readmitted_at))
 
+    def set_health_checker(self, is_self: bool | None) -> None:
+        """Set whether this balancer health-checks zones for the tier; None: each for itself."""
+        self.is_health_checker = is_self
+
     def set_overrides(self, now: int, overrides: Mapping[str, ZoneOverride]) -> None:
         """Set the complete set of overrides; zones that come back into use by it start a recovery ramp."""
         self._overrides = overrides
--- a/sidecar_balancer/policy/outliers.py
+++ b/sidecar_balancer/policy/outliers.py
@@ -90,7 +90,7 @@
             if server.forgotten or len(self.ejected) + 1 > limit:
                 return
             self.ejected.append(server)
-            self._load.pending_at_ejected += server.in_flight
+            self._load.server_ejected(server)
             self._actions.append(LogEvent(f"ejected {server.name}: {reason}", "server_ejected", server.name))
             self._verdicts.publish(server, None, ServerVerdict.EJECTED, server.consecutive_failures)
             self._zones.invalidate_shares()
@@ -103,7 +103,7 @@
         """End the ejection of a server."""
         server.ejected_until = None
         self.ejected.remove(server)
-        self._load.pending_at_ejected -= server.in_flight
+        self._load.server_readmitted(server)
         server.ejections = server.consecutive_failures = 0
         self._actions.append(LogEvent(f"readmitted {server.name}", "server_readmitted", server.name))
         server.readmitted_at = now
--- a/sidecar_balancer/policy/overrides.py
+++ b/sidecar_balancer/policy/overrides.py
@@ -10,13 +10,21 @@
 
     Attributes:
         names: all disabled servers, listed or not.
-        unused: servers enabled again that no request has used since, in order.
+        unused: servers enabled again that no request has used since, in that order.
     """
 
     def __init__(self) -> None:
         self.names = frozenset[str]()
         self.unused: dict[Server, None] = {}
 
+    def server_enabled(self, server: Server) -> None:
+        """Have the next request that may use the server, use it: its odds are low with few requests."""
+        self.unused[server] = None
+
+    def server_used(self, server: Server) -> None:
+        """A request uses the server, or it is forgotten."""
+        self.unused.pop(server, None)
+
     def replace(self, names: frozenset[str]) -> frozenset[str]:
         """Set the complete set of disabled servers; return those enabled by it."""
         enabled, self.names = self.names - names, names
--- a/sidecar_balancer/policy/request_table.py
+++ b/sidecar_balancer/policy/request_table.py
@@ -20,6 +20,10 @@
         self._may_cancel = may_cancel
         self._actions = actions
 
+    def add(self, request: Request) -> None:
+        """Keep a new request."""
+        self.requests[request.request_id] = request
+
     def finish(self, request: Request) -> None:
         """Give the final answer where no server's response can be it: the only way out for these.
 
--- a/sidecar_balancer/policy/selection.py
+++ b/sidecar_balancer/policy/selection.py
@@ -90,7 +90,7 @@
         """A server that this request should try: just enabled, in an evacuated zone, or ejected."""
         for server in self._disabled.unused:
             if server.is_ready() and self._is_eligible(now, server, request):
-                del self._disabled.unused[server]
+                self._disabled.server_used(server)
                 return server
         if request.attempts or request.service_class.idempotency is not Idempotency.IDEMPOTENT:
             return None
--- a/sidecar_balancer/policy/window.py
+++ b/sidecar_balancer/policy/window.py
@@ -36,9 +36,9 @@
         self.size = math.inf
         self.typical_ratio = 0.0
         self.late_ratio = 0.0
-        self.has_shed = False  # since the window was last sized
         self.sized_at = 0
         self._load = load
+        self._has_shed = False  # since the window was last sized
         self._longest_objective_us = longest_objective_us
         self._floor_ratio: float | None = None  # the least that the median has been of late
         self._served_objectives = Rate(longest_objective_us)  # objectives of the delivered, per time
@@ -58,6 +58,10 @@
         """Count a delivered response."""
         self._served_objectives.add(now, objective_us)
 
+    def request_shed(self) -> None:
+        """Note that the window has caused a rejection."""
+        self._has_shed = True
+
     def reset_late_ratio(self) -> None:
         """Forget late responses whose cause is gone."""
         self.late_ratio = 0.0
@@ -91,9 +95,9 @@
             return  # slower than usual, yet in time
         if excess > 0.0:
             self.size = min(self.size, max(load, self._load.mean / UNRESTRICTED_RATIO))
-        elif not self.has_shed:
+        elif not self._has_shed:
             return  # nothing shows that it is too small
-        self.has_shed = False
+        self._has_shed = False
         change = math.exp(-excess * elapsed_us / (SHRINK_OBJECTIVES * self._longest_objective_us))
         self._served_objectives.set_span(factor * self._longest_objective_us)
         # Little's law: what is served at this rate within the target needs that many in flight.
--- a/sidecar_balancer/policy/zone_evacuation.py
+++ b/sidecar_balancer/policy/zone_evacuation.py
@@ -53,7 +53,7 @@
 
     def health_checker_changed(self, _now: int, event: ZoneHealthCheckerChanged) -> None:
         """Note who health-checks; this balancer checks a server of each evacuated zone if it is the one."""
-        self._zones.is_health_checker = event.is_self
+        self._zones.set_health_checker(event.is_self)
         if not event.is_self or not self._may_health_check:
             return
         for zone in self._zones.evacuated_anywhere():
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -1,4 +1,4 @@
-"""A small driver for scripted events: it plays them and keeps what comes out."""
+"""Feeds scripted events to one balancer and keeps its actions; settings and servers for tests."""
 
 from __future__ import annotations
 
