--- a/bench/scale_request.py
+++ b/bench/scale_request.py
@@ -1,4 +1,4 @@
-"""What the module's decisions for one request cost by the number of listed servers.  No sockets."""
+"""CPU time of the balancer's decisions for one request, by the number of listed servers.  No sockets."""
 
 from __future__ import annotations
 
@@ -16,33 +16,33 @@
 TRIALS = 5
 REQUESTS = 100  # a trial
 ZONES = 21
-EVERY_US = 10_000
-TAKING_US = 4_000
+INTERVAL_US = 10_000
+LATENCY_US = 4_000
 
 
 def run(sizes: list[int]) -> list[Series]:
-    """Measure each size, with crossings between zones priced, as here, and free, as elsewhere."""
-    found = []
-    for price, name in ((0.013, "priced"), (0.0, "free")):
-        costs = {size: _request_us(size, price) for size in sizes}
-        found.append(Series(f"the decisions for a request, crossings {name}", "us of CPU", costs))
-    return found
+    """Measure each size, with cross-zone traffic priced, as in this deployment, and free."""
+    measured = []
+    for cross_zone, name in ((0.013, "priced"), (0.0, "free")):
+        costs = {size: _request_us(size, cross_zone) for size in sizes}
+        measured.append(Series(f"the decisions for a request, crossings {name}", "us of CPU", costs))
+    return measured
 
 
 def _request_us(size: int, cross_zone: float) -> list[float]:
     balancer = Balancer(settings(zone="zone-00", prices={"cross_zone": cross_zone}), 7)
     listed = [ListedServer(f"s-{number:08x}", zone=f"zone-{number % ZONES:02d}") for number in range(size)]
     balancer.handle(0, EndpointListReceived(ListKind.SNAPSHOT, listed, 1))
-    now, ident, costs = 1_000_000, 0, []
+    now, request, costs_us = 1_000_000, 0, []
     for _ in range(TRIALS):
-        spent = 0.0
+        cpu_s = 0.0
         for _ in range(REQUESTS):
-            now, ident = now + EVERY_US, ident + 1
-            began = time.process_time()
-            actions = balancer.handle(now, RequestReceived(ident, "look", None, None, 2_000_000, None))
-            server = next(each.server for each in actions if isinstance(each, SendAttempt))
-            ended = AttemptEnded(ident, 0, server, Outcome.DELIVERED, TAKING_US, True, None)
-            balancer.handle(now + TAKING_US, ended)
-            spent += time.process_time() - began
-        costs.append(1e6 * spent / REQUESTS)
-    return costs
+            now, request = now + INTERVAL_US, request + 1
+            started_at = time.process_time()
+            actions = balancer.handle(now, RequestReceived(request, "look", None, None, 2_000_000, None))
+            server = next(action.server for action in actions if isinstance(action, SendAttempt))
+            ended = AttemptEnded(request, 0, server, Outcome.DELIVERED, LATENCY_US, True, None)
+            balancer.handle(now + LATENCY_US, ended)
+            cpu_s += time.process_time() - started_at
+        costs_us.append(1e6 * cpu_s / REQUESTS)
+    return costs_us
--- a/sidecar_balancer/policy/components.py
+++ b/sidecar_balancer/policy/components.py
@@ -122,6 +122,13 @@
             stalls=self.stalls,
             chance=self._random,
         )
+        self.restorer = StateRestorer(
+            self.zones,
+            load=self.load,
+            latency=self.latency,
+            slow_start=self.slow_start,
+            outliers=self.outliers,
+        )
 
     def _build_placement(self) -> None:
         limits = self._settings.limits
@@ -192,13 +199,6 @@
             overdue=self._overdue_monitor(),
             zone_evacuation=self.zone_evacuation,
         )
-        self.restorer = StateRestorer(
-            self.zones,
-            load=self.load,
-            latency=self.latency,
-            slow_start=self.slow_start,
-            outliers=self.outliers,
-        )
 
     def _outcome_recorder(self) -> OutcomeRecorder:
         rejections = ClassRejections(self._longest_objective_us, self.verdicts, self._random)
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -23,7 +23,7 @@
 
 
 def _overload(driver: BalancerDriver, spans: int) -> None:
-    """Servers that answer ever later as more is in flight, asked for far more than they can do."""
+    """Send four requests for each response, so that responses come ever later."""
     driver.receive_list(server_names(4))
     out: list[int] = []
     for tick in range(spans):
@@ -46,11 +46,13 @@
     driver.receive_list(server_names(4))
     driver.serve_traffic(200)
     _overload(driver, 600)
-    asked = {each.request for each in driver.actions_of(Reject)}
-    looks = sum(1 for each in asked if each % 2)  # asked for in turn, so half of them would be even-handed
-    assert len(asked) > 300
-    assert looks > 0.5 * len(asked)
-    unsent = [each.request for each in driver.actions_of(Reject) if not driver.attempts(each.request)]
+    rejected_requests = {action.request for action in driver.actions_of(Reject)}
+    looks = sum(
+        1 for each in rejected_requests if each % 2
+    )  # sent in turn, so half of them would show no preference
+    assert len(rejected_requests) > 300
+    assert looks > 0.5 * len(rejected_requests)
+    unsent = [action.request for action in driver.actions_of(Reject) if not driver.attempts(action.request)]
     assert len(unsent) > 0.5 * len(driver.actions_of(Reject))
 
 
@@ -63,11 +65,11 @@
         for attempt in request.attempts:
             if attempt.pending:
                 driver.end_attempt(request.request_id, Outcome.CANCELLED, attempt.index, answered=True)
-    driver.advance(11 * S)  # what was given up on counts for as long again
-    driver.serve_traffic(150)  # a small window takes some aims to grow
-    refused = len(driver.actions_of(Reject))
+    driver.advance(11 * S)  # abandoned attempts count for as long again
+    driver.serve_traffic(150)  # a small window needs some objectives to grow
+    rejected = len(driver.actions_of(Reject))
     driver.serve_traffic(300)
-    assert len(driver.actions_of(Reject)) == refused
+    assert len(driver.actions_of(Reject)) == rejected
 
 
 def test_nothing_is_rejected_without_overload() -> None:
@@ -81,19 +83,19 @@
 def test_a_balancer_with_little_traffic_sheds_a_part_while_every_response_is_late() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(8))
-    for _ in range(120):  # hardly ever two in flight, so a window of two would never refuse
+    for _ in range(120):  # hardly ever two in flight, so a window of two would never reject
         driver.advance(900 * MS)
         request = driver.request()
         if driver.attempts(request):
             driver.advance(700 * MS)
             driver.end_attempt(request)
-    refused = len(driver.actions_of(Reject))
-    assert 20 <= refused < 120
+    rejected = len(driver.actions_of(Reject))
+    assert 20 <= rejected < 120
     driver.advance(10 * S)
     serve_one_at_a_time(driver, 60)
-    refused = len(driver.actions_of(Reject))
+    rejected = len(driver.actions_of(Reject))
     serve_one_at_a_time(driver, 60)
-    assert len(driver.actions_of(Reject)) == refused
+    assert len(driver.actions_of(Reject)) == rejected
 
 
 def test_two_concurrent_requests_are_no_overload_for_a_balancer_with_little_traffic() -> None:
@@ -120,7 +122,7 @@
         driver.end_attempt(request, attempt=0)
     for _ in range(400):
         driver.advance(20 * MS)
-        driver.request("pay")  # none of these is ever answered
+        driver.request("pay")  # none of these gets a response
     assert len(driver.actions_of(Reject)) > 100
 
 
@@ -132,8 +134,8 @@
         driver.advance(600 * MS)
         if driver.attempts(request):
             driver.end_attempt(request)
-    refused = len(driver.actions_of(Reject))
-    assert refused > 3
+    rejected = len(driver.actions_of(Reject))
+    assert rejected > 3
     driver.advance(10 * S)
     assert all(driver.attempts(driver.request("look")) for _ in range(2))
 
@@ -158,11 +160,11 @@
     assert not driver.actions_of(Reject)
     assert driver.balancer.window == math.inf
     _serve_late(driver, 4 * S)
-    assert driver.balancer.window < math.inf  # later on they tell of overload
+    assert driver.balancer.window < math.inf  # later on they show overload
 
 
 def _serve_late(driver: BalancerDriver, span_us: int) -> int:
-    """Steady traffic, each request of it answered too late; gives how many."""
+    """Serve traffic with responses that are all late; return how many."""
     until, out, done = driver.now + span_us, [], 0
     while driver.now < until:
         out.append((driver.now + 600 * MS, driver.request()))
--- a/tests/policy/test_discovery_schedule.py
+++ b/tests/policy/test_discovery_schedule.py
@@ -35,7 +35,7 @@
 def test_a_small_fleet_calls_discovery_at_once(seed: int) -> None:
     driver = BalancerDriver(settings(fleet_size=8), seed=seed)
     driver.receive_list(server_names(2), ListKind.CACHED)
-    driver.advance(0)  # what it remembers may be old, and requests come at once
+    driver.advance(0)  # the cached list may be old, and requests come at once
     assert driver.actions_of(WatchEndpoints) == [WatchEndpoints(True)]
 
 
--- a/tests/policy/test_endpoint_table.py
+++ b/tests/policy/test_endpoint_table.py
@@ -18,7 +18,7 @@
     driver.receive_list([*server_names(3)[1:], "10.0.0.9:80"])
     for _ in range(100):
         driver.request()
-    targets = {each.server for _, each in driver.attempts()}
+    targets = {attempt.server for _, attempt in driver.attempts()}
     assert targets == {"10.0.0.2:80", "10.0.0.3:80", "10.0.0.9:80"}
 
 
@@ -41,7 +41,7 @@
             driver.end_attempt(
                 request, Outcome.CONNECTION_LOST if deploy % 2 else Outcome.DELIVERED, answered=True
             )
-    late = driver.request()  # its server leaves while it is out
+    late = driver.request()  # its server is removed while it is in flight
     driver.receive_list(server_names(3))
     assert len(driver.balancer.servers) == 4
     driver.end_attempt(late)
--- a/tests/policy/test_final_answers.py
+++ b/tests/policy/test_final_answers.py
@@ -30,7 +30,7 @@
     driver.receive_list(server_names(5))
     request = driver.request("pay", remaining_us=900 * MS)
     driver.advance(899 * MS)
-    assert [each.request for each in driver.actions_of(Fail)] == [request]
+    assert [action.request for action in driver.actions_of(Fail)] == [request]
 
 
 def test_nothing_is_sent_or_answered_after_the_final_answer() -> None:
@@ -51,13 +51,13 @@
     driver.receive_list(server_names(3))
     request = driver.request("pay", remaining_us=0)
     assert driver.attempts(request) == []
-    assert [each.request for each in driver.actions_of(Reject)] == [request]
+    assert [action.request for action in driver.actions_of(Reject)] == [request]
 
 
 def test_a_request_is_rejected_at_once_without_servers() -> None:
     driver = BalancerDriver()
     request = driver.request("pay")
-    assert [each.request for each in driver.actions_of(Reject)] == [request]
+    assert [action.request for action in driver.actions_of(Reject)] == [request]
 
 
 def test_a_request_is_rejected_if_no_attempts_are_allowed() -> None:
@@ -65,7 +65,7 @@
     driver.receive_list(server_names(3))
     request = driver.request("look")
     assert driver.attempts(request) == []
-    assert [each.request for each in driver.actions_of(Reject)] == [request]
+    assert [action.request for action in driver.actions_of(Reject)] == [request]
 
 
 def test_events_of_unknown_and_completed_requests_are_ignored() -> None:
@@ -87,7 +87,7 @@
     request = driver.request("pay")
     driver.feed(ClientDisconnected(request))
     driver.advance(3 * S)
-    assert [each.request for each in driver.actions_of(CancelAttempt)] == [request]
+    assert [action.request for action in driver.actions_of(CancelAttempt)] == [request]
     assert driver.actions_of(Fail) == []
     assert driver.actions_of(Reject) == []
 
@@ -97,10 +97,12 @@
     driver.receive_list(server_names(4))
     request = driver.request()
     live = driver.balancer.open_requests[request]
-    server = next(each for each in driver.balancer.servers.values() if each is not live.attempts[0].server)
+    server = next(
+        server for server in driver.balancer.servers.values() if server is not live.attempts[0].server
+    )
     assert driver.balancer.components.gate.send(driver.now, live, server)
     driver.feed(ResponseStarted(request, 1, server.name, 30 * MS))
-    assert [(each.request, each.attempt) for each in driver.actions_of(CancelAttempt)] == [(request, 0)]
+    assert [(action.request, action.attempt) for action in driver.actions_of(CancelAttempt)] == [(request, 0)]
     driver.end_attempt(request, Outcome.CANCELLED, attempt=0, answered=True)
     driver.advance(10 * S)
     assert not driver.actions_of(Reject)
@@ -120,7 +122,7 @@
         driver.advance(50 * MS)
         driver.feed(ResponseStarted(request, 0, driver.target_of(request), 50 * MS))
     assert driver.balancer.load == 0
-    assert all(each.in_flight == 0 for each in driver.balancer.servers.values())
+    assert all(server.in_flight == 0 for server in driver.balancer.servers.values())
     driver.advance(30 * S)
     for request in list(driver.balancer.open_requests):
         target = driver.target_of(request)
@@ -141,5 +143,5 @@
     driver.feed(RequestBodyEnded(number, 1 * S))
     ended = driver.now
     driver.advance(2 * S)
-    assert [each.request for each in driver.actions_of(Fail)] == [number]
+    assert [action.request for action in driver.actions_of(Fail)] == [number]
     assert ended < next(at for at, each in driver.timeline if isinstance(each, Fail)) <= ended + 1 * S
--- a/tests/policy/test_overrides.py
+++ b/tests/policy/test_overrides.py
@@ -1,4 +1,4 @@
-"""The operators' exclusions in the balancer: an overlay over what the list says."""
+"""Servers disabled by the operators, whatever the endpoint list says."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def override(driver: BalancerDriver, server: str, excluded: bool) -> bool:
-    """Make the call; whether it was taken."""
+    """Request the override; return whether it was applied."""
     return any(
         isinstance(each, ApplyDisabledServers)
         for each in driver.feed(ServerOverrideRequested(server, excluded))
@@ -27,10 +27,10 @@
 
 
 def servers_used(driver: BalancerDriver) -> set[str]:
-    """Where requests go, of which a few are in flight at any time."""
+    """Serve traffic with a few requests in flight; return the servers used."""
     before = len(driver.timeline)
     driver.serve_traffic(80)
-    return {each.server for _, each in driver.timeline[before:] if isinstance(each, SendAttempt)}
+    return {attempt.server for _, attempt in driver.timeline[before:] if isinstance(attempt, SendAttempt)}
 
 
 @pytest.mark.parametrize("kind", [ListKind.SNAPSHOT, ListKind.DELTA, ListKind.CACHED])
@@ -40,13 +40,13 @@
     assert servers_used(driver) == set(SERVERS[1:])
     lines = [ListedServer(each, zone="east", started_at=driver.now) for each in SERVERS[:1]]
     driver.receive_list([*lines, *SERVERS[1:]], kind)
-    driver.advance(20 * S)  # long warm
+    driver.advance(20 * S)  # its slow start is over
     assert servers_used(driver) == set(SERVERS[1:])
 
 
 def test_retries_and_trials_avoid_a_disabled_server() -> None:
     driver = driver_with_servers(2)
-    for _ in range(2):  # two strikes eject the first
+    for _ in range(2):  # two failures eject the first
         request = driver.request()
         while driver.target_of(request) != SERVERS[0]:
             driver.end_attempt(request)
@@ -58,7 +58,7 @@
     assert servers_used(driver) == {SERVERS[1]}
     request = driver.request()
     driver.end_attempt(request, Outcome.REJECTED)
-    assert {each.server for _, each in driver.attempts(request)} == {SERVERS[1]}
+    assert {attempt.server for _, attempt in driver.attempts(request)} == {SERVERS[1]}
 
 
 def test_a_server_that_is_enabled_after_repeated_overrides_warms_up() -> None:
@@ -112,12 +112,12 @@
     driver.advance(1 * S)
     override(driver, server.name, False)
     before = len(driver.timeline)
-    for _ in range(100):  # one at a time: all servers are empty, and the quicker ones win the draw
+    for _ in range(100):  # one at a time: all servers are idle, and the faster ones are selected
         driver.advance(50 * MS)
         request = driver.request()
         driver.advance(20 * MS)
         driver.end_attempt(request)
-    sent = [each.server for _, each in driver.timeline[before:] if isinstance(each, SendAttempt)]
+    sent = [attempt.server for _, attempt in driver.timeline[before:] if isinstance(attempt, SendAttempt)]
     assert server.name in sent
     assert server not in driver.balancer.components.disabled.unused
 
@@ -137,7 +137,7 @@
     driver = driver_with_servers()
     for excluded in (True, False):
         assert not override(driver, "10.9.9.9:80", excluded)
-    driver.receive_list(SERVERS[1:])  # the first leaves and is forgotten
+    driver.receive_list(SERVERS[1:])  # the first is removed and forgotten
     assert SERVERS[0] not in driver.balancer.servers
     assert override(driver, SERVERS[0], True)
     driver.receive_list(SERVERS)
@@ -176,7 +176,7 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_both_processes_of_an_upgrade_send_a_warming_server_no_more_than_one_alone(seed: int) -> None:
     def attempts_at_warming_server(drivers: list[BalancerDriver]) -> int:
-        """Ten seconds of a hundred requests a second, dealt out in turn; one of four servers is cold."""
+        """Ten seconds of a hundred requests a second, dealt out in turn; one of four servers warms up."""
         until, count = drivers[0].now + 10 * S, 0
         out: list[tuple[BalancerDriver, int]] = []
         cold = ListedServer("cold", zone="east", started_at=drivers[0].now)
--- a/tests/policy/test_placement.py
+++ b/tests/policy/test_placement.py
@@ -52,7 +52,7 @@
     driver.advance(10 * MS)
     driver.end_attempt(request, outcome)
     assert len(driver.attempts(request)) == 1
-    assert [each.request for each in driver.actions_of(Fail)] == [request]
+    assert [action.request for action in driver.actions_of(Fail)] == [request]
     assert driver.actions_of(Reject) == []
 
 
@@ -63,7 +63,7 @@
     request = driver.request("pay")
     driver.advance(10 * MS)
     driver.end_attempt(request, outcome)
-    targets = [each.server for _, each in driver.attempts(request)]
+    targets = [attempt.server for _, attempt in driver.attempts(request)]
     assert len(targets) == 2
     assert targets[0] != targets[1]
 
@@ -79,7 +79,7 @@
     request = driver.request("amend", remaining_us=4 * S)
     driver.end_attempt(request, Outcome.APPLICATION_ERROR)
     assert len(driver.attempts(request)) == 1
-    assert [each.request for each in driver.actions_of(Fail)] == [request]
+    assert [action.request for action in driver.actions_of(Fail)] == [request]
 
 
 def test_a_request_with_an_idempotency_key_is_not_retried_after_its_deduplication_window() -> None:
@@ -89,7 +89,7 @@
     driver.advance(2 * S)
     driver.end_attempt(request, Outcome.CONNECTION_LOST)
     assert len(driver.attempts(request)) == 1
-    assert [each.request for each in driver.actions_of(Fail)] == [request]
+    assert [action.request for action in driver.actions_of(Fail)] == [request]
 
 
 def test_an_unresponsive_attempt_is_cancelled_before_the_retry_where_hedging_is_not_permitted() -> None:
@@ -97,13 +97,13 @@
     driver.receive_list(server_names(6))
     driver.serve_traffic(100)
     request = driver.request("look")
-    hung = driver.target_of(request)
+    unresponsive = driver.target_of(request)
     for _ in range(60):
         driver.advance(10 * MS)
         other = driver.request("look")
-        if driver.target_of(other) != hung:
+        if driver.target_of(other) != unresponsive:
             driver.end_attempt(other)
-    assert [each.request for each in driver.actions_of(CancelAttempt)][:1] == [request]
+    assert [action.request for action in driver.actions_of(CancelAttempt)][:1] == [request]
     assert len(driver.attempts(request)) == 1
     driver.end_attempt(request, Outcome.CANCELLED, answered=False)
     assert len(driver.attempts(request)) == 2
@@ -116,7 +116,7 @@
     driver.advance(10 * MS)
     driver.end_attempt(request, Outcome.REJECTED)
     assert len(driver.attempts(request)) == 1
-    assert [each.request for each in driver.actions_of(Fail)] == [request]
+    assert [action.request for action in driver.actions_of(Fail)] == [request]
     assert driver.actions_of(Reject) == []
 
 
@@ -128,4 +128,4 @@
     driver.advance(20 * MS)
     driver.feed(AttemptEnded(77, 0, driver.target_of(77), outcome, 20 * MS, False, None, body_consumed=True))
     assert len(driver.attempts(77)) == 1
-    assert [each.request for each in driver.actions_of(Reject)] == [77]
+    assert [action.request for action in driver.actions_of(Reject)] == [77]
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -24,10 +24,10 @@
 
 def test_the_candidate_with_the_lowest_load_is_selected() -> None:
     driver = BalancerDriver()
-    driver.receive_list(server_names(4))  # all are sample
+    driver.receive_list(server_names(4))  # all are sampled
     for _ in range(40):
         driver.request()
-    assert set(Counter(each.server for _, each in driver.attempts()).values()) == {10}
+    assert set(Counter(attempt.server for _, attempt in driver.attempts()).values()) == {10}
 
 
 def test_each_rejection_widens_the_sample_and_excludes_the_server_that_rejected() -> None:
@@ -36,10 +36,10 @@
     request = driver.request("pay")
     for _ in range(4):
         driver.end_attempt(request, Outcome.REJECTED)
-    targets = [each.server for _, each in driver.attempts(request)]
+    targets = [attempt.server for _, attempt in driver.attempts(request)]
     assert sorted(targets) == server_names(5)
     driver.end_attempt(request, Outcome.REJECTED)
-    assert [each.request for each in driver.actions_of(Reject)] == [request]
+    assert [action.request for action in driver.actions_of(Reject)] == [request]
 
 
 def test_a_single_server_is_selected() -> None:
@@ -56,7 +56,7 @@
         request = driver.request()
         driver.advance(90 * MS if driver.target_of(request) == slow else 30 * MS)
         driver.end_attempt(request)
-    late = Counter(each.server for _, each in driver.attempts()[500:])
+    late = Counter(attempt.server for _, attempt in driver.attempts()[500:])
     assert late[slow] < 0.6 * sum(late.values()) / 12
 
 
@@ -64,30 +64,30 @@
     driver = BalancerDriver()
     driver.receive_list(server_names(2))
     request = driver.request("pay", remaining_us=400 * MS)
-    hung = driver.target_of(request)
-    driver.advance(395 * MS)  # answered by then, and called off
+    unresponsive = driver.target_of(request)
+    driver.advance(395 * MS)  # answered by then, and cancelled
     driver.end_attempt(request, Outcome.CANCELLED, answered=True)
     other = driver.request("pay")
-    assert driver.target_of(other) != hung
+    assert driver.target_of(other) != unresponsive
     again = driver.request("pay")
     assert driver.target_of(again) in server_names(2)
     driver.advance(S)
-    assert driver.balancer.servers[hung].load(driver.now) <= 1
+    assert driver.balancer.servers[unresponsive].load(driver.now) <= 1
 
 
 def test_quick_errors_do_not_attract_more_requests() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(6))
-    bad = server_names(6)[2]
+    faulty = server_names(6)[2]
     for _ in range(300):
         driver.advance(10 * MS)
         request = driver.request("pay")
-        if driver.target_of(request) == bad:
+        if driver.target_of(request) == faulty:
             driver.end_attempt(request, Outcome.APPLICATION_ERROR)
         else:
             driver.advance(40 * MS)
             driver.end_attempt(request)
-    assert sum(1 for _, each in driver.attempts() if each.server == bad) < 300 / 6
+    assert sum(1 for _, attempt in driver.attempts() if attempt.server == faulty) < 300 / 6
 
 
 def _servers_in_two_zones() -> list[ListedServer]:
@@ -102,15 +102,15 @@
         driver.advance(near_us if driver.target_of(request) in near else far_us)
         driver.end_attempt(request)
     late = driver.attempts()[300:]
-    return sum(1 for _, each in late if each.server not in near) / len(late)
+    return sum(1 for _, attempt in late if attempt.server not in near) / len(late)
 
 
 def test_the_own_zone_is_preferred_while_it_is_as_fast_and_cross_zone_traffic_has_a_price() -> None:
-    spared = sum(
+    cross_zone_sum = sum(
         _cross_zone_ratio(BalancerDriver(settings(prices={"cross_zone": 0.03}), seed=seed), 40 * MS, 44 * MS)
         for seed in range(5)
     )
-    assert spared < 5 * 0.3
+    assert cross_zone_sum < 5 * 0.3
 
 
 def test_other_zones_are_preferred_while_the_own_zone_is_slow() -> None:
@@ -143,38 +143,38 @@
 def test_a_server_with_errors_in_every_other_response_is_selected_less_often() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(12))
-    bad = server_names(12)[3]
+    faulty = server_names(12)[3]
     errors = 0
     for _ in range(1_200):
         request = driver.request("pay")
         target = driver.target_of(request)
-        driver.advance(5 * MS if target == bad else 40 * MS)
-        errors += target == bad
+        driver.advance(5 * MS if target == faulty else 40 * MS)
+        errors += target == faulty
         driver.end_attempt(
-            request, Outcome.APPLICATION_ERROR if target == bad and errors % 2 else Outcome.DELIVERED
+            request, Outcome.APPLICATION_ERROR if target == faulty and errors % 2 else Outcome.DELIVERED
         )
-    assert sum(1 for _, each in driver.attempts()[400:] if each.server == bad) < 0.5 * 800 / 12
+    assert sum(1 for _, attempt in driver.attempts()[400:] if attempt.server == faulty) < 0.5 * 800 / 12
 
 
 def test_a_balancer_with_little_traffic_uses_a_small_subset_and_replaces_drained_servers() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(60))
     serve_one_at_a_time(driver, 200)
-    met = {each.server for _, each in driver.attempts()}
-    assert 2 <= len(met) <= 8
-    for gone in met:
-        driver.drain(gone)
+    subset = {attempt.server for _, attempt in driver.attempts()}
+    assert 2 <= len(subset) <= 8
+    for removed in subset:
+        driver.drain(removed)
     serve_one_at_a_time(driver, 50)
-    later = {each.server for _, each in driver.attempts()[200:]}
+    later = {attempt.server for _, attempt in driver.attempts()[200:]}
     assert later
-    assert not later & met
+    assert not later & subset
 
 
 def test_a_busy_balancer_uses_all_servers() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(30))
     driver.serve_traffic(2_000, every_us=5 * MS, taking_us=250 * MS)
-    assert len({each.server for _, each in driver.attempts()}) == 30
+    assert len({attempt.server for _, attempt in driver.attempts()}) == 30
 
 
 def test_balancers_with_little_traffic_use_different_subsets() -> None:
@@ -183,5 +183,5 @@
         driver = BalancerDriver(seed=seed)
         driver.receive_list(server_names(60))
         serve_one_at_a_time(driver, 20)
-        first |= {each.server for _, each in driver.attempts()}
+        first |= {attempt.server for _, attempt in driver.attempts()}
     assert len(first) > 25
--- a/tests/policy/test_send_gate.py
+++ b/tests/policy/test_send_gate.py
@@ -14,7 +14,9 @@
     driver = BalancerDriver()
     driver.receive_list(server_names(3))
     request = driver.balancer.open_requests[driver.request()]
-    server = next(each for each in driver.balancer.servers.values() if each is not request.attempts[0].server)
+    server = next(
+        server for server in driver.balancer.servers.values() if server is not request.attempts[0].server
+    )
     for state in (ServerState.DRAINING, ServerState.REMOVED):
         driver.drain(server.name, state)
         assert not driver.balancer.components.gate.send(driver.now, request, server)
@@ -28,6 +30,6 @@
         driver.receive_list(server_names(3))
         request = driver.balancer.open_requests[driver.request()]
         server = next(
-            each for each in driver.balancer.servers.values() if each is not request.attempts[0].server
+            server for server in driver.balancer.servers.values() if server is not request.attempts[0].server
         )
         assert driver.balancer.components.gate.send(driver.now, request, server) is allowed
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -20,7 +20,7 @@
     driver = BalancerDriver()
     driver.receive_list(server_names(6))
     driver.serve_traffic(300, every_us=10 * MS)
-    warm_per_s = 100 / 6
+    capacity_per_s = 100 / 6
     began = driver.now
     cold = ListedServer("10.0.0.6:80", zone="east", started_at=began)
     driver.receive_list([cold], ListKind.DELTA)
@@ -32,15 +32,15 @@
                 driver.end_attempt(each)
     times = [at for at, each in driver.attempts() if each.server == "10.0.0.6:80" and at >= began]
     for end in times:
-        warmth = 0.2 + 0.8 * max(end - 2 * S - began, 0) / (10 * S)
+        weight = 0.2 + 0.8 * max(end - 2 * S - began, 0) / (10 * S)
         inside = sum(1 for at in times if end - 2 * S < at <= end)
-        assert inside <= max(1.0, 3 * warmth * warm_per_s * 2)
-    assert times or burst == 1  # singly, the quickest known server takes all
+        assert inside <= max(1.0, 3 * weight * capacity_per_s * 2)
+    assert times or burst == 1  # one at a time, the fastest known server gets all
 
 
 def test_capacity_is_estimated_by_cost_not_by_number_of_requests() -> None:
     rates = []
-    for served_us in (100_000, 20_000):  # overload refuses the heavy ones, and the rest is light
+    for served_us in (100_000, 20_000):  # overload sheds the heavy ones, and the rest is light
         driver = BalancerDriver()
         driver.receive_list(server_names(4))
         for _ in range(60):
@@ -74,13 +74,13 @@
         for each in requests:
             driver.end_attempt(each)
     sent = [each.server for at, each in driver.attempts() if at >= START + 20 * S]
-    warm_each = sum(name != cold.server for name in sent) / 5
-    warmth = 0.2 + 0.8 * 7.5 / 10  # on average
-    assert 1.0 < sent.count(cold.server) / (warm_each * warmth) < 1.6
+    per_warm_server = sum(name != cold.server for name in sent) / 5
+    weight = 0.2 + 0.8 * 7.5 / 10  # on average
+    assert 1.0 < sent.count(cold.server) / (per_warm_server * weight) < 1.6
 
 
 def test_balancers_with_little_traffic_start_sending_to_a_warming_server_at_different_times() -> None:
-    room = []
+    waits_us = []
     for seed in range(40):
         driver = BalancerDriver(seed=seed)
         driver.receive_list(server_names(5))
@@ -89,10 +89,10 @@
         began, server = driver.now, driver.balancer.servers["10.0.0.9:80"]
         while not driver.balancer.components.slow_start.has_capacity(driver.now, server, 1.0):
             driver.advance(100 * MS)
-        room.append(driver.now - began)
-    # Of 40 requests a second at a warm server, this cold one bears 8, and is pushed over by 48 in 2 s.
-    assert 1 <= sum(each <= S for each in room) <= 24
-    assert max(sum(at <= each < at + 2 * S for each in room) for at in room) <= 36
+        waits_us.append(driver.now - began)
+    # Of 40 requests a second at a warm server, this warming one serves 8, and is overloaded by 48 in 2 s.
+    assert 1 <= sum(each <= S for each in waits_us) <= 24
+    assert max(sum(at <= each < at + 2 * S for each in waits_us) for at in waits_us) <= 36
 
 
 def test_slow_start_does_not_limit_warm_servers() -> None:
@@ -100,4 +100,4 @@
     driver.receive_list(server_names(2))
     for _ in range(50):
         driver.request()
-    assert len({each.server for _, each in driver.attempts()}) == 2
+    assert len({attempt.server for _, attempt in driver.attempts()}) == 2
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -15,18 +15,18 @@
 from sidecar_balancer.policy.events import ListedServer
 from sidecar_balancer.policy.types import ListKind
 
-COLD_FROM = 0.2  # of its capacity: where a cold server begins
-COLD_US = 10 * S  # and until when it is warm
+WARMING_MIN_RATIO = 0.2  # of its capacity: where a cold server begins
+WARMING_US = 10 * S  # and until when it is warm
 FALL_MULTIPLE = 3.0
 FALL_US = 2 * S
 TAKING_US = 60 * MS
 JOINER = "10.0.9.9:80"
 
 
-def budget(age_us: int, warm_per_s: float) -> float:
+def budget(age_us: int, capacity_per_s: float) -> float:
     """What a server of that age may get within `FALL_US`, given what a warm one serves a second."""
-    warmth = min(COLD_FROM + (1.0 - COLD_FROM) * max(age_us - FALL_US, 0) / COLD_US, 1.0)
-    return FALL_MULTIPLE * warmth * warm_per_s * FALL_US / S
+    weight = min(WARMING_MIN_RATIO + (1.0 - WARMING_MIN_RATIO) * max(age_us - FALL_US, 0) / WARMING_US, 1.0)
+    return FALL_MULTIPLE * weight * capacity_per_s * FALL_US / S
 
 
 def chance(bound: float) -> float:
@@ -68,7 +68,7 @@
     processes: int, per_s: float, burst: float, seed: int
 ) -> None:
     given = settings(
-        fleet_size=processes, rules={"slow_start_min_ratio": COLD_FROM, "slow_start_us": COLD_US}
+        fleet_size=processes, rules={"slow_start_min_ratio": WARMING_MIN_RATIO, "slow_start_us": WARMING_US}
     )
     drivers = [BalancerDriver(given, seed=100 * seed + number) for number in range(processes)]
     warm = server_names(10)
@@ -79,7 +79,7 @@
     for driver in drivers:
         driver.advance(joined - driver.now)
         driver.receive_list([ListedServer(JOINER, zone="east", started_at=joined)], ListKind.DELTA)
-    end = joined + COLD_US
+    end = joined + WARMING_US
     play_fleet(drivers, arrivals(drivers, burst * per_s, seed + 50, end), end)
     sent = sorted(at for driver in drivers for at, each in driver.attempts() if each.server == JOINER)
     assert sent, "it is used while it warms up"
--- a/tests/policy/test_zone_evacuation.py
+++ b/tests/policy/test_zone_evacuation.py
@@ -1,4 +1,4 @@
-"""Zones in the module, by scripted events: when one is left, how it comes back, where requests are drawn."""
+"""Zones: evacuation, recovery and the selection of servers among them."""
 
 from __future__ import annotations
 
@@ -42,20 +42,22 @@
     return driver.target_of(request).partition("-")[0]
 
 
-def serve_zones(driver: BalancerDriver, count: int, lost: str = "", every_us: int = 20 * MS) -> Counter[str]:
-    """Requests one by one, each answered after 10 ms, but refused at once by the servers of zone `lost`."""
+def serve_zones(
+    driver: BalancerDriver, count: int, failing: str = "", every_us: int = 20 * MS
+) -> Counter[str]:
+    """Requests one by one, each answered after 10 ms, but failed at once by the servers of zone `failing`."""
     drawn: Counter[str] = Counter()
     for _ in range(count):
         driver.advance(every_us)
         request = driver.request()
-        while driver.attempts(request) and zone_of(driver, request) == lost:
-            drawn[lost] += 1
+        while driver.attempts(request) and zone_of(driver, request) == failing:
+            drawn[failing] += 1
             driver.end_attempt(request, Outcome.CONNECT_FAILED)
             if len(driver.attempts(request)) >= 5 or (
-                zone_of(driver, request) == lost and drawn[lost] > 10**4
+                zone_of(driver, request) == failing and drawn[failing] > 10**4
             ):
                 break
-        if driver.attempts(request) and zone_of(driver, request) != lost:
+        if driver.attempts(request) and zone_of(driver, request) != failing:
             drawn[zone_of(driver, request)] += 1
             driver.advance(10 * MS)
             driver.end_attempt(request)
@@ -79,7 +81,7 @@
 
 def test_an_own_zone_of_one_server_does_not_get_all_traffic() -> None:
     drawn = serve_zones(driver_with_zones({"a": 1, "b": 6}), 300)
-    # the draw weighs two servers at least
+    # at least two servers are sampled
     assert drawn["a"] > 0
     assert drawn["b"] >= 100
 
@@ -94,9 +96,9 @@
 def test_the_spillover_grows_as_servers_of_the_own_zone_are_ejected() -> None:
     driver = driver_with_zones({"a": 10, "b": 10})
     spills = []
-    for gone in range(8):
+    for removed in range(8):
         spills.append(round(1.0 - driver.balancer.zones.load_shares()[0], 3))
-        ejected = driver.balancer.servers[f"a-{gone}"]
+        ejected = driver.balancer.servers[f"a-{removed}"]
         ejected.ejected_until = driver.now + SECOND
         driver.balancer.components.outliers.ejected.append(ejected)
         driver.balancer.zones.invalidate_shares()
@@ -106,7 +108,7 @@
 def test_a_failing_zone_is_evacuated_after_a_few_failures() -> None:
     driver = driver_with_zones({"a": 4, "b": 4})
     serve_zones(driver, 50)
-    drawn = serve_zones(driver, 40, lost="a")
+    drawn = serve_zones(driver, 40, failing="a")
     assert evacuated_zones(driver) == {"a"}
     assert drawn["a"] <= 6
     assert (ZoneVerdict.EVACUATED, "a") in [
@@ -119,10 +121,10 @@
     serve_zones(driver, 50)
     driver.feed(PeerVerdictsReceived(evacuated_zones={"a": 1}))
     serve_zones(driver, 50)
-    assert evacuated_zones(driver) == set()  # it answers: own evidence wins
+    assert evacuated_zones(driver) == set()  # its servers respond, which counts more
     driver.advance(5 * SECOND)
     driver.feed(PeerVerdictsReceived(evacuated_zones={"a": 2}))
-    drawn = serve_zones(driver, 5, lost="a")
+    drawn = serve_zones(driver, 5, failing="a")
     assert evacuated_zones(driver) == {"a"}
     assert drawn["a"] == 1
 
@@ -133,7 +135,7 @@
     for _ in range(4):
         serve_zones(driver, 60)
         while not evacuated_zones(driver):
-            serve_zones(driver, 1, lost="a")
+            serve_zones(driver, 1, failing="a")
         zone = driver.balancer.zones.by_name["a"]
         assert zone.evacuated_at is not None
         away.append(zone.next_trial_at - zone.evacuated_at)
@@ -146,7 +148,7 @@
 def test_a_recovering_zone_gets_a_growing_part_of_the_traffic() -> None:
     driver = driver_with_zones({"a": 3, "b": 3}, here="")
     serve_zones(driver, 100)
-    serve_zones(driver, 30, lost="a")
+    serve_zones(driver, 30, failing="a")
     assert evacuated_zones(driver) == {"a"}
     while evacuated_zones(driver):
         serve_zones(driver, 5)
@@ -161,7 +163,7 @@
 def test_no_zone_is_evacuated_below_the_panic_threshold() -> None:
     driver = driver_with_zones({"a": 3, "b": 3}, panic=0.6)
     serve_zones(driver, 50)
-    serve_zones(driver, 30, lost="a")
+    serve_zones(driver, 30, failing="a")
     assert (
         evacuated_zones(driver) == set()
     )  # without a, half of the servers would remain: under the threshold
@@ -171,16 +173,16 @@
     driver = driver_with_zones({"a": 3, "b": 3})
     serve_zones(driver, 50)
     driver.feed(ZoneHealthCheckerChanged(False))
-    serve_zones(driver, 30, lost="a")
+    serve_zones(driver, 30, failing="a")
     before = len(driver.attempts())
-    # no trial of its own
+    # without a trial of its own
     assert serve_zones(driver, 20) == Counter(b=20)
     assert len(driver.attempts()) == before + 20
     driver.feed(ZoneRecovered("a"))
     assert evacuated_zones(driver) == set()  # its backoff has run by now
     driver.feed(ZoneRecovered("nowhere"))
     serve_zones(driver, 60)
-    serve_zones(driver, 40, lost="a")
+    serve_zones(driver, 40, failing="a")
     assert evacuated_zones(driver) == {"a"}
     assert not driver.actions_of(HealthCheck)
     for turn in range(2):
@@ -198,7 +200,7 @@
     for _ in range(2):
         driver.feed(ZoneHealthCheckerChanged(True))
         driver.feed(HealthCheckEnded(driver.actions_of(HealthCheck)[-1].server, Outcome.DELIVERED, 1000))
-    assert [(each.zone, each.verdict) for each in driver.actions_of(PublishZoneVerdict)] == [
+    assert [(action.zone, action.verdict) for action in driver.actions_of(PublishZoneVerdict)] == [
         ("b", ZoneVerdict.RECOVERED)
     ]
     assert not driver.actions_of(PublishServerVerdict)
@@ -208,7 +210,7 @@
     driver = driver_with_zones({"a": 4, "b": 4})
     serve_zones(driver, 50)
     while not evacuated_zones(driver):
-        serve_zones(driver, 1, lost="a", every_us=1 * MS)
+        serve_zones(driver, 1, failing="a", every_us=1 * MS)
     driver.feed(ZoneRecovered("a"))
     assert evacuated_zones(driver) == {"a"}
 
@@ -253,7 +255,11 @@
     failed = driver.target_of(request)
     driver.end_attempt(request, Outcome.APPLICATION_ERROR)
     assert driver.balancer.servers[failed].rejections[Flow("look", None)].until > driver.now
-    told = [each for each in driver.actions_of(PublishServerVerdict) if each.verdict is ServerVerdict.FAILING]
+    told = [
+        action
+        for action in driver.actions_of(PublishServerVerdict)
+        if action.verdict is ServerVerdict.FAILING
+    ]
     assert [(each.server, each.service_class) for each in told] == [(failed, "look")]
 
 
@@ -269,8 +275,8 @@
 
 
 @pytest.mark.parametrize(
-    "bad", [{"on": 1}, {"panic": 2}, {"regions": {"a": 1}}, {"odd": 1}, 7, {"aggression": 0}]
+    "locality", [{"on": 1}, {"panic": 2}, {"regions": {"a": 1}}, {"odd": 1}, 7, {"aggression": 0}]
 )
-def test_an_invalid_locality_is_rejected_by_its_name(bad: Any) -> None:
+def test_an_invalid_locality_is_rejected_by_its_name(locality: Any) -> None:
     with pytest.raises(ValueError, match="locality"):
-        read_locality(bad)
+        read_locality(locality)
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -151,7 +151,7 @@
         return self.attempts(request)[-1][1].server
 
     def actions_of(self, kind: type[_Kind]) -> list[_Kind]:
-        return [each for _, each in self.timeline if isinstance(each, kind)]
+        return [attempt for _, attempt in self.timeline if isinstance(attempt, kind)]
 
     def serve_traffic(
         self, count: int, every_us: int = 20 * MS, taking_us: int = 50 * MS, name: str = "look"
@@ -174,7 +174,7 @@
 def serve_one_at_a_time(
     driver: BalancerDriver, count: int, taking_us: int = 50 * MS, every_us: int = 400 * MS
 ) -> None:
-    """Traffic of a small balancer: each request is answered before the next comes."""
+    """Serve little traffic: each request has its response before the next one is received."""
     for _ in range(count):
         request = driver.request()
         driver.advance(taking_us)
