--- a/sidecar_balancer/cli.py
+++ b/sidecar_balancer/cli.py
@@ -22,6 +22,7 @@
 from urllib.parse import quote
 
 from sidecar_balancer import __main__ as program
+from sidecar_balancer.config.loading import find_faults
 
 _CALLS = {
     "status": ("GET", "status"),
@@ -76,7 +77,7 @@
 
 def check_config(path: str) -> int:
     """Read the file as a start would; print `ok` or a line for each thing that is wrong."""
-    faults = program.config_faults(path)
+    faults = find_faults(path)
     for fault in faults:
         print(f"bad configuration: {fault}".replace("\n", " "), file=sys.stderr)
     if not faults:
--- a/sidecar_balancer/config/__init__.py
+++ b/sidecar_balancer/config/__init__.py
@@ -1,1 +1,1 @@
-"""What a sidecar is configured with."""
+"""The configuration: its types and its readers."""
--- /dev/null
+++ b/sidecar_balancer/config/loading.py
@@ -0,0 +1,203 @@
+"""Reads a sidecar's configuration from its files and the environment (docs/configuration.md).
+
+RELAY_CONFIG names the platform's JSON file.  The operators' own TOML file, where WEIRLOCK_CONFIG names one,
+takes precedence over it, and RELAY_LISTEN, RELAY_DISCOVERY, RELAY_MGMT and RELAY_NAME over both.
+"""
+
+from __future__ import annotations
+
+import json
+import tempfile
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass, replace
+from pathlib import Path
+from typing import Any
+
+from sidecar_balancer.addresses import Address
+from sidecar_balancer.config.leases import read_leases
+from sidecar_balancer.config.limits import read_max_sockets, read_memory_mb
+from sidecar_balancer.config.logs import read_logging
+from sidecar_balancer.config.membership import read_membership
+from sidecar_balancer.config.relays import read_relays
+from sidecar_balancer.config.settings import read_locality
+from sidecar_balancer.config.sidecar import SidecarConfig
+from sidecar_balancer.config.state import read_state
+from sidecar_balancer.config.values import ConfigurationError, read_address
+from sidecar_balancer.config.wire_names import settings_from_wire
+from sidecar_balancer.discovery.endpoint_list import ListUpdate, parse_list
+
+_PLATFORM_KEYS = (
+    "name",
+    "listen",
+    "discovery",
+    "seed",
+    "limits",
+    "peer_listen",
+    "peers",
+    "peers_all",
+    "known",
+    "settings",
+    "mgmt",
+)
+_OPERATOR_KEYS = ("peer_plane", "duties", "state", "locality", "logging", "relays")
+_MAX_PEERS = 1024
+_MAX_NAME_LENGTH = 200
+
+
+def read_config(environ: Mapping[str, str]) -> SidecarConfig:
+    """Read the configuration that the environment names; raises ConfigurationError for its first fault."""
+    source = _Source(_read_files(environ), environ)
+    values = {part.key: _read_part(part, source) for part in _PARTS}
+    settings = replace(values.pop("settings"), locality=values.pop("locality"))
+    fields = {part.field: values[part.key] for part in _PARTS if part.key in values}
+    return SidecarConfig(settings=settings, **fields)
+
+
+def find_faults(path: str) -> list[str]:
+    """Return a line for each fault of a configuration file; none where a start would accept it.
+
+    Unknown keys of the platform are listed too, although a start ignores them.
+    """
+    environ = {"RELAY_CONFIG": path}
+    try:
+        given = _read_files(environ)
+    except ConfigurationError as error:
+        return [str(error)]
+    faults = []
+    source = _Source(given, environ)
+    for part in _PARTS:
+        try:
+            _read_part(part, source)
+        except ConfigurationError as error:
+            faults.append(str(error))
+    unknown = sorted(set(given) - {*_PLATFORM_KEYS, *_OPERATOR_KEYS})
+    return faults + [f"{key:.60}: no such key" for key in unknown]
+
+
+@dataclass(frozen=True, slots=True)
+class _Source:
+    """Where the parts of a configuration are read from."""
+
+    given: dict[str, Any]
+    environ: Mapping[str, str]
+
+    def first_of(self, variable: str, key: str) -> object:
+        """Return the environment's value, or that of the files where it has none."""
+        return self.environ.get(variable) or self.given.get(key)
+
+    def address(self, variable: str, key: str) -> Address:
+        return read_address(self.first_of(variable, key), key)
+
+    def temporary_folder(self) -> Path:
+        return Path(self.environ.get("TMPDIR") or tempfile.gettempdir())
+
+
+@dataclass(frozen=True, slots=True)
+class _Part:
+    """A part of the configuration: its name in faults, its field of SidecarConfig and its reader."""
+
+    key: str
+    field: str
+    read: Callable[[_Source], object]
+
+
+def _read_part(part: _Part, source: _Source) -> Any:
+    try:
+        return part.read(source)
+    except (ValueError, TypeError, RecursionError) as error:
+        message = str(error)
+        raise ConfigurationError(message if part.key in message else f"{part.key}: {message}") from None
+
+
+def _read_files(environ: Mapping[str, str]) -> dict[str, Any]:
+    path = environ.get("RELAY_CONFIG")
+    if not path:
+        raise ConfigurationError("RELAY_CONFIG names no file")
+    try:
+        given = json.loads(Path(path).read_text(encoding="utf-8"))
+        if not isinstance(given, dict):
+            raise ConfigurationError("an object is needed")
+        operators_path = environ.get("WEIRLOCK_CONFIG")
+        return given | _read_operators_file(operators_path) if operators_path else given
+    except (OSError, ValueError, RecursionError) as error:
+        raise ConfigurationError(str(error)) from None
+
+
+def _read_operators_file(path: str) -> dict[str, Any]:
+    import tomllib  # only where it is needed: starts cost CPU
+
+    with Path(path).open("rb") as file:
+        given = tomllib.load(file)
+    if unknown := sorted(set(given) - set(_OPERATOR_KEYS)):
+        known = ", ".join(_OPERATOR_KEYS)
+        raise ConfigurationError(f"{path}: {unknown[0]:.60}: no such key; known are {known}")
+    return given
+
+
+def _read_seed(source: _Source) -> int:
+    value = source.given.get("seed", "0")
+    if not isinstance(value, str):
+        raise ConfigurationError("seed: hex digits are needed")
+    return int(value, 16)
+
+
+def _read_initial_endpoints(source: _Source) -> ListUpdate:
+    known = source.given.get("known")
+    return ListUpdate(0, True, []) if known is None else parse_list(known)
+
+
+def _read_admin_address(source: _Source) -> Address | None:
+    value = source.first_of("RELAY_MGMT", "mgmt")
+    return None if value is None else read_address(value, "mgmt")
+
+
+def _read_listener_fd(source: _Source) -> int | None:
+    value = source.environ.get("RELAY_ACCEPT_FD")
+    if not value:
+        return None
+    if not value.isdecimal():
+        raise ConfigurationError(f"RELAY_ACCEPT_FD: the number of a descriptor is needed, not {value!r:.60}")
+    return int(value)
+
+
+def _read_membership_address(source: _Source) -> Address | None:
+    given = source.given
+    return read_address(given["peer_listen"], "peer_listen") if "peer_listen" in given else None
+
+
+def _read_member_addresses(source: _Source) -> tuple[Address, ...]:
+    peers = source.given.get("peers", [])
+    if not isinstance(peers, list) or len(peers) > _MAX_PEERS:
+        raise ConfigurationError(f"peers: a list of at most {_MAX_PEERS} is needed")
+    return tuple(read_address(peer, f"peers[{index}]") for index, peer in enumerate(peers))
+
+
+_PARTS = (
+    _Part(
+        "listen", "listen", lambda source: read_address(source.first_of("RELAY_LISTEN", "listen"), "listen")
+    ),
+    _Part(
+        "discovery",
+        "discovery",
+        lambda source: read_address(source.first_of("RELAY_DISCOVERY", "discovery"), "discovery"),
+    ),
+    _Part("seed", "seed", _read_seed),
+    _Part("sockets", "max_sockets", lambda source: read_max_sockets(source.given)),
+    _Part("memory_mb", "memory_mb", lambda source: read_memory_mb(source.given)),
+    _Part("settings", "settings", lambda source: settings_from_wire(source.given.get("settings"))),
+    _Part("locality", "locality", lambda source: read_locality(source.given.get("locality"))),
+    _Part("known", "initial_endpoints", _read_initial_endpoints),
+    _Part("orders", "overrides_folder", _Source.temporary_folder),
+    _Part("mgmt", "admin_address", _read_admin_address),
+    _Part("accept_fd", "inherited_listener_fd", _read_listener_fd),
+    _Part("peer_listen", "membership_address", _read_membership_address),
+    _Part("peers", "member_addresses", _read_member_addresses),
+    _Part("peer_plane", "membership", lambda source: read_membership(source.given)),
+    _Part(
+        "name", "identity", lambda source: str(source.first_of("RELAY_NAME", "name") or "")[:_MAX_NAME_LENGTH]
+    ),
+    _Part("relays", "relays", lambda source: read_relays(source.given)),
+    _Part("duties", "leases", lambda source: read_leases(source.given)),
+    _Part("state", "state", lambda source: read_state(source.given, source.temporary_folder())),
+    _Part("logging", "logging", lambda source: read_logging(source.given.get("logging"))),
+)
--- a/sidecar_balancer/config/settings.py
+++ b/sidecar_balancer/config/settings.py
@@ -43,7 +43,7 @@
 
     Raises ConfigurationError, which names the key at fault.
     """
-    top = ValueReader(given, "settings")
+    top = ValueReader(given, "settings", prefix="")
     classes = tuple(_read_class(each) for each in top.sections("classes"))
     if not classes:
         raise ConfigurationError("classes: at least one class of requests is needed")
--- a/sidecar_balancer/config/values.py
+++ b/sidecar_balancer/config/values.py
@@ -27,24 +27,32 @@
 
 
 class ValueReader:
-    """Typed access to one mapping.  Each error names the path of the key; a null counts as absent."""
+    """Typed access to one mapping.  Each error names the path of the key.
 
-    def __init__(self, given: object, path: str) -> None:
+    A null counts as absent unless a method says otherwise.  Every method raises ConfigurationError.
+    """
+
+    def __init__(self, given: object, path: str, prefix: str | None = None) -> None:
+        """Read `given`, which is at `path`; `prefix` goes before its keys, by default the path and a dot."""
         if not isinstance(given, Mapping):
             raise ConfigurationError(f"{path}: a mapping is needed")
         self._given = given
-        self._path = "" if path == "settings" else path + "."
+        self._prefix = f"{path}." if prefix is None else prefix
+
+    def __contains__(self, key: str) -> bool:
+        """Whether the key is there, be it with a null."""
+        return key in self._given
 
     def _value(self, key: str) -> Any:
         return self._given.get(key)
 
     def _error(self, key: str, needed: str) -> ConfigurationError:
-        return ConfigurationError(f"{self._path}{key}: {needed} is needed, not {self._value(key)!r:.60}")
+        return ConfigurationError(f"{self._prefix}{key}: {needed} is needed, not {self._value(key)!r:.60}")
 
     def section(self, key: str) -> ValueReader:
         """Return a reader of the nested mapping; an empty one where it is absent."""
         value = self._value(key)
-        return ValueReader({} if value is None else value, self._path + key)
+        return ValueReader({} if value is None else value, self._prefix + key)
 
     def sections(self, key: str) -> list[ValueReader]:
         """Return a reader for each mapping of a list."""
@@ -53,7 +61,7 @@
             return []
         if not isinstance(value, Sequence) or isinstance(value, (str, bytes)):
             raise self._error(key, "a list")
-        return [ValueReader(each, f"{self._path}{key}[{index}]") for index, each in enumerate(value)]
+        return [ValueReader(each, f"{self._prefix}{key}[{index}]") for index, each in enumerate(value)]
 
     def string(self, key: str, default: str | None = None) -> str:
         """Return a string; without a default it is required."""
@@ -64,12 +72,16 @@
             raise self._error(key, "a text")
         return value
 
+    def optional_string(self, key: str) -> str | None:
+        """Return a string, or None where it is absent."""
+        return None if self._value(key) is None else self.string(key)
+
     def reject_unknown(self, keys: Collection[str]) -> None:
         """Raise an error that names the first key which is not among `keys`."""
         unknown = sorted(str(key) for key in set(self._given) - set(keys))
         if unknown:
             raise ConfigurationError(
-                f"{self._path}{unknown[0]:.60}: no such key; known are {', '.join(keys)}"
+                f"{self._prefix}{unknown[0]:.60}: no such key; known are {', '.join(keys)}"
             )
 
     def string_map(self, key: str) -> dict[str, str]:
@@ -124,6 +136,38 @@
             raise self._error(key, "a whole number")
         return int(value)
 
+    def exact_integer(self, key: str, default: int, low: int, high: int) -> int:
+        """Return an integer in `low` to `high`; a null or a number with a fraction, be it .0, is an error."""
+        value = self._given.get(key, default)
+        if type(value) is not int or not low <= value <= high:
+            raise self._error(key, f"a whole number in {low}..{high}")
+        return value
+
+    def any_number(self, key: str) -> int | float:
+        """Return a number of any size, which is required."""
+        value = self._value(key)
+        if type(value) not in (int, float):
+            raise self._error(key, "a number")
+        number: int | float = value
+        return number
+
+    def is_true(self, key: str) -> bool:
+        """Whether the key holds true; any other value counts as false."""
+        return self._value(key) is True
+
+    def word(self, key: str, words: Sequence[str], default: str) -> str:
+        """Return one of `words`; a null is an error."""
+        if key not in self._given:
+            return default
+        value = self._given[key]
+        if value not in words:
+            raise self._error(key, f"one of {', '.join(words)}")
+        return str(value)
+
+    def address(self, key: str) -> Address:
+        """Return an address `host:port`, which is required."""
+        return read_address(self._value(key), self._prefix + key)
+
     def choice(self, key: str, kind: type[_Choice], default: _Choice) -> _Choice:
         """Return the member of `kind` whose value the key holds."""
         value = self._value(key)
--- a/sidecar_balancer/observability/logs.py
+++ b/sidecar_balancer/observability/logs.py
@@ -10,7 +10,7 @@
 import logging
 import re
 import sys
-from collections.abc import Mapping, MutableMapping
+from collections.abc import MutableMapping
 from dataclasses import dataclass
 from typing import Any
 
@@ -27,22 +27,6 @@
     lines_per_s: int = 50  # in all
     repeats_per_s: int = 20  # of one event
 
-    @staticmethod
-    def from_mapping(given: object) -> LogConfig:
-        """Read it (None: all defaults); raise ValueError, naming the key."""
-        if given is None:
-            return LogConfig()
-        known = set(LogConfig.__dataclass_fields__)
-        if not isinstance(given, Mapping) or set(given) - known:
-            raise ValueError(f"logging: an object of {', '.join(sorted(known))} is needed")
-        for key, words in (("level", LEVELS), ("format", FORMATS)):
-            if key in given and given[key] not in words:
-                raise ValueError(f"logging.{key}: one of {', '.join(words)} is needed")
-        for key in ("lines_per_s", "repeats_per_s"):
-            if key in given and (type(given[key]) is not int or not 1 <= given[key] <= 100_000):
-                raise ValueError(f"logging.{key}: a whole number in 1..100000 is needed")
-        return LogConfig(**given)
-
 
 class LogRateLimiter(logging.Filter):
     """Lets through so many lines a second, and so many of one event; tells later how many it kept back.
--- a/sidecar_balancer/relay/config.py
+++ b/sidecar_balancer/relay/config.py
@@ -8,6 +8,7 @@
 from typing import Any
 
 from sidecar_balancer.addresses import Address, parse_address
+from sidecar_balancer.config.logs import read_logging
 from sidecar_balancer.observability.logs import LogConfig
 from sidecar_balancer.relay.service import Limits
 
@@ -42,7 +43,7 @@
             connections=_number(given, "connections", Limits().connections, CONNECTIONS_MOST),
             snapshots=_number(given, "snapshots", Limits().snapshots, SNAPSHOTS_MOST),
         ),
-        logging=LogConfig.from_mapping(given.get("logging")),
+        logging=read_logging(given.get("logging")),
     )
 
 
