--- a/sidecar_balancer/discovery/__init__.py
+++ b/sidecar_balancer/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Where the endpoint list comes from, and how it is read."""
+"""Service discovery: polling sources for the endpoint list, and reading it."""
--- a/sidecar_balancer/discovery/endpoint_list.py
+++ b/sidecar_balancer/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The list of servers in discovery's form: reading it, and keeping it up to date."""
+"""The endpoint list: reading and writing discovery's published form, and applying updates."""
 
 from __future__ import annotations
 
@@ -9,21 +9,25 @@
 from dataclasses import dataclass
 from typing import Any
 
+from sidecar_balancer.discovery.errors import MalformedEntryError, MalformedListError
 from sidecar_balancer.policy.events import ListedServer
 from sidecar_balancer.policy.types import ServerState
 from sidecar_balancer.upstream.connection import Address, parse_address
 
 log = logging.getLogger(__name__)
 
-_STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.REMOVED}
-_STATUSES = {state: status for status, state in _STATES.items()}
+MAX_LIST_BYTES = 8 * 1024 * 1024  # of a body: some 50,000 servers
+# A list has one array, and few members to an object; other bodies would take many times their size in memory.
+_MAX_OTHER_ARRAYS = 16
+_MAX_MEMBERS_PER_OBJECT = 32
 
-
-MAX_LIST_BYTES = 8 * 1024 * 1024  # of an answer: some 50,000 servers
-# A list has one array, and few members to an object; other junk would take many times its size in memory.
-_ARRAYS_BESIDE = 16
-_MEMBERS_MOST = 32
-_JUNK = (ValueError, TypeError, KeyError, AttributeError)  # what reading an entry raises
+_STATE_BY_STATUS = {
+    "active": ServerState.READY,
+    "leaving": ServerState.DRAINING,
+    "left": ServerState.REMOVED,
+}
+_STATUS_BY_STATE = {state: status for status, state in _STATE_BY_STATUS.items()}
+_ENTRY_ERRORS = (ValueError, TypeError, KeyError, AttributeError)  # of reading an entry
 
 
 @dataclass(slots=True)
@@ -36,89 +40,121 @@
 
 @dataclass(slots=True)
 class ListUpdate:
-    """What discovery answered: the whole list (a snapshot) or what changed (a delta)."""
+    """A response of discovery: the full list (a snapshot) or what changed (a delta)."""
 
     version: int
     complete: bool
     entries: list[ListEntry]
 
 
-class _Unreadable:
-    """Stands for all entries of a body that could not be read; `why` is of the first."""
+class _UnreadableEntry:
+    """Stands for all entries of a body that could not be read; `first_fault` describes the first."""
 
-    why = ""
+    first_fault = ""
 
 
 def read_list(body: bytes) -> ListUpdate:
-    """Decode a body and read it as `parse_list` does; raises ValueError or RecursionError.
+    """Decode a body and read it as `parse_list` does.
+
+    Each entry is read as it is decoded, so that only the list itself takes memory.
 
-    Each entry is read as it is decoded: memory goes to the list and not to what was decoded on the way.
+    Raises:
+        MalformedListError: The body is no JSON, nested too deep, or no endpoint list.
     """
-    objects = body.count(b"{") + 1
-    if body.count(b"[") > objects + _ARRAYS_BESIDE or body.count(b",") > objects * _MEMBERS_MOST:
-        raise ValueError("a list of servers has one array of objects")
-    unreadable = _Unreadable()
-
-    def entry_or_object(given: dict[str, Any]) -> object:
-        if "endpoints" in given:
-            return given
+    _check_structure(body)
+    unreadable = _UnreadableEntry()
+
+    def decode_object(members: dict[str, Any]) -> object:
+        if "endpoints" in members:
+            return members
         try:
-            return _read_entry(given)
-        except _JUNK as fault:
-            unreadable.why = unreadable.why or _explain(fault, given)
+            return _read_entry(members)
+        except _ENTRY_ERRORS as error:
+            unreadable.first_fault = unreadable.first_fault or _describe(error, members)
             return unreadable
 
-    return parse_list(json.loads(body, object_hook=entry_or_object))
+    try:
+        return parse_list(json.loads(body, object_hook=decode_object))
+    except MalformedListError:
+        raise
+    except (ValueError, RecursionError) as error:
+        raise MalformedListError(str(error)) from error
+
+
+def _check_structure(body: bytes) -> None:
+    max_objects = body.count(b"{") + 1
+    too_many_arrays = body.count(b"[") > max_objects + _MAX_OTHER_ARRAYS
+    if too_many_arrays or body.count(b",") > max_objects * _MAX_MEMBERS_PER_OBJECT:
+        raise MalformedListError("a list of servers has one array of objects")
 
 
-def parse_list(given: object) -> ListUpdate:
-    """Read discovery's form; junk entries are skipped with one log line, a junk list is a ValueError.
+def parse_list(decoded: object) -> ListUpdate:
+    """Read a list from decoded JSON, or from the entries that `read_list` has read already.
 
-    A whole list that holds junk is read as changes: who is missing may be what could not be read.
+    Malformed entries are skipped with one log line.  A full list with such entries is read as a delta: an
+    absent server may be one that could not be read.
+
+    Raises:
+        MalformedListError: It is no endpoint list at all.
     """
-    if not isinstance(given, Mapping) or not isinstance(given.get("endpoints"), list):
-        raise ValueError("a list of servers is an object with endpoints")
-    version = given.get("index")
+    if not isinstance(decoded, Mapping) or not isinstance(decoded.get("endpoints"), list):
+        raise MalformedListError("a list of servers is an object with endpoints")
+    version = decoded.get("index")
     if type(version) is not int:
-        raise ValueError("index: a whole number is needed")
-    entries, skipped, first = [], 0, ""
-    for entry in given["endpoints"]:
+        raise MalformedListError("index: a whole number is needed")
+    listed = decoded["endpoints"]
+    entries, first_fault = _read_entries(listed)
+    skipped = len(listed) - len(entries)
+    if skipped:
+        log.warning(
+            "%d of %d list entries skipped, first %s",
+            skipped,
+            len(listed),
+            first_fault,
+            extra={"event": "discovery_entries_skipped"},
+        )
+    return ListUpdate(version, decoded.get("snapshot") is True and not skipped, entries)
+
+
+def _read_entries(listed: list[Any]) -> tuple[list[ListEntry], str]:
+    """Return the entries that could be read, and a description of the first that could not."""
+    entries: list[ListEntry] = []
+    first_fault = ""
+    for entry in listed:
         if isinstance(entry, ListEntry):
             entries.append(entry)
-        elif isinstance(entry, _Unreadable):
-            skipped, first = skipped + 1, first or entry.why
+        elif isinstance(entry, _UnreadableEntry):
+            first_fault = first_fault or entry.first_fault
         else:
             try:
                 entries.append(_read_entry(entry))
-            except _JUNK as fault:
-                skipped, first = skipped + 1, first or _explain(fault, entry)
-    if skipped:
-        log.warning("%d of %d list entries skipped, first %s", skipped, len(given["endpoints"]), first)
-    return ListUpdate(version, given.get("snapshot") is True and not skipped, entries)
+            except _ENTRY_ERRORS as error:
+                first_fault = first_fault or _describe(error, entry)
+    return entries, first_fault
 
 
-def _explain(fault: Exception, entry: object) -> str:
-    return f"{fault!r:.80}: {entry!r:.120}"
+def _describe(error: Exception, entry: object) -> str:
+    return f"{error!r:.80}: {entry!r:.120}"
 
 
-def _read_entry(entry: Mapping[str, Any]) -> ListEntry:
-    name, zone, kind = entry["name"], entry.get("zone", ""), entry.get("type", "")
-    group, weight, since_ms = entry.get("group", 0), entry.get("weight", 1.0), entry.get("since_ms", 0)
-    if not all(isinstance(each, str) for each in (name, zone, kind)) or not name:
-        raise ValueError("name, zone and type must be texts")
-    if type(group) is not int or type(since_ms) is not int or since_ms < 0:
-        raise ValueError("group and since_ms must be whole numbers")
+def _read_entry(members: Mapping[str, Any]) -> ListEntry:
+    name, zone, kind = members["name"], members.get("zone", ""), members.get("type", "")
+    cell, weight, since_ms = members.get("group", 0), members.get("weight", 1.0), members.get("since_ms", 0)
+    if not all(isinstance(text, str) for text in (name, zone, kind)) or not name:
+        raise MalformedEntryError("name, zone and type must be texts")
+    if type(cell) is not int or type(since_ms) is not int or since_ms < 0:
+        raise MalformedEntryError("group and since_ms must be whole numbers")
     if isinstance(weight, bool) or not isinstance(weight, int | float) or not math.isfinite(weight):
-        raise ValueError("weight must be a number")
-    # A status that is not known here takes nothing new.
-    state = _STATES.get(entry["status"], ServerState.DRAINING)
-    started_at = since_ms * 1000 or None
-    server = ListedServer(name, zone, kind, group, state, float(weight), started_at)
-    return ListEntry(server, _read_address(entry.get("address"), state))
+        raise MalformedEntryError("weight must be a number")
+    # A server of an unknown status gets no new requests.
+    state = _STATE_BY_STATUS.get(members["status"], ServerState.DRAINING)
+    started_at_us = since_ms * 1000 or None
+    server = ListedServer(name, zone, kind, cell, state, float(weight), started_at_us)
+    return ListEntry(server, _read_address(members.get("address"), state))
 
 
 def _read_address(value: object, state: ServerState) -> Address | None:
-    """Where the server listens; one that takes nothing new needs no address, and its leaving must be told."""
+    """Read a server's address; one that gets no new requests needs none, and its removal must not be lost."""
     try:
         return parse_address(str(value))
     except ValueError:
@@ -127,44 +163,48 @@
         return None
 
 
+def entry_to_json(entry: ListEntry) -> dict[str, Any]:
+    """Return an entry in the published form, its keys always in the same order."""
+    server = entry.server
+    members = {"name": server.server, "zone": server.zone, "type": server.kind, "group": server.cell}
+    if entry.address is not None:
+        members["address"] = "{}:{}".format(*entry.address)
+    since_ms = (server.started_at or 0) // 1000
+    return members | {
+        "status": _STATUS_BY_STATE[server.state],
+        "weight": server.nominal,
+        "since_ms": since_ms,
+    }
+
+
 class EndpointList:
-    """The list as it is by now, in discovery's form."""
+    """The current list, for writing it in the published form."""
 
     def __init__(self) -> None:
         self.version = 0
         self._entries: dict[str, ListEntry] = {}
-        self._text: str | None = None  # until the list changes
+        self._json: str | None = None  # cached until the list changes
 
     def apply(self, update: ListUpdate) -> None:
-        """Bring the list up to date by what discovery answered."""
+        """Bring the list up to date with a response of discovery."""
         if update.complete:
             self._entries = {}
         for entry in update.entries:
             self._entries[entry.server.server] = entry
             if entry.server.state is ServerState.REMOVED:
                 del self._entries[entry.server.server]
-        self.version, self._text = update.version, None
+        self.version, self._json = update.version, None
 
     def to_json(self) -> str:
-        """The list as JSON, made once for each time it changes: it is kept every second."""
-        if self._text is None:
-            self._text = json.dumps(self.snapshot())
-        return self._text
+        """Return the list as JSON, encoded once a change: it is persisted every second."""
+        if self._json is None:
+            self._json = json.dumps(self.snapshot())
+        return self._json
 
     def snapshot(self) -> dict[str, Any]:
-        """Return the whole list in discovery's form."""
+        """Return the full list in the published form."""
         return {
             "index": self.version,
             "snapshot": True,
-            "endpoints": [entry_to_json(each) for each in self._entries.values()],
+            "endpoints": [entry_to_json(entry) for entry in self._entries.values()],
         }
-
-
-def entry_to_json(entry: ListEntry) -> dict[str, Any]:
-    """Return an entry in discovery's form, its keys always in the same order."""
-    server = entry.server
-    form = {"name": server.server, "zone": server.zone, "type": server.kind, "group": server.cell}
-    if entry.address is not None:
-        form["address"] = "{}:{}".format(*entry.address)
-    since_ms = (server.started_at or 0) // 1000
-    return form | {"status": _STATUSES[server.state], "weight": server.nominal, "since_ms": since_ms}
--- /dev/null
+++ b/sidecar_balancer/discovery/protocol.py
@@ -0,0 +1,9 @@
+"""The names of the published discovery protocol that clients and relays share."""
+
+from __future__ import annotations
+
+Headers = list[tuple[str, str]]
+
+LIST_PATH = "/registry/instances"
+AGE_HEADER = "X-Source-Age-Ms"  # milliseconds since the sender last heard from the registry
+TAG_HEADER = "ETag"  # of the list that a response leads to; sent back as If-None-Match
--- a/sidecar_balancer/relay/requests.py
+++ b/sidecar_balancer/relay/requests.py
@@ -8,7 +8,7 @@
 import h11
 
 from sidecar_balancer.admin.server import Declined
-from sidecar_balancer.discovery.client import AGE_HEADER, LIST_PATH
+from sidecar_balancer.discovery.protocol import AGE_HEADER, LIST_PATH
 
 READY_PATH = "/health/ready"
 WAIT_MOST_MS = 60_000  # of a watch, as published
--- a/sidecar_balancer/relay/service.py
+++ b/sidecar_balancer/relay/service.py
@@ -9,8 +9,8 @@
 from dataclasses import asdict, dataclass
 
 from sidecar_balancer.admin.server import Declined
-from sidecar_balancer.discovery.client import AGE_HEADER, TAG_HEADER
 from sidecar_balancer.discovery.endpoint_list import ListUpdate
+from sidecar_balancer.discovery.protocol import AGE_HEADER, TAG_HEADER
 from sidecar_balancer.discovery.sources import STALE_AFTER_S
 from sidecar_balancer.relay.caller import Caller, Headers
 from sidecar_balancer.relay.changelog import ChangeLog
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -11,8 +11,8 @@
 
 from helpers import S
 from loopback import FakeDiscovery, answer, play, until, world
-from sidecar_balancer.discovery import client as net_discovery
-from sidecar_balancer.discovery.client import _IDLE_S, DiscoveryClient
+from sidecar_balancer.discovery import watch_state
+from sidecar_balancer.discovery.client import EMPTY_POLL_PAUSE_S, DiscoveryClient
 from sidecar_balancer.discovery.endpoint_list import MAX_LIST_BYTES, parse_list, read_list
 from sidecar_balancer.discovery.watch_events import PollFailed, WatchEvent
 from sidecar_balancer.policy.types import ServerState
@@ -35,7 +35,7 @@
             await until(lambda: len(w.discovery.targets) == 4)
             paths = [each.split("&")[0] for each in w.discovery.targets]
             assert paths == [f"/registry/instances?after={index}" for index in (41, 42, 43, 44)]
-            assert _IDLE_S < 0.2  # the only pause there is; later it would be a new watch
+            assert EMPTY_POLL_PAUSE_S < 0.2  # the only pause there is; later it would be a new watch
 
     play(scene())
 
@@ -123,7 +123,7 @@
         discovery = DiscoveryClient([down.address], 1, heard.append)
         discovery.set_watching(True)
         await until(lambda: heard == [PollFailed(timed_out=False)])
-        await until(lambda: discovery._watch is None or discovery._watch.done())
+        await until(lambda: not discovery.is_watching)
         discovery.set_watching(True)  # and a new watch may begin
         await until(lambda: heard == [PollFailed(timed_out=False)] * 2)
 
@@ -145,7 +145,7 @@
         service.say(7, [entry()], snapshot=True)
         await until(lambda: heard)
         discovery.set_watching(False)
-        assert discovery._watch is None
+        assert not discovery.is_watching
         service.stop()
 
     play(scene())
@@ -246,9 +246,9 @@
 
 
 def test_a_watch_that_fell_silent_is_opened_anew_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(net_discovery, "_WAIT_MS", 30)
-    monkeypatch.setattr(net_discovery, "_CALL_S", 0.01)
-    monkeypatch.setattr(net_discovery, "_LATE_S", 0.01)
+    monkeypatch.setattr(watch_state, "MIN_WAIT_MS", 30)
+    monkeypatch.setattr(watch_state, "RESPONSE_TIMEOUT_S", 0.01)
+    monkeypatch.setattr(watch_state, "WATCH_SLACK_S", 0.01)
 
     async def scene() -> None:
         # A call that failed is made again after 250 s here: nothing but the silence brings the second call.
--- a/tests/discovery/test_discovery_waits.py
+++ b/tests/discovery/test_discovery_waits.py
@@ -13,7 +13,7 @@
 
 from helpers import START, S, Stage, names, settings
 from loopback import answer, ask, request, until, world
-from sidecar_balancer.discovery import client as net_discovery
+from sidecar_balancer.discovery import watch_state
 from sidecar_balancer.policy.actions import WatchEndpoints
 from sidecar_balancer.policy.events import EndpointListReceived
 from sidecar_balancer.policy.types import ListKind, ServerState
@@ -96,7 +96,7 @@
 def test_idle_clients_that_fill_the_descriptors_keep_no_call_to_discovery_out(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(net_discovery, "_WAIT_MS", 100)
+    monkeypatch.setattr(watch_state, "MIN_WAIT_MS", 100)
 
     async def scene() -> None:
         async with world(served, drained=True, sockets=96) as w:  # 16 of them are for clients
--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -15,8 +15,7 @@
 
 from loopback import answer, ask, until
 from registry import Registry, entry
-from sidecar_balancer.discovery import client as discovery
-from sidecar_balancer.discovery import sources
+from sidecar_balancer.discovery import sources, watch_state
 from sidecar_balancer.discovery.client import DiscoveryClient
 from sidecar_balancer.discovery.endpoint_list import EndpointList, ListUpdate, parse_list
 from sidecar_balancer.discovery.sources import RelayAddress, SourceSelector, rank_relays
@@ -151,32 +150,32 @@
 
 
 def test_a_selector_goes_round_once_and_then_says_so() -> None:
-    selector = SourceSelector(addresses(3), chance=lambda: 0.5)
-    assert selector.failed(1.0) and selector.failed(1.1)
-    assert not selector.failed(1.2)
-    selector.answered(1.3, as_of=1.3, fresh=True)
-    assert selector.failed(1.4)
+    selector = SourceSelector(addresses(3), random_fraction=lambda: 0.5)
+    assert selector.record_failure(1.0) and selector.record_failure(1.1)
+    assert not selector.record_failure(1.2)
+    selector.record_response(1.3, as_of=1.3, is_fresh=True)
+    assert selector.record_failure(1.4)
 
 
 def test_where_all_are_stale_the_freshest_is_used_and_not_all_are_asked_again_at_once() -> None:
     selector = SourceSelector(addresses(3))
-    assert selector.answered(10.0, as_of=5.0, fresh=False)
+    assert selector.record_response(10.0, as_of=5.0, is_fresh=False)
     freshest = selector.current
-    assert selector.answered(10.1, as_of=7.0, fresh=False)
-    assert not selector.answered(10.2, as_of=6.0, fresh=False)
+    assert selector.record_response(10.1, as_of=7.0, is_fresh=False)
+    assert not selector.record_response(10.2, as_of=6.0, is_fresh=False)
     assert selector.current == freshest
-    assert not selector.answered(11.0, as_of=7.0, fresh=False)
-    assert selector.answered(12.3, as_of=7.0, fresh=False)
+    assert not selector.record_response(11.0, as_of=7.0, is_fresh=False)
+    assert selector.record_response(12.3, as_of=7.0, is_fresh=False)
 
 
 def test_the_preferred_relay_is_tried_again_after_a_while_spread_out() -> None:
     times = []
     for chance in (0.0, 1.0):
-        selector = SourceSelector(addresses(2), chance=lambda chance=chance: chance)  # type: ignore[misc]
-        selector.failed(100.0)
-        selector.answered(100.1, 100.1, fresh=True)
+        selector = SourceSelector(addresses(2), random_fraction=lambda chance=chance: chance)  # type: ignore[misc]
+        selector.record_failure(100.0)
+        selector.record_response(100.1, 100.1, is_fresh=True)
         now = 100.0
-        while not selector.try_preferred(now):
+        while not selector.return_to_preferred(now):
             now += 0.5
         times.append(now - 100.0)
         assert selector.current == addresses(2)[0]
@@ -587,9 +586,9 @@
 
 
 def test_the_bounds_leave_time_within_the_six_seconds() -> None:
-    longest_wait_s = discovery._RELAY_WAIT_MS * (1.0 + discovery._WAIT_SPREAD) / 1000
-    silent_s = longest_wait_s + discovery._RELAY_LATE_S
-    quick_s = discovery._QUICK_MS / 1000 + discovery._RELAY_LATE_S
+    longest_wait_s = watch_state.RELAY_MIN_WAIT_MS * (1.0 + watch_state.MAX_WAIT_SPREAD_RATIO) / 1000
+    silent_s = longest_wait_s + watch_state.RELAY_SLACK_S
+    quick_s = watch_state.PROBE_WAIT_MS / 1000 + watch_state.RELAY_SLACK_S
     assert silent_s + quick_s + 1.0 < TOLD_S  # two silent relays in a row
     assert sources.STALE_AFTER_S + longest_wait_s + quick_s < TOLD_S  # one that is cut off
     assert relay_caller.HEAD_WITHIN_S < TOLD_S
--- a/tests/runtime/test_close_range.py
+++ b/tests/runtime/test_close_range.py
@@ -32,6 +32,7 @@
     world,
 )
 from sidecar_balancer.admin.overrides import Orders
+from sidecar_balancer.discovery import source_connection
 from sidecar_balancer.discovery.client import DiscoveryClient
 from sidecar_balancer.discovery.endpoint_list import ListUpdate
 from sidecar_balancer.discovery.watch_events import WatchEvent
@@ -91,7 +92,7 @@
 ) -> None:
     async def scene() -> None:
         async with world(served, drained=True, discovery=mode) as w:
-            w.sidecar._discovery._random_fraction = lambda: chance
+            w.sidecar._discovery._state.random_fraction = lambda: chance
             if not first:  # else the first call after the start falls silent
                 w.discovery.say(42, [])
             await until(lambda: len(w.discovery.targets) == 4 - first)
@@ -120,7 +121,7 @@
 ) -> None:
     async def scene() -> None:
         async with world(served, drained=True, discovery=mode) as w:
-            w.sidecar._discovery._random_fraction = lambda: 0.999
+            w.sidecar._discovery._state.random_fraction = lambda: 0.999
             await fail(w, failures)
             fell_silent = w.discovery.called_at[-1]
             await until(lambda: len(w.discovery.targets) == failures + 3)
@@ -1038,8 +1039,8 @@
 
         async with world(served, drained=True, discovery=mode) as w:
             await until(lambda: w.discovery.targets)
-            whose: object = w.sidecar._discovery if where == "reading" else w.sidecar
-            what = "_read" if where == "reading" else "_list"
+            whose: object = source_connection if where == "reading" else w.sidecar
+            what = "parse_response" if where == "reading" else "_list"
             real = getattr(whose, what)
             monkeypatch.setattr(whose, what, fails)
             for _ in range(1 + (where == "reading")):  # the call under way reads as it was begun
@@ -1066,7 +1067,7 @@
         assert service.called_at[1] - service.called_at[0] == pytest.approx(7.0, abs=0.1)
         await watching.close()
         watching.set_watching(True)  # after the end nothing is begun
-        assert watching._watch is None
+        assert not watching.is_watching
         await service.end()
 
     on_clock(scene())
@@ -1090,8 +1091,8 @@
         await until(lambda: len(old.targets) == 3)
         old.answers.put_nowait(answer(503, b""))
         old.say(7, [], snapshot=True)
-        await until(lambda: not asked._fetches)
-        assert heard == [] and asked._version is None
+        await until(lambda: not asked.is_fetching)
+        assert heard == [] and asked.status().index is None
         old.say(8, [], snapshot=True)
         await until(lambda: [each.version for each in heard if isinstance(each, ListUpdate)] == [8])
         await asked.close()
@@ -1116,7 +1117,7 @@
             moved.say(7, [w.servers[1].entry()], snapshot=True)
             await until(lambda: "s-0" not in w.sidecar._engine.balancer.servers)
             w.move_discovery(moved.address)  # where it is already: nothing begins anew
-            assert w.sidecar._discovery._moves == 1
+            assert w.sidecar._discovery.source_generation == 1
             await moved.end()
 
     on_clock(scene())
@@ -1128,7 +1129,7 @@
             await until(lambda: w.discovery.targets)
             moved = FakeDiscovery()
             await moved.start()
-            w.sidecar._discovery._tell(None, silent=True)  # it is told in the next turn
+            w.sidecar._discovery._notify_failure_soon(timed_out=True)  # it is told in the next turn
             w.move_discovery(moved.address)
             await until(lambda: moved.targets)
             assert w.sidecar._engine.balancer._failed_calls == w.sidecar._engine.balancer._silent_calls == 0
@@ -1165,7 +1166,7 @@
             await until(lambda: moved.targets)
             assert (await asking)[0] == 500
         w.move_discovery(("127.0.0.1", 9))
-        assert w.sidecar._discovery._watch is None
+        assert not w.sidecar._discovery.is_watching
         await moved.end()
 
     on_clock(scene())
