--- a/sidecar_balancer/discovery/client.py
+++ b/sidecar_balancer/discovery/client.py
@@ -13,13 +13,13 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
+from sidecar_balancer.addresses import Address
 from sidecar_balancer.discovery.endpoint_list import ListUpdate
 from sidecar_balancer.discovery.source_connection import ListResponse, connect_to_source
 from sidecar_balancer.discovery.sources import STALE_AFTER_S, SourceSelector
 from sidecar_balancer.discovery.watch_events import PollFailed, WatchEvent
 from sidecar_balancer.discovery.watch_state import Poll, WatchState, full_list_poll
 from sidecar_balancer.runtime.queueing import PollTimes
-from sidecar_balancer.upstream.connection import Address
 
 log = logging.getLogger(__name__)
 
--- a/sidecar_balancer/discovery/endpoint_list.py
+++ b/sidecar_balancer/discovery/endpoint_list.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass
 from typing import Any
 
+from sidecar_balancer.addresses import Address, parse_address
 from sidecar_balancer.discovery.errors import MalformedEntryError, MalformedListError
 from sidecar_balancer.policy.events import ListedServer
 from sidecar_balancer.policy.types import ServerState
-from sidecar_balancer.upstream.connection import Address, parse_address
 
 log = logging.getLogger(__name__)
 
--- a/sidecar_balancer/discovery/source_connection.py
+++ b/sidecar_balancer/discovery/source_connection.py
@@ -9,10 +9,11 @@
 
 import h11
 
+from sidecar_balancer.addresses import Address
 from sidecar_balancer.discovery.endpoint_list import MAX_LIST_BYTES, ListUpdate, read_list
 from sidecar_balancer.discovery.errors import MalformedAgeError, SourceDisconnectedError, SourceStatusError
 from sidecar_balancer.discovery.protocol import AGE_HEADER, TAG_HEADER, Headers
-from sidecar_balancer.upstream.connection import Address, Connection, Response, connect
+from sidecar_balancer.upstream.connection import Connection, Response, connect
 
 _MAX_AGE_DIGITS = 12
 
--- a/sidecar_balancer/discovery/sources.py
+++ b/sidecar_balancer/discovery/sources.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from sidecar_balancer.upstream.connection import Address
+from sidecar_balancer.addresses import Address
 
 PREFERRED_RETURN_RANGE_S = (20.0, 60.0)  # a sidecar returns to its preferred relay after a time drawn from it
 STALE_AFTER_S = 2.5  # a relay that last heard from the registry longer ago is left for a fresher one
