--- a/sidecar_balancer/relay/app.py
+++ b/sidecar_balancer/relay/app.py
@@ -15,9 +15,9 @@
 from sidecar_balancer.discovery.endpoint_list import ListUpdate
 from sidecar_balancer.discovery.watch_events import WatchEvent
 from sidecar_balancer.observability.logs import configure_logging
-from sidecar_balancer.relay.caller import Caller
-from sidecar_balancer.relay.changelog import ChangeLog
+from sidecar_balancer.relay.change_log import ChangeLog
 from sidecar_balancer.relay.config import RelayConfig, read_relay_config
+from sidecar_balancer.relay.connection import Caller
 from sidecar_balancer.relay.service import RelayService
 from sidecar_balancer.runtime.queueing import TimedLoop, running_poll_times
 
--- a/sidecar_balancer/relay/service.py
+++ b/sidecar_balancer/relay/service.py
@@ -12,8 +12,8 @@
 from sidecar_balancer.discovery.endpoint_list import ListUpdate
 from sidecar_balancer.discovery.protocol import AGE_HEADER, TAG_HEADER
 from sidecar_balancer.discovery.sources import STALE_AFTER_S
-from sidecar_balancer.relay.caller import Caller, Headers
-from sidecar_balancer.relay.changelog import ChangeLog
+from sidecar_balancer.relay.change_log import ChangeLog
+from sidecar_balancer.relay.connection import Caller, Headers
 from sidecar_balancer.relay.requests import ListCall
 
 log = logging.getLogger(__name__)
--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -23,9 +23,9 @@
 from sidecar_balancer.discovery.watch_events import WatchEvent
 from sidecar_balancer.observability.logs import LogConfig
 from sidecar_balancer.policy.types import ServerState
-from sidecar_balancer.relay import caller as relay_caller
+from sidecar_balancer.relay import connection as relay_connection
 from sidecar_balancer.relay.app import Relay
-from sidecar_balancer.relay.changelog import ChangeLog
+from sidecar_balancer.relay.change_log import ChangeLog
 from sidecar_balancer.relay.config import RelayConfig
 from sidecar_balancer.relay.service import Limits
 from virtual import play_on_clock
@@ -591,7 +591,7 @@
     quick_s = watch_state.PROBE_WAIT_MS / 1000 + watch_state.RELAY_SLACK_S
     assert silent_s + quick_s + 1.0 < TOLD_S  # two silent relays in a row
     assert sources.STALE_AFTER_S + longest_wait_s + quick_s < TOLD_S  # one that is cut off
-    assert relay_caller.HEAD_WITHIN_S < TOLD_S
+    assert relay_connection.HEAD_WITHIN_S < TOLD_S
 
 
 def test_status_of_the_list_is_what_the_registry_says() -> None:
