--- a/sidecar_balancer/relay/change_log.py
+++ b/sidecar_balancer/relay/change_log.py
@@ -1,7 +1,7 @@
 """The list that a relay serves and the changes that led to it, in a bounded ring.  Sans-IO.
 
 Each state of the list has a tag, a digest of its content that does not depend on the order of changes.  Two
-relays with the same list have the same tag, whatever their indexes: a caller's tag proves what it lacks.
+relays with the same list have the same tag, whatever their indexes: a caller's tag identifies what it holds.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 from sidecar_balancer.discovery.endpoint_list import ListEntry, ListUpdate, entry_to_json
 from sidecar_balancer.policy.types import ServerState
 
-CHANGES_MOST = 50_000  # entries in the ring: more than the whole list twice over helps nobody
-STATES_MOST = 4096  # tags and indexes that are remembered
-CACHED_DELTAS = 64  # encoded; most callers lack the same changes
+MAX_RING_ENTRIES = 50_000  # beyond twice the full list, a delta is no smaller than a snapshot
+MAX_KNOWN_STATES = 4096  # tags and indexes
+MAX_CACHED_DELTAS = 64  # encoded; most callers lack the same changes
 
 
 @dataclass(frozen=True, slots=True)
 class EncodedEntry:
-    """An entry of the list as it goes out."""
+    """An entry of the list in its encoded form."""
 
     data: bytes
-    gone: bool  # it tells that the server left
+    is_removal: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,17 +38,17 @@
 
 
 class ChangeLog:
-    """The current list and the way there.  A revision counts the changes that this process has seen."""
+    """The current list and its recent changes.  A revision counts the changes that this process has seen."""
 
-    def __init__(self, changes_most: int = CHANGES_MOST) -> None:
-        self.index: int | None = None  # of the registry; None: no list was heard yet
+    def __init__(self, max_ring_entries: int = MAX_RING_ENTRIES) -> None:
+        self.index: int | None = None  # of the registry; None: no list was received yet
         self.revision = 0
         self._entries: dict[str, bytes] = {}
         self._digest = 0
         self._ring: deque[Change] = deque()
         self._ring_entries = 0
-        self._changes_most = changes_most
-        self._oldest = 0  # the first revision from which the ring leads to the current one
+        self._max_ring_entries = max_ring_entries
+        self._oldest_revision = 0  # from which the ring leads to the current one
         self._revisions: OrderedDict[str | int, int] = OrderedDict()  # by tag and by index
         self._deltas: OrderedDict[int, bytes] = OrderedDict()
         self._snapshot: bytes | None = None
@@ -58,7 +58,7 @@
 
     @property
     def ring_entries(self) -> int:
-        """Entries held in the ring."""
+        """Number of entries in the ring."""
         return self._ring_entries
 
     @property
@@ -67,14 +67,14 @@
         return f'"{self._digest:032x}"'
 
     def apply(self, update: ListUpdate) -> bool:
-        """Take an answer of discovery; return whether the list has changed by it."""
-        changed = self._changed(update)
+        """Apply a response of discovery; return whether it has changed the list."""
+        changed = self._changed_entries(update)
         is_first, is_new_index = self.index is None, self.index != update.version
         self.index = update.version
         if changed:
             self._append(changed)
         if is_first:
-            self._oldest = self.revision  # what led to the first list is not known
+            self._oldest_revision = self.revision  # what led to the first list is not known
         self._remember(self.tag)
         self._remember(update.version)
         if changed or is_new_index:
@@ -82,20 +82,21 @@
             self._snapshot = None
         return bool(changed)
 
-    def _changed(self, update: ListUpdate) -> dict[str, EncodedEntry]:
-        """Return the entries that differ from the list; those that left as such."""
+    def _changed_entries(self, update: ListUpdate) -> dict[str, EncodedEntry]:
+        """Return the entries that differ from the list; removed servers by their removal."""
         changed: dict[str, EncodedEntry] = {}
         for entry in update.entries:
-            self._note(entry, changed)
+            self._collect_change(entry, changed)
         if update.complete:
-            named = {each.server.server for each in update.entries}
-            for name in self._entries.keys() - named:
-                changed[name] = _tombstone(self._entries[name])
+            listed = {entry.server.server for entry in update.entries}
+            for name in self._entries.keys() - listed:
+                changed[name] = _encode_removal(self._entries[name])
         return changed
 
-    def _note(self, entry: ListEntry, changed: dict[str, EncodedEntry]) -> None:
+    def _collect_change(self, entry: ListEntry, changed: dict[str, EncodedEntry]) -> None:
         name, encoded = entry.server.server, _encode(entry)
-        if self._entries.get(name) == encoded.data or (encoded.gone and name not in self._entries):
+        is_unknown_removal = encoded.is_removal and name not in self._entries
+        if self._entries.get(name) == encoded.data or is_unknown_removal:
             changed.pop(name, None)
         else:
             changed[name] = encoded
@@ -106,53 +107,53 @@
         self.revision += 1
         self._ring.append(Change(self.revision, changed))
         self._ring_entries += len(changed)
-        while self._ring and self._ring_entries > self._changes_most:
+        while self._ring and self._ring_entries > self._max_ring_entries:
             dropped = self._ring.popleft()
             self._ring_entries -= len(dropped.entries)
-            self._oldest = dropped.revision
+            self._oldest_revision = dropped.revision
 
     def _replace(self, name: str, encoded: EncodedEntry) -> None:
-        known = self._entries.pop(name, None)
-        if known is not None:
-            self._digest ^= xxhash.xxh3_128_intdigest(known)
-        if not encoded.gone:
+        previous = self._entries.pop(name, None)
+        if previous is not None:
+            self._digest ^= xxhash.xxh3_128_intdigest(previous)
+        if not encoded.is_removal:
             self._entries[name] = encoded.data
             self._digest ^= xxhash.xxh3_128_intdigest(encoded.data)
 
     def _remember(self, state: str | int) -> None:
         self._revisions[state] = self.revision
         self._revisions.move_to_end(state)
-        while len(self._revisions) > STATES_MOST:
+        while len(self._revisions) > MAX_KNOWN_STATES:
             self._revisions.popitem(last=False)
 
     def revision_of(self, tag: str | None, index: int | None) -> int | None:
         """Return the revision that a caller holds, by its tag or else by its index.
 
-        None: it cannot be brought up to date by changes, and needs the whole list.
+        None: the ring does not lead from there to the current list, and the caller needs the full list.
         """
         revision = self._revisions.get(tag) if tag is not None else None
         if tag is None and index is not None:
             revision = self._revisions.get(index)
-        return revision if revision is not None and revision >= self._oldest else None
+        return revision if revision is not None and revision >= self._oldest_revision else None
 
     def delta(self, revision: int) -> bytes:
-        """Return the body that tells what changed since that revision, in discovery's form."""
-        if (known := self._deltas.get(revision)) is not None:
-            return known
+        """Return the body with what changed since that revision, in discovery's form."""
+        if (cached := self._deltas.get(revision)) is not None:
+            return cached
         merged: dict[str, EncodedEntry] = {}
         for change in reversed(self._ring):
             if change.revision <= revision:
                 break
             for name, entry in change.entries.items():
                 merged.setdefault(name, entry)
-        body = self._body([each.data for each in merged.values()], snapshot=False)
+        body = self._body([entry.data for entry in merged.values()], snapshot=False)
         self._deltas[revision] = body
-        while len(self._deltas) > CACHED_DELTAS:
+        while len(self._deltas) > MAX_CACHED_DELTAS:
             self._deltas.popitem(last=False)
         return body
 
     def snapshot(self) -> bytes:
-        """Return the body that tells the whole list."""
+        """Return the body with the full list."""
         if self._snapshot is None:
             self._snapshot = self._body(self._entries.values(), snapshot=True)
         return self._snapshot
@@ -164,9 +165,9 @@
 
 def _encode(entry: ListEntry) -> EncodedEntry:
     data = json.dumps(entry_to_json(entry), separators=(",", ":")).encode()
-    return EncodedEntry(data, entry.server.state is ServerState.REMOVED)
+    return EncodedEntry(data, is_removal=entry.server.state is ServerState.REMOVED)
 
 
-def _tombstone(data: bytes) -> EncodedEntry:
-    form = json.loads(data) | {"status": "left"}
-    return EncodedEntry(json.dumps(form, separators=(",", ":")).encode(), gone=True)
+def _encode_removal(data: bytes) -> EncodedEntry:
+    members = json.loads(data) | {"status": "left"}
+    return EncodedEntry(json.dumps(members, separators=(",", ":")).encode(), is_removal=True)
--- a/sidecar_balancer/relay/config.py
+++ b/sidecar_balancer/relay/config.py
@@ -5,68 +5,73 @@
 import tomllib
 from collections.abc import Mapping
 from dataclasses import dataclass
+from pathlib import Path
 from typing import Any
 
-from sidecar_balancer.addresses import Address, parse_address
+from sidecar_balancer.addresses import Address
+from sidecar_balancer.config.addresses import read_address
+from sidecar_balancer.config.values import ConfigurationError, ValueReader, read_bounded_integer
 from sidecar_balancer.observability.logs import LogConfig
-from sidecar_balancer.relay.service import Limits
 
-UPSTREAMS_MOST = 64
-CONNECTIONS_MOST = 60_000
-SNAPSHOTS_MOST = 1_000
-_KEYS = {"listen", "upstreams", "mgmt", "connections", "snapshots", "logging"}
+MAX_UPSTREAMS = 64
+MAX_CONNECTIONS = 60_000
+MAX_SNAPSHOTS = 1_000
+_KEYS = ("connections", "listen", "logging", "mgmt", "snapshots", "upstreams")
+
+
+@dataclass(frozen=True, slots=True)
+class RelayLimits:
+    """Bounds of a relay's work."""
+
+    connections: int = 2048
+    snapshots: int = 8  # full lists under way at a time
 
 
 @dataclass(frozen=True, slots=True)
 class RelayConfig:
-    """All that a relay is told."""
+    """All settings of a relay."""
 
     listen: Address
     upstreams: tuple[Address, ...]  # the registry, or other relays in order of preference
-    mgmt: Address | None  # where the operators call; None: nowhere
-    limits: Limits
+    admin_address: Address | None  # None: no admin server
+    limits: RelayLimits
     logging: LogConfig
 
 
 def read_relay_config(path: str) -> RelayConfig:
-    """Read the file; raise ValueError or OSError, saying in a line what is wrong."""
-    with open(path, "rb") as file:
-        given = tomllib.load(file)
-    if unknown := sorted(set(given) - _KEYS):
-        raise ValueError(f"{unknown[0]:.60}: no such key; known are {', '.join(sorted(_KEYS))}")
+    """Read the file.
+
+    Raises:
+        ConfigurationError: A key is unknown, absent or has a value that can't be used.
+        ValueError: The file is no TOML.
+        OSError: The file can't be read.
+    """
+    with Path(path).open("rb") as file:
+        values = tomllib.load(file)
+    ValueReader(values, "settings").reject_unknown(_KEYS)
     return RelayConfig(
-        listen=_address(given.get("listen"), "listen"),
-        upstreams=_upstreams(given),
-        mgmt=_address(given["mgmt"], "mgmt") if "mgmt" in given else None,
-        limits=Limits(
-            connections=_number(given, "connections", Limits().connections, CONNECTIONS_MOST),
-            snapshots=_number(given, "snapshots", Limits().snapshots, SNAPSHOTS_MOST),
-        ),
-        logging=LogConfig.from_mapping(given.get("logging")),
+        listen=read_address(values.get("listen"), "listen"),
+        upstreams=_read_upstreams(values.get("upstreams")),
+        admin_address=read_address(values["mgmt"], "mgmt") if "mgmt" in values else None,
+        limits=_read_limits(values),
+        logging=LogConfig.from_mapping(values.get("logging")),
     )
 
 
-def _address(value: object, key: str) -> Address:
-    if not isinstance(value, str):
-        raise ValueError(f"{key}: an address is needed")
-    try:
-        return parse_address(value)
-    except ValueError as bad:
-        raise ValueError(f"{key}: {bad}") from None
-
+def _read_upstreams(value: object) -> tuple[Address, ...]:
+    if not isinstance(value, list) or not 1 <= len(value) <= MAX_UPSTREAMS:
+        raise ConfigurationError(f"upstreams: a list of 1 to {MAX_UPSTREAMS} addresses is needed")
+    addresses = tuple(read_address(text, "upstreams") for text in value)
+    if len(set(addresses)) < len(addresses):
+        raise ConfigurationError("upstreams: an address is there twice")
+    return addresses
 
-def _upstreams(given: Mapping[str, Any]) -> tuple[Address, ...]:
-    value = given.get("upstreams")
-    if not isinstance(value, list) or not 1 <= len(value) <= UPSTREAMS_MOST:
-        raise ValueError(f"upstreams: a list of 1 to {UPSTREAMS_MOST} addresses is needed")
-    found = tuple(_address(each, "upstreams") for each in value)
-    if len(set(found)) < len(found):
-        raise ValueError("upstreams: an address is there twice")
-    return found
 
-
-def _number(given: Mapping[str, Any], key: str, default: int, most: int) -> int:
-    value = given.get(key, default)
-    if type(value) is not int or not 1 <= value <= most:
-        raise ValueError(f"{key}: a whole number in 1..{most} is needed")
-    return value
+def _read_limits(values: Mapping[str, Any]) -> RelayLimits:
+    defaults = RelayLimits()
+    connections = values.get("connections", defaults.connections)
+    snapshots = values.get("snapshots", defaults.snapshots)
+    return RelayLimits(
+        connections=read_bounded_integer(connections, "connections", 1, MAX_CONNECTIONS),
+        snapshots=read_bounded_integer(snapshots, "snapshots", 1, MAX_SNAPSHOTS),
+    )
--- a/sidecar_balancer/relay/service.py
+++ b/sidecar_balancer/relay/service.py
@@ -1,4 +1,4 @@
-"""The relay's answers: who waits for changes, who for a whole list, and how old the news is said to be."""
+"""The relay's responses: which callers wait for changes or for a full list, and the age of the list."""
 
 from __future__ import annotations
 
@@ -8,262 +8,256 @@
 from collections.abc import Callable
 from dataclasses import asdict, dataclass
 
-from sidecar_balancer.admin.server import RequestRejectedError
 from sidecar_balancer.discovery.endpoint_list import ListUpdate
-from sidecar_balancer.discovery.protocol import AGE_HEADER, TAG_HEADER
+from sidecar_balancer.discovery.protocol import AGE_HEADER, TAG_HEADER, Headers
 from sidecar_balancer.discovery.sources import STALE_AFTER_S
 from sidecar_balancer.relay.change_log import ChangeLog
-from sidecar_balancer.relay.connection import Caller, Headers
-from sidecar_balancer.relay.requests import ListCall
+from sidecar_balancer.relay.config import RelayLimits
+from sidecar_balancer.relay.connection import CallerConnection
+from sidecar_balancer.relay.errors import RelayRequestError
+from sidecar_balancer.relay.requests import ListRequest, ReadinessRequest, RelayRequest
+from sidecar_balancer.relay.snapshot_queue import SnapshotQueue
 
 log = logging.getLogger(__name__)
 
-SNAPSHOT_WAIT_S = 1.5  # how long a caller waits for its turn for a whole list; then it is sent elsewhere
-CATCH_UP_S = 1.0  # how long a caller with newer news than this relay's waits for it to catch up
-BROADCAST_EVERY_S = 0.2  # changes that come faster go out together
-_BROADCAST_STEP = 64  # callers answered in one step of the event loop
+CATCH_UP_TIMEOUT_S = 1.0  # how long a caller with a newer list waits for this relay to catch up
+BROADCAST_INTERVAL_S = 0.2  # changes that come faster go out together
+_STALENESS_MARGIN_S = 0.001  # when the timer fires, the age is over the bound
+_RESPONSES_PER_TURN = 64  # of a broadcast, so that other callers have their turn in the event loop
 
 
 @dataclass(slots=True)
 class Counters:
-    """What the relay did since its start."""
+    """What the relay did since its start; the names are those of the admin API."""
 
     calls: int = 0
     unchanged: int = 0
     deltas: int = 0
     snapshots: int = 0
-    not_ready: int = 0  # answered 503: no list yet, or behind its caller
-    busy: int = 0  # answered 503: too many whole lists were wanted at once
-    rejected: int = 0  # no proper calls
+    not_ready: int = 0  # 503: no list yet, or older than its caller's
+    busy: int = 0  # 503: too many full lists were requested at once
+    rejected: int = 0  # malformed or late requests
     over_capacity: int = 0  # connections closed unread
-    too_slow: int = 0  # callers that did not read their answer in time
+    too_slow: int = 0  # callers that did not read their response in time
     bytes_out: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
-    """Bounds of a relay's work; from its configuration."""
+class _AheadCaller:
+    """A request from a caller whose list is newer than the relay's."""
 
-    connections: int = 2048
-    snapshots: int = 8  # whole lists under way at a time
+    request: ListRequest
+    as_of: float  # when the caller's list was current, on the event loop's clock
 
 
 class RelayService:
-    """Answers callers from a change log.  It implements `CallHandler`."""
+    """Responds to callers from a change log.  It implements `ConnectionHandler`."""
 
-    def __init__(self, changelog: ChangeLog, limits: Limits, as_of: Callable[[], float]) -> None:
-        """`as_of` tells when the list was current last, on the event loop's clock."""
-        self._log = changelog
-        self._limits = limits
+    def __init__(self, change_log: ChangeLog, limits: RelayLimits, as_of: Callable[[], float]) -> None:
+        """`as_of` returns when the list was last current, on the event loop's clock."""
+        self._change_log = change_log
+        self._max_connections = limits.connections
         self._as_of = as_of
         self.counters = Counters()
-        self._callers: set[Caller] = set()
-        self._unasked: dict[Caller, None] = {}  # of these, whose call has not come, the oldest first
-        self._watchers: dict[Caller, ListCall] = {}
-        self._lagging: dict[Caller, tuple[ListCall, float]] = {}  # and as of when its caller's list is
-        self._queue: deque[Caller] = deque()  # for a whole list
-        self._sending: set[Caller] = set()  # a whole list
-        self._broadcast: asyncio.TimerHandle | None = None
-        self._broadcast_at = 0.0
-        self._staleness: asyncio.TimerHandle | None = None
+        self._connections: set[CallerConnection] = set()
+        self._without_request: dict[CallerConnection, None] = {}  # the oldest first
+        self._watchers: dict[CallerConnection, ListRequest] = {}
+        self._ahead: dict[CallerConnection, _AheadCaller] = {}
+        self._snapshots = SnapshotQueue(limits.snapshots, self._send_snapshot, self._reject_busy)
+        self._broadcast_timer: asyncio.TimerHandle | None = None
+        self._last_broadcast_at = 0.0
+        self._staleness_timer: asyncio.TimerHandle | None = None
         self._is_closed = False
 
-    # -- What comes from discovery ------------------------------------------------------------------------
+    # Updates from discovery
 
-    def update(self, update: ListUpdate) -> None:
-        """Take an answer of discovery: tell those who wait, now or with what comes next."""
-        if self._log.apply(update):
+    def apply_update(self, update: ListUpdate) -> None:
+        """Apply a response of discovery; watchers are sent what changed, now or with the next changes."""
+        if self._change_log.apply(update):
             self._plan_broadcast()
-        self._recheck_lagging()
-        self._plan_staleness()
+        self._recheck_ahead_callers()
+        self._plan_staleness_broadcast()
 
     def _plan_broadcast(self) -> None:
-        if self._broadcast is None and not self._is_closed:
+        if self._broadcast_timer is None and not self._is_closed:
             loop = asyncio.get_running_loop()
-            due = max(self._broadcast_at + BROADCAST_EVERY_S, loop.time())
-            self._broadcast = loop.call_at(due, self._start_broadcast)
+            due_at = max(self._last_broadcast_at + BROADCAST_INTERVAL_S, loop.time())
+            self._broadcast_timer = loop.call_at(due_at, self._start_broadcast)
 
     def _start_broadcast(self) -> None:
-        self._broadcast = None
-        self._broadcast_at = asyncio.get_running_loop().time()
-        self._answer_watchers()
-
-    def _answer_watchers(self) -> None:
-        self._answer_in_steps(deque(self._watchers))
-
-    def _answer_in_steps(self, callers: deque[Caller]) -> None:
-        """Answer those who still wait, some in each step: other callers must have their turn."""
-        for _ in range(min(_BROADCAST_STEP, len(callers))):
-            caller = callers.popleft()
-            if (call := self._watchers.pop(caller, None)) is not None:
-                self._answer(caller, call)
-        if callers and not self._is_closed:
-            asyncio.get_running_loop().call_soon(self._answer_in_steps, callers)
-
-    def _plan_staleness(self) -> None:
-        """When nothing more is heard, those who wait are told so: they may know a fresher relay."""
-        if self._staleness is not None:
-            self._staleness.cancel()
+        self._broadcast_timer = None
+        self._last_broadcast_at = asyncio.get_running_loop().time()
+        self._respond_to_watchers()
+
+    def _plan_staleness_broadcast(self) -> None:
+        """Respond to watchers when the list becomes stale: they may know a fresher relay."""
+        if self._staleness_timer is not None:
+            self._staleness_timer.cancel()
         if not self._is_closed:
-            due = self._as_of() + STALE_AFTER_S + 0.001
-            self._staleness = asyncio.get_running_loop().call_at(due, self._answer_watchers)
+            due_at = self._as_of() + STALE_AFTER_S + _STALENESS_MARGIN_S
+            self._staleness_timer = asyncio.get_running_loop().call_at(due_at, self._respond_to_watchers)
 
-    # -- Callers ------------------------------------------------------------------------------------------
+    def _respond_to_watchers(self) -> None:
+        self._respond_in_turns(deque(self._watchers))
 
-    def connected(self, caller: Caller) -> bool:
-        """Take a connection; beyond the bound the oldest that has asked nothing makes room, or none does."""
-        if len(self._callers) >= self._limits.connections:
+    def _respond_in_turns(self, connections: deque[CallerConnection]) -> None:
+        """Respond to those that still wait, a bounded number in each turn of the event loop."""
+        for _ in range(min(_RESPONSES_PER_TURN, len(connections))):
+            self._end_watch(connections.popleft())
+        if connections and not self._is_closed:
+            asyncio.get_running_loop().call_soon(self._respond_in_turns, connections)
+
+    # Connections
+
+    def connection_opened(self, connection: CallerConnection) -> bool:
+        """Accept a connection; beyond the bound it replaces the oldest without a request, if there is one."""
+        if len(self._connections) >= self._max_connections:
             self.counters.over_capacity += 1
-            if not self._unasked:
+            if not self._without_request:
                 return False
-            next(iter(self._unasked)).abort()
-        self._callers.add(caller)
-        self._unasked[caller] = None
+            next(iter(self._without_request)).abort()
+        self._connections.add(connection)
+        self._without_request[connection] = None
         return True
 
-    def called(self, caller: Caller, call: ListCall | None) -> None:
-        self._unasked.pop(caller, None)
-        if call is None:
-            ready = self._log.index is not None
-            caller.answer(200 if ready else 503, [], b"")
+    def request_rejected(self, connection: CallerConnection, error: RelayRequestError) -> None:
+        """Count a request that was malformed or late."""
+        self._without_request.pop(connection, None)
+        self.counters.rejected += 1
+        extra = {"event": "relay_rejected", "status": error.status}
+        log.info("a request was rejected: %d %.80s", error.status, error, extra=extra)
+
+    def response_timed_out(self) -> None:
+        """Count a caller that did not read its response in time."""
+        self.counters.too_slow += 1
+        log.info("a caller did not read its response in time", extra={"event": "relay_slow_caller"})
+
+    def connection_closed(self, connection: CallerConnection) -> None:
+        """Forget a connection that has ended."""
+        self._connections.discard(connection)
+        self._without_request.pop(connection, None)
+        self._watchers.pop(connection, None)
+        self._ahead.pop(connection, None)
+        self._snapshots.remove(connection)
+
+    # Requests
+
+    def request_received(self, connection: CallerConnection, request: RelayRequest) -> None:
+        """Respond to a request, now or later."""
+        self._without_request.pop(connection, None)
+        is_ready = self._change_log.index is not None
+        if isinstance(request, ReadinessRequest):
+            connection.respond(200 if is_ready else 503, [], b"")
             return
         self.counters.calls += 1
-        if self._log.index is None:
-            self._decline(caller, "no list was heard yet")
+        if is_ready:
+            self._serve(connection, request)
         else:
-            self._take(caller, call)
+            self._reject_not_ready(connection, "no list was heard yet")
 
-    def _take(self, caller: Caller, call: ListCall) -> None:
-        revision = self._log.revision_of(call.tag, call.after) if call.after is not None else None
-        loop = asyncio.get_running_loop()
+    def _serve(self, connection: CallerConnection, request: ListRequest) -> None:
+        change_log, revision = self._change_log, None
+        if request.after is not None:
+            revision = change_log.revision_of(request.tag, request.after)
         if revision is None:
-            caller_as_of = loop.time() - call.age_s if call.age_s is not None else None
-            if caller_as_of is not None and caller_as_of > self._as_of():
-                self._lagging[caller] = (call, caller_as_of)
-                caller.wait = loop.call_later(CATCH_UP_S, self._give_up_lagging, caller)
-            else:
-                self._want_snapshot(caller)
-        elif not call.wait_ms or (revision < self._log.revision and self._broadcast is None):
-            self._answer(caller, call)
+            self._serve_unknown(connection, request)
+        elif not request.wait_ms or (revision < change_log.revision and self._broadcast_timer is None):
+            self._respond(connection, request)
         else:
-            self._watchers[caller] = call
-            caller.wait = loop.call_later(call.wait_ms / 1000, self._end_wait, caller)
+            self._watchers[connection] = request
+            connection.start_wait(request.wait_ms / 1000, self._end_watch)
+
+    def _serve_unknown(self, connection: CallerConnection, request: ListRequest) -> None:
+        """Serve a caller whose list is not known here: it may be newer than this relay's."""
+        now = asyncio.get_running_loop().time()
+        caller_as_of = now - request.age_s if request.age_s is not None else None
+        if caller_as_of is not None and caller_as_of > self._as_of():
+            self._ahead[connection] = _AheadCaller(request, caller_as_of)
+            connection.start_wait(CATCH_UP_TIMEOUT_S, self._end_catch_up)
+        else:
+            self._snapshots.add(connection)
 
-    def _end_wait(self, caller: Caller) -> None:
-        if (call := self._watchers.pop(caller, None)) is not None:
-            self._answer(caller, call)
+    def _end_watch(self, connection: CallerConnection) -> None:
+        if (request := self._watchers.pop(connection, None)) is not None:
+            self._respond(connection, request)
 
-    def _recheck_lagging(self) -> None:
+    def _recheck_ahead_callers(self) -> None:
         as_of = self._as_of()
-        for caller, (call, caller_as_of) in list(self._lagging.items()):
-            if as_of >= caller_as_of:
-                del self._lagging[caller]
-                self._cancel_wait(caller)
-                self._take(caller, call)
-
-    def _give_up_lagging(self, caller: Caller) -> None:
-        if self._lagging.pop(caller, None) is not None:
-            self._decline(caller, "this relay is behind")
-
-    def _answer(self, caller: Caller, call: ListCall) -> None:
-        """Answer with what changed, or that nothing did."""
-        revision = self._log.revision_of(call.tag, call.after)
-        if revision is None:  # the ring has moved on meanwhile
-            self._want_snapshot(caller)
+        for connection, caller in list(self._ahead.items()):
+            if as_of >= caller.as_of:
+                del self._ahead[connection]
+                connection.cancel_wait()
+                self._serve(connection, caller.request)
+
+    def _end_catch_up(self, connection: CallerConnection) -> None:
+        if self._ahead.pop(connection, None) is not None:
+            self._reject_not_ready(connection, "this relay is behind")
+
+    # Responses
+
+    def _respond(self, connection: CallerConnection, request: ListRequest) -> None:
+        """Respond with what changed, if anything did."""
+        revision = self._change_log.revision_of(request.tag, request.after)
+        if revision is None:  # the changes were dropped meanwhile
+            self._snapshots.add(connection)
             return
-        if revision == self._log.revision:
+        if revision == self._change_log.revision:
             self.counters.unchanged += 1
         else:
             self.counters.deltas += 1
-        self._write(caller, self._log.delta(revision))
+        self._send(connection, self._change_log.delta(revision))
 
-    def _decline(self, caller: Caller, why: str) -> None:
-        self.counters.not_ready += 1
-        caller.answer(503, [("Content-Type", "text/plain")], f"{why}\n".encode())
+    def _send_snapshot(self, connection: CallerConnection) -> None:
+        self.counters.snapshots += 1
+        self._send(connection, self._change_log.snapshot())
 
-    def _write(self, caller: Caller, body: bytes) -> None:
+    def _send(self, connection: CallerConnection, body: bytes) -> None:
         self.counters.bytes_out += len(body)
         headers: Headers = [
             ("Content-Type", "application/json"),
-            (TAG_HEADER, self._log.tag),
+            (TAG_HEADER, self._change_log.tag),
             (AGE_HEADER, str(self.age_ms())),
         ]
-        caller.answer(200, headers, body)
-
-    def age_ms(self) -> int:
-        """How long ago the list was current last, in whole milliseconds, rounded up."""
-        return max(int(1000 * (asyncio.get_running_loop().time() - self._as_of())) + 1, 0)
-
-    # -- Whole lists: bounded in number, the rest wait their turn -----------------------------------------
+        connection.respond(200, headers, body)
 
-    def _want_snapshot(self, caller: Caller) -> None:
-        if len(self._sending) < self._limits.snapshots:
-            self._send_snapshot(caller)
-            return
-        self._queue.append(caller)
-        caller.wait = asyncio.get_running_loop().call_later(SNAPSHOT_WAIT_S, self._give_up_queued, caller)
-
-    def _send_snapshot(self, caller: Caller) -> None:
-        self._sending.add(caller)
-        self.counters.snapshots += 1
-        self._write(caller, self._log.snapshot())
+    def _reject_not_ready(self, connection: CallerConnection, reason: str) -> None:
+        self.counters.not_ready += 1
+        connection.respond(503, [("Content-Type", "text/plain")], f"{reason}\n".encode())
 
-    def _give_up_queued(self, caller: Caller) -> None:
-        if caller in self._queue:
-            self._queue.remove(caller)
-            self.counters.busy += 1
-            caller.answer(503, [("Retry-After", "1")], b"")
+    def _reject_busy(self, connection: CallerConnection) -> None:
+        self.counters.busy += 1
+        connection.respond(503, [("Retry-After", "1")], b"")
 
-    # -- Ends ---------------------------------------------------------------------------------------------
+    @property
+    def connection_count(self) -> int:
+        """Open connections of callers."""
+        return len(self._connections)
 
-    def rejected(self, caller: Caller, bad: RequestRejectedError) -> None:
-        self._unasked.pop(caller, None)
-        self.counters.rejected += 1
-        log.info("a call was refused: %d %.80s", bad.status, bad, extra={"event": "relay_rejected"})
+    def age_ms(self) -> int:
+        """Return how long ago the list was last current, in whole milliseconds, rounded up."""
+        return max(int(1000 * (asyncio.get_running_loop().time() - self._as_of())) + 1, 0)
 
-    def dropped(self, caller: Caller) -> None:
-        self.counters.too_slow += 1
-        log.info("a caller did not read its answer in time", extra={"event": "relay_slow_caller"})
-
-    def lost(self, caller: Caller) -> None:
-        self._callers.discard(caller)
-        self._unasked.pop(caller, None)
-        self._watchers.pop(caller, None)
-        self._lagging.pop(caller, None)
-        if caller in self._queue:
-            self._queue.remove(caller)
-        if caller in self._sending:
-            self._sending.discard(caller)
-            while self._queue and len(self._sending) < self._limits.snapshots:
-                following = self._queue.popleft()
-                self._cancel_wait(following)
-                self._send_snapshot(following)
-
-    @staticmethod
-    def _cancel_wait(caller: Caller) -> None:
-        if caller.wait is not None:
-            caller.wait.cancel()
-            caller.wait = None
+    # State
 
     def close(self) -> None:
         """End all connections and timers."""
         self._is_closed = True
-        for timer in (self._broadcast, self._staleness):
+        for timer in (self._broadcast_timer, self._staleness_timer):
             if timer is not None:
                 timer.cancel()
-        for caller in list(self._callers):
-            caller.abort()
+        for connection in list(self._connections):
+            connection.abort()
 
     def status(self) -> dict[str, object]:
-        """What the relay knows and bears now, and its counters."""
+        """Return the list's state, the load and the counters, in the form of the admin API."""
         return {
-            "index": self._log.index,
-            "servers": len(self._log),
-            "age_ms": self.age_ms() if self._log.index is not None else None,
-            "ring_entries": self._log.ring_entries,
-            "connections": len(self._callers),
+            "index": self._change_log.index,
+            "servers": len(self._change_log),
+            "age_ms": self.age_ms() if self._change_log.index is not None else None,
+            "ring_entries": self._change_log.ring_entries,
+            "connections": self.connection_count,
             "watching": len(self._watchers),
-            "snapshots_under_way": len(self._sending),
-            "snapshots_waiting": len(self._queue),
+            "snapshots_under_way": self._snapshots.sending_count,
+            "snapshots_waiting": self._snapshots.waiting_count,
             "counters": asdict(self.counters),
         }
--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -26,11 +26,11 @@
 from sidecar_balancer.relay import connection as relay_connection
 from sidecar_balancer.relay.app import Relay
 from sidecar_balancer.relay.change_log import ChangeLog
-from sidecar_balancer.relay.config import RelayConfig
-from sidecar_balancer.relay.service import Limits
+from sidecar_balancer.relay.config import RelayConfig, RelayLimits
 from virtual import play_on_clock
 
 TOLD_S = 6.0  # after the registry had a change, it is in force at every sidecar that reaches a relay
+LIMITS = RelayLimits(snapshots=2)
 Play = Callable[[Any], None]
 
 
@@ -105,7 +105,7 @@
 
 
 def test_the_ring_is_bounded_and_who_is_too_far_behind_needs_the_whole_list() -> None:
-    log = ChangeLog(changes_most=10)
+    log = ChangeLog(max_ring_entries=10)
     log.apply(update(1, entry("a"), snapshot=True))
     tags = [log.tag]
     for number in range(30):
@@ -224,13 +224,18 @@
         self.running: list[asyncio.Task[None]] = []
         self.sidecars: list[Sidecar] = []
 
-    async def add_relay(self, upstreams: list[Address], listen: Address = ("127.0.0.1", 0)) -> Relay:
-        config = RelayConfig(listen, tuple(upstreams), None, Limits(snapshots=2), LogConfig())
+    async def add_relay(
+        self,
+        upstreams: list[Address],
+        listen: Address = ("127.0.0.1", 0),
+        limits: RelayLimits = LIMITS,
+    ) -> Relay:
+        config = RelayConfig(listen, tuple(upstreams), None, limits, LogConfig())
         relay, stop = Relay(config), asyncio.Event()
         self.relays.append(relay)
         self.stops.append(stop)
         self.running.append(asyncio.create_task(relay.run(stop)))
-        await until(lambda: relay._server is not None)
+        await until(lambda: relay.is_serving)
         return relay
 
     def add_sidecars(self, count: int) -> None:
@@ -262,13 +267,13 @@
 
 
 @contextlib.asynccontextmanager
-async def plane(relays: int, sidecars: int = 6) -> AsyncIterator[Plane]:
+async def plane(relays: int, sidecars: int = 6, limits: RelayLimits = LIMITS) -> AsyncIterator[Plane]:
     registry = Registry([entry("s-0"), entry("s-1")])
     await registry.start()
     made = Plane(registry)
     try:
         for _ in range(relays):
-            await made.add_relay([registry.address])
+            await made.add_relay([registry.address], limits=limits)
         await until(lambda: all(each.service.status()["index"] is not None for each in made.relays))
         made.add_sidecars(sidecars)
         registry.change(entry("s-0", weight=2.0))
@@ -328,8 +333,7 @@
     async def scene() -> None:
         async with plane(relays=3) as p:
             for relay in p.relays[:2]:  # as if stopped: they take calls and answer none
-                monkeypatch.setattr(relay.service, "_answer", lambda *_: None)
-                monkeypatch.setattr(relay.service, "_want_snapshot", lambda *_: None)
+                monkeypatch.setattr(relay.service, "_send", lambda *_: None)
             p.registry.change(entry("s-0", status="leaving"))
             await p.in_force("s-0", "leaving")
 
@@ -340,7 +344,7 @@
     async def scene() -> None:
         async with plane(relays=2) as p:
             cut = p.relays[0]
-            await cut._discovery.close()  # it hears no more, and its sidecars still reach it
+            await cut.discovery.close()  # it hears no more, and its sidecars still reach it
             p.registry.change(entry("s-0", status="leaving"))
             await p.in_force("s-0", "leaving")
             assert {each.client.status().address for each in p.sidecars} == {
@@ -412,7 +416,7 @@
     async def scene() -> None:
         async with plane(relays=2) as p:
             behind = p.relays[1]
-            await behind._discovery.close()
+            await behind.discovery.close()
             changed = p.registry.change(entry("s-0", status="leaving"))
             await p.in_force("s-0", "leaving")
             await p.kill(0)  # the only relay left is behind
@@ -432,7 +436,7 @@
             p.sidecars.append(Sidecar([leaf.address()], p.registry.index))
             p.registry.change(entry("s-0", status="leaving"))
             await p.in_force("s-0", "leaving", within_s=1.0)
-            await p.relays[0]._discovery.close()
+            await p.relays[0].discovery.close()
             await asyncio.sleep(10.0)
             assert leaf.service.age_ms() >= 9_000
 
@@ -543,14 +547,13 @@
 
 def test_a_flood_of_connections_keeps_no_sidecar_out(on_clock: Play) -> None:
     async def scene() -> None:
-        async with plane(relays=1, sidecars=3) as p:
+        async with plane(relays=1, sidecars=3, limits=RelayLimits(connections=20, snapshots=2)) as p:
             relay = p.relays[0]
-            relay.service._limits = Limits(connections=20, snapshots=2)
             with contextlib.ExitStack() as flood:
                 for _ in range(100):
                     flood.enter_context(socket.create_connection(relay.address()))
                     await asyncio.sleep(0.001)
-                assert len(relay.service._callers) <= 21
+                assert relay.service.connection_count <= 21
                 p.registry.change(entry("s-0", status="leaving"))
                 await p.in_force("s-0", "leaving")
             assert relay.service.counters.over_capacity > 50
@@ -591,7 +594,7 @@
     quick_s = watch_state.PROBE_WAIT_MS / 1000 + watch_state.RELAY_SLACK_S
     assert silent_s + quick_s + 1.0 < TOLD_S  # two silent relays in a row
     assert sources.STALE_AFTER_S + longest_wait_s + quick_s < TOLD_S  # one that is cut off
-    assert relay_connection.HEAD_WITHIN_S < TOLD_S
+    assert relay_connection.REQUEST_TIMEOUT_S < TOLD_S
 
 
 def test_status_of_the_list_is_what_the_registry_says() -> None:
