--- a/bench/scale_hollow.py
+++ b/bench/scale_hollow.py
@@ -22,7 +22,7 @@
 from scale_edge import change, entry
 
 from helpers import settings
-from registry import Registry
+from registry import FakeRegistry
 from sidecar_balancer import Balancer
 from sidecar_balancer.addresses import Address, parse_address
 from sidecar_balancer.discovery.client import DiscoveryClient
@@ -49,13 +49,13 @@
 
 async def run_registry(servers: int) -> None:
     """Hold a list until the input ends: `change N` changes N entries one by one, `calls` tells the calls."""
-    registry = Registry([entry(number) for number in range(servers)], index=1)
+    registry = FakeRegistry([entry(number) for number in range(servers)], index=1)
     await registry.start()
     say(address="{}:{}".format(*registry.address))
     reader, turn = await lines(), 0
     while line := (await reader.readline()).decode().split():
         if line[0] == "calls":
-            say(calls=registry.calls, cpu_s=time.process_time())
+            say(calls=registry.request_count, cpu_s=time.process_time())
             continue
         times = {}
         for _ in range(int(line[1])):
--- a/tests/cluster/test_relays.py
+++ b/tests/cluster/test_relays.py
@@ -21,7 +21,7 @@
 
 from harness import PATIENCE_S, ROOT, Address, free_ports, new_host, text
 from loopback import ask, play
-from registry import Registry, entry
+from registry import FakeRegistry, entry
 
 LANES = [{"name": "look", "giveUpUs": 2_000_000, "repeat": "read_like"}]
 
@@ -76,7 +76,7 @@
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.registry = Registry([entry("s-0"), entry("s-1")])
+        self.registry = FakeRegistry([entry("s-0"), entry("s-1")])
         self.relays: list[Process] = []
         self.sidecars: list[Process] = []
 
@@ -194,7 +194,7 @@
 def test_a_registry_that_restarts_with_a_lower_index_is_followed_by_all(tmp_path: Path) -> None:
     async def scene() -> None:
         async with tier(tmp_path, relays=2) as t:
-            await t.registry.down()
+            await t.registry.go_down()
             t.registry.restart(3, [entry("s-1"), entry("s-9")])
             assert await t.states("s-0") == ["ready"] * 3  # they serve on by what they hold
             await t.registry.start()
--- a/tests/support/registry.py
+++ b/tests/support/registry.py
@@ -1,4 +1,4 @@
-"""A stand-in for the registry, by the published form: an index, changes since an index, watches that wait."""
+"""A fake registry in the published form: an index, changes since an index, and watches that wait."""
 
 from __future__ import annotations
 
@@ -12,76 +12,82 @@
 
 Entry = dict[str, Any]
 
+_LISTEN_BACKLOG = 1024
 
-def entry(name: str, **changes: Any) -> Entry:
-    """An entry of the list; no server needs to be there."""
-    given = {"name": name, "address": "127.0.0.1:9", "zone": "a", "type": "m", "group": 1}
-    return given | {"status": "active", "weight": 1.0, "since_ms": 0} | changes
 
+def entry(name: Any = "s-1", **changes: Any) -> Entry:
+    """Return an entry of the list in the published form; no server needs to run there."""
+    members = {"name": name, "address": "127.0.0.1:9", "zone": "a", "type": "m", "group": 1}
+    return members | {"status": "active", "weight": 1.0, "since_ms": 0} | changes
 
-class Registry(Listening):
-    """Holds a list and answers calls; `hold` makes it fall silent, `restart` loses what it told before."""
+
+class FakeRegistry(Listening):
+    """Holds a list and serves it; `is_unresponsive` lets requests wait for ever."""
 
     def __init__(self, entries: list[Entry] | None = None, index: int = 100) -> None:
         self.index = index
-        self.entries = {each["name"]: each for each in entries or []}
+        self.entries = {listed["name"]: listed for listed in entries or []}
         self.changes: list[tuple[int, Entry]] = []
-        self.calls = 0
-        self.is_silent = False
-        self._oldest = index  # the index from which changes are known
-        self._news = asyncio.Event()
+        self.request_count = 0
+        self.is_unresponsive = False
+        self._oldest_index = index  # from which changes are known
+        self._changed = asyncio.Event()
         self._port = 0
 
     async def start(self) -> None:
         self._serving = set()
-        self._server = await asyncio.start_server(self._connected, "127.0.0.1", self._port, backlog=1024)
+        self._server = await asyncio.start_server(
+            self._connected, "127.0.0.1", self._port, backlog=_LISTEN_BACKLOG
+        )
         self.address = self._server.sockets[0].getsockname()[:2]
         self._port = self.address[1]
 
     def change(self, *changed: Entry) -> int:
-        """Change entries in one step; return the index of that."""
+        """Change entries in one step; return the index of that step."""
         self.index += 1
-        for each in changed:
-            self.changes.append((self.index, each))
-            self.entries[each["name"]] = each
-            if each["status"] == "left":
-                del self.entries[each["name"]]
-        self._wake()
+        for listed in changed:
+            self.changes.append((self.index, listed))
+            self.entries[listed["name"]] = listed
+            if listed["status"] == "left":
+                del self.entries[listed["name"]]
+        self._wake_watches()
         return self.index
 
     def restart(self, index: int, entries: list[Entry]) -> None:
-        """Come back with another index, and no memory of changes before it."""
-        self.index = self._oldest = index
+        """Continue with another index, and without the changes before it."""
+        self.index = self._oldest_index = index
         self.changes.clear()
-        self.entries = {each["name"]: each for each in entries}
-        self._wake()
+        self.entries = {listed["name"]: listed for listed in entries}
+        self._wake_watches()
 
-    async def down(self) -> None:
-        """Refuse connections and break those that are open."""
+    async def go_down(self) -> None:
+        """Refuse connections and break those that are open; `start` serves again at the same address."""
         await self.end()
 
-    def _wake(self) -> None:
-        self._news.set()
-        self._news = asyncio.Event()
+    def _wake_watches(self) -> None:
+        self._changed.set()
+        self._changed = asyncio.Event()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
-            first, _, _ = await read_message(reader)
-            self.calls += 1
-            given = {k: v[0] for k, v in parse_qs(urlsplit(first.split(" ")[1]).query).items()}
-            after = int(given["after"]) if "after" in given else None
-            if after == self.index and not self.is_silent:
+            request_line, _, _ = await read_message(reader)
+            self.request_count += 1
+            query = parse_qs(urlsplit(request_line.split(" ")[1]).query)
+            parameters = {name: values[0] for name, values in query.items()}
+            after = int(parameters["after"]) if "after" in parameters else None
+            if after == self.index and not self.is_unresponsive:
                 with contextlib.suppress(TimeoutError):
-                    await asyncio.wait_for(self._news.wait(), int(given.get("wait_ms", 0)) / 1000)
-            if self.is_silent:
+                    wait_s = int(parameters.get("wait_ms", 0)) / 1000
+                    await asyncio.wait_for(self._changed.wait(), wait_s)
+            if self.is_unresponsive:
                 await reader.read()  # until the caller gives up
                 return
-            writer.write(answer(200, json.dumps(self._answer(after)).encode()))
+            writer.write(answer(200, json.dumps(self._list_after(after)).encode()))
             await writer.drain()
         writer.close()
 
-    def _answer(self, after: int | None) -> dict[str, Any]:
-        if after is None or not self._oldest <= after <= self.index:
+    def _list_after(self, after: int | None) -> dict[str, Any]:
+        if after is None or not self._oldest_index <= after <= self.index:
             return {"index": self.index, "snapshot": True, "endpoints": list(self.entries.values())}
-        changed = {each["name"]: each for index, each in self.changes if index > after}
+        changed = {listed["name"]: listed for index, listed in self.changes if index > after}
         return {"index": self.index, "snapshot": False, "endpoints": list(changed.values())}
--- a/tests/support/virtual.py
+++ b/tests/support/virtual.py
@@ -10,7 +10,7 @@
 import os
 import selectors
 import time
-from collections.abc import Coroutine
+from collections.abc import Callable, Coroutine
 from types import SimpleNamespace
 from typing import Any
 
@@ -20,6 +20,8 @@
 from sidecar_balancer.runtime import clock, sidecar
 from sidecar_balancer.runtime.queueing import PollTimes
 
+RunScene = Callable[[Coroutine[Any, Any, None]], None]
+
 _REAL_WAIT_S = 0.001  # before the clock moves on: what is under way in the kernel arrives by then
 _MOST_S = 600.0  # of the clock, for one scene
 
