--- a/tests/cluster/test_relays.py
+++ b/tests/cluster/test_relays.py
@@ -1,7 +1,6 @@
-"""Relays as processes: a registry stand-in, relays and sidecars, with faults between.
+"""Relays as processes: a fake registry, relays and sidecars, with faults between them.
 
-No time is measured here; what must come within 6 s is shown on a clock of its own in
-tests/relay/test_relay.py.
+No time is measured here; tests/relay/test_failover.py shows on a virtual clock what must come within 6 s.
 """
 
 from __future__ import annotations
@@ -13,7 +12,7 @@
 import signal
 import sys
 import tomllib
-from collections.abc import AsyncIterator, Callable
+from collections.abc import AsyncIterator, Awaitable, Callable
 from pathlib import Path
 from typing import Any
 
@@ -24,24 +23,28 @@
 from registry import FakeRegistry, entry
 
 LANES = [{"name": "look", "giveUpUs": 2_000_000, "repeat": "read_like"}]
+POLL_INTERVAL_S = 0.05
+ADMIN_TIMEOUT_S = 2.0
 
 
-async def until(condition: Callable[[], Any]) -> None:
+async def until(condition: Callable[[], Awaitable[object]]) -> None:
     """Wait until an asynchronous condition holds."""
     async with asyncio.timeout(2 * PATIENCE_S):
-        while not await condition():
-            await asyncio.sleep(0.05)
+        while True:
+            if await condition():
+                return
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
 class Process:
-    """A relay or a sidecar, and the operators' door that it has."""
+    """A relay or a sidecar as a process, and its admin server."""
 
-    def __init__(self, name: str, listen: Address, door: Address) -> None:
-        self.name, self.listen, self.door = name, listen, door
-        self.process: asyncio.subprocess.Process | None = None
+    def __init__(self, name: str, listen: Address, admin: Address) -> None:
+        self.name, self.listen, self.admin = name, listen, admin
+        self._process: asyncio.subprocess.Process | None = None
 
     async def start(self, *command: str, **environ: str) -> None:
-        self.process = await asyncio.create_subprocess_exec(
+        self._process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             *command,
@@ -50,29 +53,29 @@
             stderr=asyncio.subprocess.DEVNULL,
         )
 
-    def signal(self, number: signal.Signals) -> None:
-        assert self.process is not None
-        self.process.send_signal(number)
+    def send_signal(self, number: signal.Signals) -> None:
+        assert self._process is not None
+        self._process.send_signal(number)
 
     async def end(self) -> None:
-        if self.process is not None and self.process.returncode is None:
+        if self._process is not None and self._process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
-                self.process.send_signal(signal.SIGCONT)
-                self.process.kill()
-            await self.process.wait()
+                self._process.send_signal(signal.SIGCONT)
+                self._process.kill()
+            await self._process.wait()
 
     async def get(self, path: str) -> dict[str, Any] | None:
-        """Ask the door; None where it does not answer."""
-        call = f"GET /api/{path} HTTP/1.1\r\nHost: x\r\n\r\n".encode()
+        """Request a path of the admin API; None where no object comes back."""
+        request = f"GET /api/{path} HTTP/1.1\r\nHost: x\r\n\r\n".encode()
         try:
-            status, _, body = await asyncio.wait_for(ask(self.door, call), 2.0)
+            status, _, body = await asyncio.wait_for(ask(self.admin, request), ADMIN_TIMEOUT_S)
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             return None
         return json.loads(body) if status == 200 and body.startswith(b"{") else None
 
 
-class RelayTier:
-    """A registry, relays and sidecars."""
+class ProcessTier:
+    """A registry in this process, and relays and sidecars as processes."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -80,22 +83,22 @@
         self.relays: list[Process] = []
         self.sidecars: list[Process] = []
 
-    async def open(self, relays: int, sidecars: int) -> None:
+    async def start(self, relays: int, sidecars: int) -> None:
         await self.registry.start()
         ports = free_ports(new_host(), 2 * (relays + sidecars))
         for number in range(relays):
             self.relays.append(Process(f"relay-{number}", ports.pop(), ports.pop()))
             await self.start_relay(number)
-        await until(self.relays_know)
+        await until(self.relays_have_a_list)
         for number in range(sidecars):
             sidecar = Process(f"sidecar-{number}", ports.pop(), ports.pop())
             self.sidecars.append(sidecar)
             await self.start_sidecar(sidecar)
         await self.in_force("s-0", "ready")
 
-    async def relays_know(self) -> bool:
-        told = [await each.get("status") for each in self.relays]
-        return all(each is not None and each["index"] is not None for each in told)
+    async def relays_have_a_list(self) -> bool:
+        statuses = [await relay.get("status") for relay in self.relays]
+        return all(status is not None and status["index"] is not None for status in statuses)
 
     async def start_relay(self, number: int) -> None:
         relay = self.relays[number]
@@ -103,7 +106,7 @@
         lines = [
             f'listen = "{text(relay.listen)}"',
             f'upstreams = ["{text(self.registry.address)}"]',
-            f'mgmt = "{text(relay.door)}"',
+            f'mgmt = "{text(relay.admin)}"',
         ]
         path.write_text("\n".join(lines))
         await relay.start("sidecar_balancer.cli", "relay", "--config", str(path))
@@ -112,127 +115,131 @@
         platform = {
             "name": sidecar.name,
             "listen": text(sidecar.listen),
-            "discovery": "127.0.0.1:1",  # nobody is there: the list comes by the relays alone
-            "mgmt": text(sidecar.door),
+            "discovery": "127.0.0.1:1",  # nothing listens there: the list comes by the relays alone
+            "mgmt": text(sidecar.admin),
             "seed": "7",
             "settings": {"lanes": LANES, "discovery": "on_request"},
         }
         config, own = self.folder / f"{sidecar.name}.json", self.folder / f"{sidecar.name}.toml"
         config.write_text(json.dumps(platform))
-        own.write_text("".join(f'[[relays]]\naddress = "{text(each.listen)}"\n' for each in self.relays))
+        own.write_text("".join(f'[[relays]]\naddress = "{text(relay.listen)}"\n' for relay in self.relays))
         assert len(tomllib.loads(own.read_text())["relays"]) == len(self.relays)
         await sidecar.start("sidecar_balancer", RELAY_CONFIG=str(config), WEIRLOCK_CONFIG=str(own))
 
     async def states(self, name: str) -> list[str | None]:
-        told = [await each.get("servers") for each in self.sidecars]
-        return [None if each is None or name not in each else each[name]["state"] for each in told]
+        """Return a server's state at each sidecar; None: it is not listed there."""
+        views = [await sidecar.get("servers") for sidecar in self.sidecars]
+        return [None if view is None or name not in view else view[name]["state"] for view in views]
 
     async def in_force(self, name: str, state: str | None) -> None:
-        """Wait until every sidecar has a server in that state (None: it has left the list)."""
+        """Wait until every sidecar has a server in that state (None: it was removed from the list)."""
 
-        async def holds() -> bool:
-            told = [await each.get("servers") for each in self.sidecars]
-            known = [each is not None and (each.get(name) or {}).get("state") == state for each in told]
-            return all(known)
+        async def is_in_force() -> bool:
+            views = [await sidecar.get("servers") for sidecar in self.sidecars]
+            return all(view is not None and (view.get(name) or {}).get("state") == state for view in views)
 
-        await until(holds)
+        await until(is_in_force)
 
     async def sources(self) -> list[str]:
-        told = [await each.get("status") for each in self.sidecars]
-        return [each["discovery"]["address"] for each in told if each is not None]
+        """Return the address that each sidecar polls."""
+        statuses = [await sidecar.get("status") for sidecar in self.sidecars]
+        return [status["discovery"]["address"] for status in statuses if status is not None]
 
-    async def close(self) -> None:
-        for each in (*self.sidecars, *self.relays):
-            await each.end()
+    async def end(self) -> None:
+        for process in (*self.sidecars, *self.relays):
+            await process.end()
         await self.registry.end()
 
 
 @contextlib.asynccontextmanager
-async def tier(folder: Path, relays: int, sidecars: int = 3) -> AsyncIterator[RelayTier]:
-    made = RelayTier(folder)
+async def process_tier(folder: Path, relays: int, sidecars: int = 3) -> AsyncIterator[ProcessTier]:
+    tier = ProcessTier(folder)
     try:
-        await made.open(relays, sidecars)
-        yield made
+        await tier.start(relays, sidecars)
+        yield tier
     finally:
-        await made.close()
+        await tier.end()
 
 
-def test_a_killed_relay_is_left_and_comes_back_with_nothing(tmp_path: Path) -> None:
+def test_sidecars_fail_over_from_a_killed_relay_and_to_one_that_restarted(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with tier(tmp_path, relays=2) as t:
-            t.relays[0].signal(signal.SIGKILL)
-            t.registry.change(entry("s-0", status="leaving"))
-            await t.in_force("s-0", "draining")
-            assert set(await t.sources()) == {text(t.relays[1].listen)}
-            await t.relays[0].end()
-            await t.start_relay(0)
-            await until(t.relays_know)
-            t.relays[1].signal(signal.SIGKILL)
-            t.registry.change(entry("s-1", status="leaving"))
-            await t.in_force("s-1", "draining")
+        async with process_tier(tmp_path, relays=2) as tier:
+            tier.relays[0].send_signal(signal.SIGKILL)
+            tier.registry.change(entry("s-0", status="leaving"))
+            await tier.in_force("s-0", "draining")
+            assert set(await tier.sources()) == {text(tier.relays[1].listen)}
+            await tier.relays[0].end()
+            await tier.start_relay(0)
+            await until(tier.relays_have_a_list)
+            tier.relays[1].send_signal(signal.SIGKILL)
+            tier.registry.change(entry("s-1", status="leaving"))
+            await tier.in_force("s-1", "draining")
 
     play(scene())
 
 
-def test_a_stopped_relay_is_left_and_its_old_news_are_not_taken_when_it_wakes(tmp_path: Path) -> None:
+def test_the_old_list_of_a_stopped_relay_is_not_applied_when_it_continues(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with tier(tmp_path, relays=2) as t:
-            t.relays[0].signal(signal.SIGSTOP)
-            t.registry.change(entry("s-0", status="leaving"))
-            await t.in_force("s-0", "draining")
-            t.registry.change(entry("s-0", status="left"), entry("s-2"))
-            await t.in_force("s-2", "ready")
-            t.relays[0].signal(signal.SIGCONT)
-            t.relays[1].signal(signal.SIGKILL)
-            t.registry.change(entry("s-3"))
-            await t.in_force("s-3", "ready")
-            assert await t.states("s-0") == [None] * 3
+        async with process_tier(tmp_path, relays=2) as tier:
+            tier.relays[0].send_signal(signal.SIGSTOP)
+            tier.registry.change(entry("s-0", status="leaving"))
+            await tier.in_force("s-0", "draining")
+            tier.registry.change(entry("s-0", status="left"), entry("s-2"))
+            await tier.in_force("s-2", "ready")
+            tier.relays[0].send_signal(signal.SIGCONT)
+            tier.relays[1].send_signal(signal.SIGKILL)
+            tier.registry.change(entry("s-3"))
+            await tier.in_force("s-3", "ready")
+            assert await tier.states("s-0") == [None] * 3
 
     play(scene())
 
 
 def test_a_registry_that_restarts_with_a_lower_index_is_followed_by_all(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with tier(tmp_path, relays=2) as t:
-            await t.registry.go_down()
-            t.registry.restart(3, [entry("s-1"), entry("s-9")])
-            assert await t.states("s-0") == ["ready"] * 3  # they serve on by what they hold
-            await t.registry.start()
-            await t.in_force("s-9", "ready")
-            await t.in_force("s-0", None)
-            t.registry.change(entry("s-1", status="leaving"))
-            await t.in_force("s-1", "draining")
+        async with process_tier(tmp_path, relays=2) as tier:
+            await tier.registry.go_down()
+            tier.registry.restart(3, [entry("s-1"), entry("s-9")])
+            assert await tier.states("s-0") == ["ready"] * 3  # they keep the list that they hold
+            await tier.registry.start()
+            await tier.in_force("s-9", "ready")
+            await tier.in_force("s-0", None)
+            tier.registry.change(entry("s-1", status="leaving"))
+            await tier.in_force("s-1", "draining")
 
     play(scene())
 
 
-def test_the_door_tells_source_index_and_age(tmp_path: Path) -> None:
+def test_the_admin_api_shows_source_index_and_age(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with tier(tmp_path, relays=1, sidecars=1) as t:
-            index = t.registry.change(entry("s-0", status="leaving"))
-            await t.in_force("s-0", "draining")
-            told = await t.sidecars[0].get("status")
-            assert told is not None
-            discovery = told["discovery"]
-            assert (discovery["address"], discovery["index"]) == (text(t.relays[0].listen), index)
-            assert 0.0 <= discovery["age_s"] < PATIENCE_S and discovery["sources"] == 1
-            relay = await t.relays[0].get("status")
-            assert relay is not None and relay["index"] == index and relay["servers"] == 2
+        async with process_tier(tmp_path, relays=1, sidecars=1) as tier:
+            index = tier.registry.change(entry("s-0", status="leaving"))
+            await tier.in_force("s-0", "draining")
+            sidecar = await tier.sidecars[0].get("status")
+            assert sidecar is not None
+            discovery = sidecar["discovery"]
+            assert (discovery["address"], discovery["index"]) == (text(tier.relays[0].listen), index)
+            assert 0.0 <= discovery["age_s"] < PATIENCE_S
+            assert discovery["sources"] == 1
+            relay = await tier.relays[0].get("status")
+            assert relay is not None
+            assert (relay["index"], relay["servers"]) == (index, 2)
 
     play(scene())
 
 
-async def ends_with_one_line(*command: str, **environ: str) -> None:
-    """Start a program with a bad configuration: it ends with exit code 2 and says why in one line."""
+async def assert_ends_with_one_line(*command: str, **environ: str) -> None:
+    """Start a program with a bad configuration: it ends with exit code 2 and the reason in one line."""
     process = await asyncio.create_subprocess_exec(
         *(sys.executable, "-m", *command),
         cwd=ROOT,
         env=os.environ | environ,
         stderr=asyncio.subprocess.PIPE,
     )
-    _, said = await asyncio.wait_for(process.communicate(), PATIENCE_S)
+    _, error_output = await asyncio.wait_for(process.communicate(), PATIENCE_S)
     assert process.returncode == 2
-    assert said.startswith(b"bad configuration: ") and said.count(b"\n") == 1
+    assert error_output.startswith(b"bad configuration: ")
+    assert error_output.count(b"\n") == 1
 
 
 @pytest.mark.parametrize(
@@ -255,7 +262,7 @@
     async def scene() -> None:
         path = tmp_path / "relay.toml"
         path.write_text(config)
-        await ends_with_one_line("sidecar_balancer.cli", "relay", "--config", str(path))
+        await assert_ends_with_one_line("sidecar_balancer.cli", "relay", "--config", str(path))
 
     play(scene())
 
@@ -275,9 +282,11 @@
 def test_bad_relays_of_a_sidecar_end_its_start_with_one_line(relays: str, tmp_path: Path) -> None:
     async def scene() -> None:
         config, own = tmp_path / "config.json", tmp_path / "own.toml"
-        given = {"listen": "127.0.0.1:9", "discovery": "127.0.0.1:1", "settings": {"lanes": LANES}}
-        config.write_text(json.dumps(given))
+        platform = {"listen": "127.0.0.1:9", "discovery": "127.0.0.1:1", "settings": {"lanes": LANES}}
+        config.write_text(json.dumps(platform))
         own.write_text(relays)
-        await ends_with_one_line("sidecar_balancer", RELAY_CONFIG=str(config), WEIRLOCK_CONFIG=str(own))
+        await assert_ends_with_one_line(
+            "sidecar_balancer", RELAY_CONFIG=str(config), WEIRLOCK_CONFIG=str(own)
+        )
 
     play(scene())
