--- a/bench/membership.py
+++ b/bench/membership.py
@@ -16,9 +16,9 @@
 import time
 from collections.abc import Callable
 
-from sidecar_balancer.membership.codec import Status, WireVerdict
+from sidecar_balancer.membership.gossip import transmit_limit
+from sidecar_balancer.membership.messages import MemberStatus, WireVerdict
 from sidecar_balancer.membership.settings import MembershipSettings
-from sidecar_balancer.membership.swim import retransmits
 from simnet import SimNet
 
 STEP_MS = 5
@@ -27,7 +27,7 @@
 
 def spread_bound(size: int, tuning: MembershipSettings) -> float:
     """Periods within which a verdict reaches all (docs/membership.md): ceil(log2 N) doublings, R more."""
-    return math.ceil(math.log2(size)) + retransmits(size, tuning)
+    return math.ceil(math.log2(size)) + transmit_limit(size, tuning.retransmit_mult)
 
 
 def death_bound(size: int, tuning: MembershipSettings) -> float:
@@ -55,7 +55,7 @@
     spread = until(
         net,
         lambda: all(
-            net.members[each].agreeing(net.clock(each), SERVER, WireVerdict.EJECTED)
+            net.members[each].tier.agreeing_members(net.clock(each), SERVER, WireVerdict.EJECTED)
             for each in net.live()
             if each != origin
         ),
@@ -63,7 +63,7 @@
     )
     victim = (origin + 1) % size
     net.down.add(victim)
-    death = until(net, lambda: net.statuses(victim) == {Status.DEAD}, 30_000)
+    death = until(net, lambda: net.statuses(victim) == {MemberStatus.DEAD}, 30_000)
     span_s = (net.now - at) / 1e6
     bytes_s = (net.sent_bytes - sent_before) / span_s / size
     cpu_share = (time.process_time() - cpu_before) / span_s / size
--- a/bench/scale_membership.py
+++ b/bench/scale_membership.py
@@ -6,7 +6,7 @@
 
 from scale_fit import Series
 
-from sidecar_balancer.membership.codec import Status
+from sidecar_balancer.membership.messages import MemberStatus
 from sidecar_balancer.membership.settings import MembershipSettings
 from sidecar_balancer.membership.swim import Swim
 
@@ -24,7 +24,7 @@
 
 def _tick_us(size: int, seed: int) -> float:
     member = Swim(0, size, seed, MembershipSettings())
-    member.restore_members(0, dict.fromkeys(range(1, size), (Status.ALIVE, 0)))
+    member.members.restore_others(0, dict.fromkeys(range(1, size), (MemberStatus.ALIVE, 0)))
     period_us = 1000 * MembershipSettings().period_ms
     began = time.process_time()
     for period in range(1, PERIODS + 1):
--- a/sidecar_balancer/lease/manager.py
+++ b/sidecar_balancer/lease/manager.py
@@ -1,10 +1,6 @@
-"""The duties that one sidecar of a tier does for all, on the leases of `core`, over the peer plane.
+"""The leases of one tier at one of its sidecars, and the fenced commands of their holders.
 
-- `zones`: probe the zones that were left and tell all when one answers again;
-- `snapshot`: write the tier's shared snapshot (sidecar_balancer/persistence/tier_snapshot.py).
-
-Each act of a duty carries the lease's token; a receiver takes no act with a token older than one it has seen
-(`Fence`), and each act once.
+Sans-IO: the caller carries the messages and commands between members.
 """
 
 from __future__ import annotations
@@ -13,126 +9,152 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 from enum import IntEnum
-from typing import Any
+from typing import NamedTuple
 
-from sidecar_balancer.lease.protocol import Fence, Kind, LeaseProtocol, LeaseTiming, Message
-from sidecar_balancer.membership.codec import ActUpdate, LeaseUpdate
+from sidecar_balancer.lease.fencing import CommandVerb, Fence, FencedCommand
+from sidecar_balancer.lease.protocol import (
+    LeaseCounters,
+    LeaseMessage,
+    LeaseProtocol,
+    LeaseTiming,
+    OutgoingLeaseMessage,
+)
 
-NAMES = ("zones", "snapshot")
-ACTS_KEPT = 64  # for the operators' view
-SUBJECTS_MOST = 256  # acts on so many subjects are remembered
+ISSUED_COMMANDS_RETAINED = 64  # for the operators' view
+COMMAND_SUBJECTS_MAX = 256  # subjects whose latest command is remembered
+_INCARNATION_MASK = 0x3FFF_FFFF  # request numbers go on from it and must stay below 2**32
 
 
 class TierLease(IntEnum):
     """The leases of a tier, by their number in datagrams."""
 
-    ZONES = 0
-    SNAPSHOT = 1
+    ZONES = 0  # the holder probes evacuated zones for the tier
+    SNAPSHOT = 1  # the holder writes the tier's shared snapshot
 
 
-class CommandVerb(IntEnum):
-    """What a fenced command reports, by its number in datagrams."""
+@dataclass(frozen=True, slots=True)
+class IssuedCommand:
+    """A command of this member, with the µs of its monotonic clock at which it was issued."""
 
-    ZONE_RECOVERED = 1
-    SNAPSHOT_WRITTEN = 2
+    issued_us: int
+    lease: TierLease
+    token: int
+    subject: str
 
 
-@dataclass(frozen=True, slots=True)
-class Done:
-    """An act of this member: when (us, monotonic), of which duty, under which token, on what."""
+class _CommandSubject(NamedTuple):
+    lease: int
+    subject: str
 
-    at_us: int
-    duty: int
+
+class _CommandVersion(NamedTuple):
     token: int
-    subject: str
+    sequence: int
+
+
+_BEFORE_ANY_COMMAND = _CommandVersion(0, -1)
 
 
 class LeaseManager:
-    """Member `me` of `size`; `life` is any number that no earlier start of this member used."""
-
-    def __init__(self, me: int, size: int, life: int, terms: LeaseTiming, now_us: int) -> None:
-        self.leases = LeaseProtocol(me, size, len(NAMES), terms, now_us, life=life & 0x3FFF_FFFF)
-        self.fence = Fence()
-        self.done: deque[Done] = deque(maxlen=ACTS_KEPT)
-        self.taken = 0  # acts of others that were new and in force
-        self._counter = 0
-        self._seen: dict[tuple[int, str], tuple[int, int]] = {}
-
-    def tick(self, now_us: int, alive: Iterable[int]) -> list[tuple[int, LeaseUpdate]]:
-        return _posts(self.leases.tick(now_us, alive))
-
-    def receive(self, now_us: int, sender: int, update: LeaseUpdate) -> list[tuple[int, LeaseUpdate]]:
-        """A lease's message from `sender`; one of no known kind is dropped and counted."""
-        if update.kind not in _KINDS:
-            self.leases.counts.dropped += 1
-            return []
-        message = Message(Kind(update.kind), update.duty, update.epoch, update.ask)
-        return _posts(self.leases.receive(now_us, sender, message))
+    """The leases of `TierLease` at member `member` of `size`.
+
+    `seed` may be any number that no earlier run of this member used.
+    """
+
+    def __init__(self, member: int, size: int, seed: int, timing: LeaseTiming, now_us: int) -> None:
+        self._protocol = LeaseProtocol(
+            member, size, len(TierLease), timing, now_us, incarnation=seed & _INCARNATION_MASK
+        )
+        self._fence = Fence()
+        self._issued: deque[IssuedCommand] = deque(maxlen=ISSUED_COMMANDS_RETAINED)
+        self._sequence = 0
+        self._latest: dict[_CommandSubject, _CommandVersion] = {}
+        self._accepted_count = 0
+
+    # -- Protocol ---------------------------------------------------------------------------------------
+
+    def tick(self, now_us: int, alive: Iterable[int]) -> list[OutgoingLeaseMessage]:
+        """Advance the protocol; see `LeaseProtocol.tick`."""
+        return self._protocol.tick(now_us, alive)
+
+    def receive(self, now_us: int, sender: int, message: LeaseMessage) -> list[OutgoingLeaseMessage]:
+        """Handle a message of the protocol and return the replies."""
+        return self._protocol.receive(now_us, sender, message)
+
+    def drop_unknown_message(self) -> None:
+        """Count a message of a kind that the protocol does not know."""
+        self._protocol.counters.dropped += 1
 
     def due_us(self, now_us: int) -> int:
-        return self.leases.due(now_us)
+        """The latest time at which `tick` is needed next."""
+        return self._protocol.due_us(now_us)
+
+    def token(self, lease: TierLease, now_us: int) -> int:
+        """The fencing token while this member holds the lease, else 0."""
+        return self._protocol.token(lease, now_us)
 
-    def holds(self, duty: int, now_us: int) -> int:
-        """The fencing token while this member holds the duty, else 0."""
-        return self.leases.holds(duty, now_us)
+    def highest_epochs(self) -> dict[TierLease, int]:
+        """The highest epoch known of each lease."""
+        return {lease: self._protocol.states[lease].highest_epoch for lease in TierLease}
 
-    def issue_command(self, now_us: int, duty: int, subject: str, verb: int) -> ActUpdate | None:
-        """An act to tell the tier; None where the duty is not (or no longer) held."""
-        token = self.holds(duty, now_us)
-        if not token or not self.fence.admit(duty, token):
+    def restore_epoch(self, lease: int, epoch: int) -> None:
+        """Start from an epoch that an earlier run knew; a lease of an unknown number is ignored."""
+        if 0 <= lease < len(TierLease):
+            state = self._protocol.states[lease]
+            state.highest_epoch = max(state.highest_epoch, epoch)
+
+    # -- Fenced commands --------------------------------------------------------------------------------
+
+    def issue_command(
+        self, now_us: int, lease: TierLease, subject: str, verb: CommandVerb
+    ) -> FencedCommand | None:
+        """A new command for all members; None where this member does not hold the lease (any longer)."""
+        token = self.token(lease, now_us)
+        if not token or not self._fence.admit(lease, token):
             return None
-        self._counter += 1
-        self.done.append(Done(now_us, duty, token, subject))
-        act = ActUpdate(duty, token, self._counter, subject, verb)
-        self._note(act)
-        return act
-
-    def accept_command(self, act: ActUpdate) -> bool:
-        """Whether an act of another is new and in force."""
-        if act.duty >= len(NAMES):
+        self._sequence += 1
+        self._issued.append(IssuedCommand(now_us, lease, token, subject))
+        command = FencedCommand(lease, token, self._sequence, subject, verb)
+        self._remember(command)
+        return command
+
+    def accept_command(self, command: FencedCommand) -> bool:
+        """Whether a command of another member is new and its token not outdated."""
+        if command.lease >= len(TierLease):
             return False
-        if (act.token, act.counter) <= self._seen.get((act.duty, act.subject), (0, -1)):
+        latest = self._latest.get(_CommandSubject(command.lease, command.subject), _BEFORE_ANY_COMMAND)
+        if _CommandVersion(command.token, command.sequence) <= latest:
             return False
-        if not self.fence.admit(act.duty, act.token):
+        if not self._fence.admit(command.lease, command.token):
             return False
-        self._note(act)
-        self.taken += 1
+        self._remember(command)
+        self._accepted_count += 1
         return True
 
-    def highest_epochs(self) -> dict[int, int]:
-        """The highest epoch known of each lease, by its number."""
-        return {number: lease.highest for number, lease in enumerate(self.leases.table)}
-
-    def restore_epoch(self, lease: int, epoch: int) -> None:
-        """Start from an epoch that an earlier run knew; a lease of an unknown number is ignored."""
-        if 0 <= lease < len(self.leases.table):
-            state = self.leases.table[lease]
-            state.highest = max(state.highest, epoch)
-
-    def _note(self, act: ActUpdate) -> None:
-        self._seen[(act.duty, act.subject)] = (act.token, act.counter)
-        while len(self._seen) > SUBJECTS_MOST:
-            del self._seen[next(iter(self._seen))]
-
-    def describe(self, now_us: int) -> dict[str, Any]:
-        """For the operators: the token of each duty held, acts done, acts fenced off."""
-        held = {name: self.holds(number, now_us) for number, name in enumerate(NAMES)}
-        knows = {name: duty.highest for name, duty in zip(NAMES, self.leases.table, strict=True)}
-        counts = self.leases.counts
-        return {
-            "held": held,
-            "highest": knows,
-            "acts": [[each.at_us, NAMES[each.duty], each.token, each.subject] for each in self.done],
-            "taken": self.taken,
-            "fenced": self.fence.refused,
-            "asked": counts.asked,
-            "granted": counts.granted,
-            "refused": counts.refused,
-        }
-
-
-_KINDS = frozenset(int(each) for each in Kind)
-
-
-def _posts(out: list[tuple[int, Message]]) -> list[tuple[int, LeaseUpdate]]:
-    return [(to, LeaseUpdate(int(m.kind), m.duty, m.epoch, m.ask)) for to, m in out]
+    def _remember(self, command: FencedCommand) -> None:
+        version = _CommandVersion(command.token, command.sequence)
+        self._latest[_CommandSubject(command.lease, command.subject)] = version
+        while len(self._latest) > COMMAND_SUBJECTS_MAX:
+            del self._latest[next(iter(self._latest))]
+
+    # -- Views ------------------------------------------------------------------------------------------
+
+    @property
+    def counters(self) -> LeaseCounters:
+        """Counts of the protocol's messages."""
+        return self._protocol.counters
+
+    @property
+    def issued_commands(self) -> list[IssuedCommand]:
+        """The latest commands of this member, oldest first."""
+        return list(self._issued)
+
+    @property
+    def accepted_count(self) -> int:
+        """Commands of other members that were new and not outdated."""
+        return self._accepted_count
+
+    @property
+    def fenced_count(self) -> int:
+        """Commands that were rejected for an outdated token."""
+        return self._fence.rejected_count
--- a/sidecar_balancer/lease/protocol.py
+++ b/sidecar_balancer/lease/protocol.py
@@ -1,24 +1,26 @@
-"""Single-holder duties: a lease per named duty, granted by a majority of the tier, with a fencing token.
+"""The lease protocol: leases granted by a majority of a tier's members, each with a fencing token.
 
-Sans-IO: `tick` and `receive` take the member's monotonic clock in µs and give `(target, Message)` to send.
+Sans-IO: `tick` and `receive` take the member's monotonic clock in µs and return the messages to send.
 
-Each member is both a candidate and an acceptor.  An acceptor promises a duty to one holder for `term_us` of
-its own clock from the moment the ask arrives, and grants a new holder only an epoch above any it has granted.
-A candidate that gathers grants of a majority (itself included) for one ask holds the duty until
+Each member is both a candidate and an acceptor.  An acceptor grants a lease to one member for `term_us` of
+its own clock from the moment the request arrives, and grants another member only an epoch above any it has
+granted.  A candidate that gathers grants of a majority (itself included) for one request holds the lease
+until
 
-    sent + term_us - 2 * skew_us        (its own clock, `sent` the moment the ask left)
+    sent + term_us - 2 * skew_us        (its own clock, `sent` the moment the request left)
 
-which ends before any granting acceptor's promise does, as long as no clock gains or loses more than `skew_us`
+which ends before the grant of any acceptor does, as long as no clock gains or loses more than `skew_us`
 against real time over one term.  The holder renews `renew_us` before the end; a member that holds nothing
-asks only if it ranks first among the members it believes alive (rendezvous hash of duty and member, xxh64).
-The epoch is the fencing token: every act of the duty carries it and receivers (`Fence`) refuse an older one.
-
-A member that starts (or restarts: it forgets its promises and the epochs it granted) grants nothing for
-`term_us + 2 * skew_us`, so a promise it made before the crash has run out, and nothing before so many others
-told it the highest epoch they know that every majority it may have been part of is among them: else an epoch
-could be given out twice (the explorer found that).  Both hold while no more than a minority restarts within
-that span; a tier that restarts whole begins anew, fences and all.  Source: Gray and Cheriton's leases; the
-majority and epochs are those of Paxos' first phase.
+requests only if it ranks first among the members it believes alive (rendezvous hash of lease and member,
+xxh64).  The epoch is the fencing token: every command under the lease carries it and receivers (`Fence`)
+reject an older one.
+
+A member that starts (or restarts: it forgets its grants and their epochs) grants nothing for
+`term_us + 2 * skew_us`, so a grant from before the crash has run out, and nothing before it received the
+highest epoch known of so many others that every majority it may have been part of is among them: else an
+epoch could be granted twice.  Both hold while no more than a minority restarts within that span; a tier that
+restarts entirely begins anew, fences and all.  Sources: the leases of Gray and Cheriton; majority and epochs
+are those of the first phase of Paxos.
 """
 
 from __future__ import annotations
@@ -30,29 +32,51 @@
 
 import xxhash
 
+from sidecar_balancer.lease.errors import LeaseMemberError, LeaseTimingError
 
-class Kind(IntEnum):
-    ASK = 8
+NO_MEMBER = -1
+
+
+class LeaseMessageKind(IntEnum):
+    """The kinds of messages, by their numbers in datagrams."""
+
+    REQUEST = 8
     GRANT = 9
-    REFUSE = 10
-    LEARN = 11  # a member that started asks for the highest epoch known
-    TOLD = 12
+    REJECT = 10
+    EPOCH_QUERY = 11
+    EPOCH_REPLY = 12
 
 
-class Message(NamedTuple):
-    """`ask` numbers a candidate's asks, so a late grant of an older ask is not counted for a newer one; of a
-    LEARN it is the life that asks, and its TOLD repeats it."""
+class LeaseMessage(NamedTuple):
+    """One message of the protocol.
 
-    kind: Kind
-    duty: int
+    `request_id` numbers a candidate's requests, so a late grant of an older request is not counted for a
+    newer one.  In an EPOCH_QUERY it is the incarnation of the sender, and the EPOCH_REPLY repeats it.
+    """
+
+    kind: LeaseMessageKind
+    lease: int
     epoch: int
-    ask: int
+    request_id: int
+
+
+class OutgoingLeaseMessage(NamedTuple):
+    """A message and the number of the member to send it to."""
+
+    target: int
+    message: LeaseMessage
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseTiming:
-    """Times in µs of the member's own monotonic clock.  `skew_us`: what a clock may gain or lose against
-    real time over one term.  `retry_us`: how long an ask waits for a majority before it is asked again."""
+    """Times in µs of the member's own monotonic clock.
+
+    `skew_us`: what a clock may gain or lose against real time over one term.  `retry_us`: how long a request
+    waits for a majority before it is sent again.
+
+    Raises:
+        LeaseTimingError: the times leave no moment for a renewal.
+    """
 
     term_us: int = 3_000_000
     renew_us: int = 1_000_000
@@ -60,196 +84,207 @@
     retry_us: int = 250_000
 
     def __post_init__(self) -> None:
-        if (
-            not 0 <= 2 * self.skew_us < self.term_us - self.renew_us
-            or self.renew_us <= 0
-            or self.retry_us <= 0
-        ):
-            raise ValueError("lease: renew_us > 0 and term_us > renew_us + 2 * skew_us are needed")
+        renewal_fits = 0 <= 2 * self.skew_us < self.term_us - self.renew_us
+        if not renewal_fits or self.renew_us <= 0 or self.retry_us <= 0:
+            raise LeaseTimingError("lease: renew_us > 0 and term_us > renew_us + 2 * skew_us are needed")
 
     @property
-    def held_us(self) -> int:
+    def holder_term_us(self) -> int:
+        """How long a holder may rely on a grant, from the moment its request left."""
         return self.term_us - 2 * self.skew_us
 
+    @property
+    def restart_wait_us(self) -> int:
+        """How long a member that started grants nothing."""
+        return self.term_us + 2 * self.skew_us
+
 
 @dataclass(slots=True)
 class LeaseState:
-    """One duty as one member knows it: acceptor side (`promised_to`, `promised_until`, `highest`) and
-    candidate side (`epoch`, `until`, the open ask)."""
-
-    highest: int = 0  # the highest epoch this member granted or heard of
-    promised_to: int = -1
-    promised_epoch: int = 0
-    promised_until: int = 0
-    epoch: int = 0  # the epoch this member holds or last held
-    until: int = 0  # it holds while the clock is below this
-    asking: int = 0  # the number of the open ask, 0: none
-    ask_epoch: int = 0
-    ask_sent: int = 0
+    """One lease as one member knows it, as an acceptor (`granted_*`) and as a candidate (the rest)."""
+
+    highest_epoch: int = 0  # granted by this member, or received
+    granted_to: int = NO_MEMBER
+    granted_epoch: int = 0
+    granted_until_us: int = 0
+    held_epoch: int = 0  # of this member's latest tenure
+    held_until_us: int = 0
+    request_id: int = 0  # of the open request, 0: none
+    request_epoch: int = 0
+    request_sent_us: int = 0
     grants: frozenset[int] = frozenset()
-    learned: frozenset[int] = frozenset()  # who told this life the highest epoch it knows
-    learned_at: int = 0  # when that was last asked for; 0: not yet
+    epoch_sources: frozenset[int] = frozenset()  # members whose highest epoch this incarnation received
+    epochs_queried_us: int = 0  # when they were last queried; 0: not yet
 
 
 @dataclass(slots=True)
-class Counts:
-    asked: int = 0
-    granted: int = 0
-    refused: int = 0
-    taken: int = 0  # holdings begun
-    dropped: int = 0  # messages that name no duty of ours or come from no member
-
+class LeaseCounters:
+    """Counts since the start."""
 
-Out = list[tuple[int, Message]]
+    requested: int = 0
+    granted: int = 0
+    rejected: int = 0
+    acquired: int = 0
+    dropped: int = 0  # messages of an unknown kind, lease or member
 
 
 @dataclass
 class LeaseProtocol:
-    """Member `me` of `size`; `duties` named by number (their names live with the caller).
+    """The leases 0 to `lease_count` - 1 at member `member` of `size`.
 
-    `life` tells this start from earlier ones of the same member: any number that they did not use."""
+    `incarnation` differs from that of each earlier run of this member.
 
-    me: int
+    Raises:
+        LeaseMemberError: `member` or `lease_count` is out of range.
+    """
+
+    member: int
     size: int
-    duties: int
-    terms: LeaseTiming
-    started: int
-    table: list[LeaseState] = field(default_factory=list)
-    counts: Counts = field(default_factory=Counts)
-    life: int = 0
-    asks: int = -1  # the number of the last ask; it goes on from `life`
+    lease_count: int
+    timing: LeaseTiming
+    started_us: int
+    states: list[LeaseState] = field(default_factory=list)
+    counters: LeaseCounters = field(default_factory=LeaseCounters)
+    incarnation: int = 0
+    last_request_id: int = -1  # continues from `incarnation`
 
     def __post_init__(self) -> None:
-        if not 0 <= self.me < self.size or self.duties <= 0:
-            raise ValueError(f"lease: member {self.me} of {self.size}, {self.duties} duties")
-        if self.asks < 0:
-            self.asks = self.life
-        if not self.table:
-            self.table = [LeaseState() for _ in range(self.duties)]
+        if not 0 <= self.member < self.size or self.lease_count <= 0:
+            raise LeaseMemberError(
+                f"lease: member {self.member} of {self.size}, {self.lease_count} leases: out of range"
+            )
+        if self.last_request_id < 0:
+            self.last_request_id = self.incarnation
+        if not self.states:
+            self.states = [LeaseState() for _ in range(self.lease_count)]
 
     # -- Events -----------------------------------------------------------------------------------------
 
-    def tick(self, now: int, alive: Iterable[int]) -> Out:
-        """Renew what is held, ask for what this member ranks first for; `alive`: members it believes up."""
-        ranked = {self.me, *alive}
-        out: Out = []
-        for number, duty in enumerate(self.table):
-            out += self._learn(now, number)
-            if duty.asking and now >= duty.ask_sent + self.terms.retry_us:
-                duty.asking = 0
-            if duty.asking:
+    def tick(self, now_us: int, alive: Iterable[int]) -> list[OutgoingLeaseMessage]:
+        """Renew each lease held and request each that this member ranks first for.
+
+        `alive`: the other members that this one believes alive.
+        """
+        candidates = {self.member, *alive}
+        outgoing: list[OutgoingLeaseMessage] = []
+        for lease, state in enumerate(self.states):
+            outgoing += self._query_epochs(now_us, lease)
+            if state.request_id and now_us >= state.request_sent_us + self.timing.retry_us:
+                state.request_id = 0
+            if state.request_id:
                 continue
-            if duty.until > now:
-                if now >= duty.until - self.terms.renew_us:
-                    out += self._ask(now, number, duty.epoch)
-            elif first(number, ranked) == self.me:
-                out += self._ask(now, number, max(duty.highest, duty.epoch) + 1)
-        return out
-
-    def receive(self, now: int, sender: int, message: Message) -> Out:
-        if not (0 <= sender < self.size and sender != self.me and 0 <= message.duty < self.duties):
-            self.counts.dropped += 1
+            if state.held_until_us > now_us:
+                if now_us >= state.held_until_us - self.timing.renew_us:
+                    outgoing += self._request(now_us, lease, state.held_epoch)
+            elif preferred_candidate(lease, candidates) == self.member:
+                outgoing += self._request(now_us, lease, max(state.highest_epoch, state.held_epoch) + 1)
+        return outgoing
+
+    def receive(self, now_us: int, sender: int, message: LeaseMessage) -> list[OutgoingLeaseMessage]:
+        """Handle a message and return the replies; one of an unknown member or lease is dropped."""
+        is_peer = 0 <= sender < self.size and sender != self.member
+        if not is_peer or not 0 <= message.lease < self.lease_count:
+            self.counters.dropped += 1
             return []
-        duty = self.table[message.duty]
-        if message.kind is Kind.ASK:
-            return [(sender, self._accept(now, sender, message))]
-        if message.kind is Kind.LEARN:
-            return [(sender, Message(Kind.TOLD, message.duty, duty.highest, message.ask))]
-        duty.highest = max(duty.highest, message.epoch)
-        if message.kind is Kind.TOLD and message.ask == self.life:
-            duty.learned |= {sender}
-        elif message.kind is Kind.GRANT and duty.asking == message.ask and duty.ask_epoch == message.epoch:
-            self._granted(now, duty, sender)
+        state = self.states[message.lease]
+        if message.kind is LeaseMessageKind.REQUEST:
+            return [OutgoingLeaseMessage(sender, self._reply_to_request(now_us, sender, message))]
+        if message.kind is LeaseMessageKind.EPOCH_QUERY:
+            reply = message._replace(kind=LeaseMessageKind.EPOCH_REPLY, epoch=state.highest_epoch)
+            return [OutgoingLeaseMessage(sender, reply)]
+        state.highest_epoch = max(state.highest_epoch, message.epoch)
+        if message.kind is LeaseMessageKind.EPOCH_REPLY and message.request_id == self.incarnation:
+            state.epoch_sources |= {sender}
+        elif message.kind is LeaseMessageKind.GRANT:
+            if (state.request_id, state.request_epoch) == (message.request_id, message.epoch):
+                self._count_grant(now_us, state, sender)
         return []
 
-    # -- Reading ----------------------------------------------------------------------------------------
-
-    def holds(self, duty: int, now: int) -> int:
-        """The fencing token of `duty` while this member holds it at `now`, else 0."""
-        held = self.table[duty]
-        return held.epoch if held.until > now else 0
-
-    def due(self, now: int) -> int:
-        """When `tick` is next needed, at the latest."""
-        due = now + self.terms.retry_us
-        for duty in self.table:
-            if duty.asking:
-                due = min(due, duty.ask_sent + self.terms.retry_us)
-            elif duty.until > now:
-                due = min(due, max(now, duty.until - self.terms.renew_us))
-        return due
-
-    def knows(self, duty: int) -> bool:
-        """Whether enough others told it their highest epoch: one of each majority it was in."""
-        majority = self.size // 2 + 1
-        return len(self.table[duty].learned) >= min(self.size - majority + 1, self.size - 1)
-
-    # -- Inside -----------------------------------------------------------------------------------------
-
-    def _learn(self, now: int, number: int) -> Out:
-        duty = self.table[number]
-        if self.knows(number) or (duty.learned_at and now < duty.learned_at + self.terms.retry_us):
-            return []
-        duty.learned_at = now
-        learn = Message(Kind.LEARN, number, 0, self.life)
-        return [(other, learn) for other in range(self.size) if other not in {self.me, *duty.learned}]
-
-    def _ask(self, now: int, number: int, epoch: int) -> Out:
-        duty = self.table[number]
-        self.asks += 1
-        duty.asking, duty.ask_epoch, duty.ask_sent, duty.grants = self.asks, epoch, now, frozenset()
-        self.counts.asked += 1
-        ask = Message(Kind.ASK, number, epoch, self.asks)
-        if self._accept(now, self.me, ask).kind is Kind.GRANT:
-            self._granted(now, duty, self.me)
-        return [(other, ask) for other in range(self.size) if other != self.me]
-
-    def _accept(self, now: int, sender: int, ask: Message) -> Message:
-        duty = self.table[ask.duty]
-        renewal = duty.promised_to == sender and duty.promised_epoch == ask.epoch
-        busy = duty.promised_until > now and duty.promised_to != sender
-        settled = now >= self.started + self.terms.term_us + 2 * self.terms.skew_us
-        quiet = not (settled and self.knows(ask.duty))
-        if quiet or busy or not (renewal or ask.epoch > duty.highest):
-            duty.highest = max(duty.highest, ask.epoch) if quiet else duty.highest
-            self.counts.refused += 1
-            return Message(Kind.REFUSE, ask.duty, max(duty.highest, duty.promised_epoch), ask.ask)
-        duty.promised_to, duty.promised_epoch, duty.promised_until = (
-            sender,
-            ask.epoch,
-            now + self.terms.term_us,
-        )
-        duty.highest = max(duty.highest, ask.epoch)
-        self.counts.granted += 1
-        return Message(Kind.GRANT, ask.duty, ask.epoch, ask.ask)
-
-    def _granted(self, now: int, duty: LeaseState, sender: int) -> None:
-        duty.grants |= {sender}
-        if len(duty.grants) < self.size // 2 + 1:
-            return
-        until = duty.ask_sent + self.terms.held_us
-        if until > now:
-            if duty.until <= now or duty.epoch != duty.ask_epoch:
-                self.counts.taken += 1
-            duty.epoch, duty.until = duty.ask_epoch, until
-        duty.asking = 0
+    # -- Views ------------------------------------------------------------------------------------------
 
+    def token(self, lease: int, now_us: int) -> int:
+        """The fencing token of `lease` while this member holds it at `now_us`, else 0."""
+        state = self.states[lease]
+        return state.held_epoch if state.held_until_us > now_us else 0
 
-def first(duty: int, members: Iterable[int]) -> int:
-    """The member that ranks first for `duty`: the lowest xxh64 of `duty:member` (rendezvous hashing)."""
-    return min(members, key=lambda member: xxhash.xxh64_intdigest(f"{duty}:{member}".encode()))
+    def due_us(self, now_us: int) -> int:
+        """The latest time at which `tick` is needed next."""
+        due_us = now_us + self.timing.retry_us
+        for state in self.states:
+            if state.request_id:
+                due_us = min(due_us, state.request_sent_us + self.timing.retry_us)
+            elif state.held_until_us > now_us:
+                due_us = min(due_us, max(now_us, state.held_until_us - self.timing.renew_us))
+        return due_us
 
+    def knows_highest_epoch(self, lease: int) -> bool:
+        """Whether at least one other of each majority that this member was in sent its highest epoch."""
+        needed = min(self.size - self._majority + 1, self.size - 1)
+        return len(self.states[lease].epoch_sources) >= needed
 
-class Fence:
-    """The receiver's side of fencing: an act is taken only with a token at least the highest seen."""
+    @property
+    def _majority(self) -> int:
+        return self.size // 2 + 1
 
-    def __init__(self) -> None:
-        self.highest: dict[int, int] = {}
-        self.refused = 0
+    # -- Candidate --------------------------------------------------------------------------------------
 
-    def admit(self, duty: int, token: int) -> bool:
-        if token <= 0 or token < self.highest.get(duty, 0):
-            self.refused += 1
-            return False
-        self.highest[duty] = token
-        return True
+    def _query_epochs(self, now_us: int, lease: int) -> list[OutgoingLeaseMessage]:
+        state = self.states[lease]
+        if self.knows_highest_epoch(lease):
+            return []
+        if state.epochs_queried_us and now_us < state.epochs_queried_us + self.timing.retry_us:
+            return []
+        state.epochs_queried_us = now_us
+        query = LeaseMessage(LeaseMessageKind.EPOCH_QUERY, lease, 0, self.incarnation)
+        known = {self.member, *state.epoch_sources}
+        return [OutgoingLeaseMessage(other, query) for other in range(self.size) if other not in known]
+
+    def _request(self, now_us: int, lease: int, epoch: int) -> list[OutgoingLeaseMessage]:
+        state = self.states[lease]
+        self.last_request_id += 1
+        state.request_id = self.last_request_id
+        state.request_epoch = epoch
+        state.request_sent_us = now_us
+        state.grants = frozenset()
+        self.counters.requested += 1
+        request = LeaseMessage(LeaseMessageKind.REQUEST, lease, epoch, self.last_request_id)
+        if self._reply_to_request(now_us, self.member, request).kind is LeaseMessageKind.GRANT:
+            self._count_grant(now_us, state, self.member)
+        return [OutgoingLeaseMessage(other, request) for other in range(self.size) if other != self.member]
+
+    def _count_grant(self, now_us: int, state: LeaseState, sender: int) -> None:
+        state.grants |= {sender}
+        if len(state.grants) < self._majority:
+            return
+        until_us = state.request_sent_us + self.timing.holder_term_us
+        if until_us > now_us:
+            if state.held_until_us <= now_us or state.held_epoch != state.request_epoch:
+                self.counters.acquired += 1
+            state.held_epoch, state.held_until_us = state.request_epoch, until_us
+        state.request_id = 0
+
+    # -- Acceptor ---------------------------------------------------------------------------------------
+
+    def _reply_to_request(self, now_us: int, sender: int, request: LeaseMessage) -> LeaseMessage:
+        state = self.states[request.lease]
+        waited = now_us >= self.started_us + self.timing.restart_wait_us
+        may_grant = waited and self.knows_highest_epoch(request.lease)
+        if not may_grant:
+            state.highest_epoch = max(state.highest_epoch, request.epoch)
+        granted_to_other = state.granted_until_us > now_us and state.granted_to != sender
+        renewal = state.granted_to == sender and state.granted_epoch == request.epoch
+        if not may_grant or granted_to_other or not (renewal or request.epoch > state.highest_epoch):
+            self.counters.rejected += 1
+            highest = max(state.highest_epoch, state.granted_epoch)
+            return request._replace(kind=LeaseMessageKind.REJECT, epoch=highest)
+        state.granted_to = sender
+        state.granted_epoch = request.epoch
+        state.granted_until_us = now_us + self.timing.term_us
+        state.highest_epoch = max(state.highest_epoch, request.epoch)
+        self.counters.granted += 1
+        return request._replace(kind=LeaseMessageKind.GRANT)
+
+
+def preferred_candidate(lease: int, members: Iterable[int]) -> int:
+    """The member that ranks first for `lease`: the lowest xxh64 of `lease:member` (rendezvous hashing)."""
+    return min(members, key=lambda member: xxhash.xxh64_intdigest(f"{lease}:{member}".encode()))
--- a/sidecar_balancer/membership/__init__.py
+++ b/sidecar_balancer/membership/__init__.py
@@ -1,6 +1,6 @@
-"""The peer plane: SWIM membership and shared verdicts between the sidecars of one tier, over UDP.
+"""The membership plane: SWIM membership and shared verdicts between the sidecars of one tier, over UDP.
 
-`codec` turns messages into datagrams of at most 256 bytes and back; `membership` is the sans-IO SWIM core
-(events in, datagrams out); `verdicts` is the bounded table of shared state; `transport` is the asyncio glue.
-See docs/membership.md.
+Wire: `messages` and `codec`.  Sans-IO core: `swim` (events in, datagrams out) with `member_table`,
+`failure_detector`, `gossip`, `state_transfer`, `verdict_table` and `tier_view`.  asyncio: `transport`,
+`bridge` and `verdict_publisher`.  See docs/membership.md.
 """
--- a/sidecar_balancer/membership/transport.py
+++ b/sidecar_balancer/membership/transport.py
@@ -1,143 +1,152 @@
-"""The peer plane on a UDP socket: datagrams in and out, timers; nothing is decided here.
+"""The membership plane on a UDP socket: datagrams in and out, and the timer; no decisions.
 
-Datagrams are taken only from the addresses in `peers` (PROTOCOL: they come from the sender's address there);
-from anywhere else they are dropped and counted.  The member's number is its place in `peers`.
+Datagrams are accepted only from the addresses in `peers`, where every sidecar sends from (PROTOCOL);
+others are dropped and counted.  A member's number is its place in `peers`.
 """
 
 from __future__ import annotations
 
 import asyncio
-import logging
 import time
 from collections.abc import Callable
-from typing import Any, TypeVar, cast
+from typing import Any, cast
 
-from sidecar_balancer.lease.manager import LeaseManager
+from sidecar_balancer.lease.fencing import CommandVerb
+from sidecar_balancer.lease.manager import LeaseManager, TierLease
 from sidecar_balancer.lease.protocol import LeaseTiming
-from sidecar_balancer.membership import codec
-from sidecar_balancer.membership.codec import WireVerdict
+from sidecar_balancer.membership.counters import DropReason
+from sidecar_balancer.membership.lease_channel import CommandListener, LeaseChannel
+from sidecar_balancer.membership.messages import Datagram, VerdictScope, WireVerdict
 from sidecar_balancer.membership.settings import MembershipSettings
-from sidecar_balancer.membership.swim import Datagram, Swim
-
-log = logging.getLogger(__name__)
+from sidecar_balancer.membership.swim import Swim
 
 Address = tuple[str, int]
-_T = TypeVar("_T")
+
+_TICK_WAIT_MIN_US = 1000
 
 
 def monotonic_us() -> int:
+    """The process's monotonic clock in µs."""
     return time.monotonic_ns() // 1000
 
 
 class MembershipTransport(asyncio.DatagramProtocol):
-    """One sidecar's end of the plane: `listen` is its `peer_listen`, `peers` the tier's, `me` its number.
-
-    `terms`: of the leases of the tier's duties; None: there are none.
-    """
+    """Member `member` of the tier `peers`, on its address `listen`; `lease_timing` None: without leases."""
 
     def __init__(
         self,
         listen: Address,
         peers: list[Address],
-        me: int,
+        member: int,
         seed: int,
-        tuning: MembershipSettings,
-        terms: LeaseTiming | None = None,
+        settings: MembershipSettings,
+        lease_timing: LeaseTiming | None = None,
         clock: Callable[[], int] = monotonic_us,
     ) -> None:
-        self.swim = Swim(me, len(peers), seed, tuning, clock())
-        self.leases = LeaseManager(me, len(peers), seed, terms, clock()) if terms is not None else None
-        if self.leases is not None:
-            self.swim.on_lease = self.leases.receive
+        self.swim = Swim(member, len(peers), seed, settings, clock())
+        self.leases: LeaseManager | None = None
+        self._lease_channel: LeaseChannel | None = None
+        if lease_timing is not None:
+            self.leases = LeaseManager(member, len(peers), seed, lease_timing, clock())
+            self._lease_channel = LeaseChannel(self.leases)
+            self.swim.lease_handler = self._lease_channel
         self._listen, self._peers, self._clock = listen, peers, clock
-        self._index = {address: number for number, address in enumerate(peers)}
+        self._member_by_address = {address: number for number, address in enumerate(peers)}
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
 
+    # -- Lifecycle --------------------------------------------------------------------------------------
+
     async def start(self) -> None:
-        """Bind `listen`; raise OSError where it can't be."""
+        """Bind the address and begin to probe.
+
+        Raises:
+            OSError: the address can't be bound.
+        """
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self, local_addr=self._listen)
         self._tick()
 
     def stop(self) -> None:
+        """Stop the timer and close the socket."""
         if self._timer is not None:
             self._timer.cancel()
         if self._transport is not None:
             self._transport.close()
 
+    def listen_for_commands(self, listener: CommandListener) -> None:
+        """Notify `listener` of each command of another member's lease; never where there are no leases."""
+        if self._lease_channel is not None:
+            self._lease_channel.command_listener = listener
+
+    # -- asyncio's datagram protocol --------------------------------------------------------------------
+
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Note the socket."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        sender = self._index.get((str(addr[0]), int(addr[1])))
+        """Handle a datagram and send the replies."""
+        sender = self._member_by_address.get((str(addr[0]), int(addr[1])))
         if sender is None:
-            self.swim.counts.dropped["address"] += 1
+            self.swim.counters.dropped[DropReason.ADDRESS] += 1
             return
-        self._post(self.swim.receive(self._clock(), sender, data))
+        self._send(self.swim.receive(self._clock(), sender, data))
+
+    def error_received(self, _exc: Exception) -> None:
+        """Count a socket error: datagrams may be lost anyway."""
+        self.swim.counters.dropped[DropReason.ERROR] += 1
 
-    def error_received(self, exc: Exception) -> None:
-        self.swim.counts.dropped["error"] += 1
+    # -- Operations at the present time -----------------------------------------------------------------
 
-    def now(self) -> int:
-        """The plane's clock, in us: monotonic, of this process alone."""
+    def now_us(self) -> int:
+        """The plane's clock in µs: monotonic, of this process alone."""
         return self._clock()
 
     def publish(
-        self, subject: str, verdict: WireVerdict, evidence: int, ttl_ms: int, slot: int = codec.ALL_CLASSES
+        self,
+        subject: str,
+        verdict: WireVerdict,
+        evidence: int,
+        ttl_ms: int,
+        scope: int = VerdictScope.ALL_CLASSES,
     ) -> None:
-        self.swim.publish(self._clock(), subject, verdict, evidence, ttl_ms, slot)
+        """Publish a verdict of this member (see `Swim.publish`)."""
+        self.swim.publish(self._clock(), subject, verdict, evidence, ttl_ms, scope)
 
     def request_state(self) -> None:
-        self._post(self.swim.request_state(self._clock()))
-
-    def issue_command(self, duty: int, subject: str, verb: int) -> bool:
-        """Do an act of a duty and tell the tier; False where the duty is not held."""
-        act = (
-            self.leases.issue_command(self._clock(), duty, subject, verb) if self.leases is not None else None
-        )
-        if act is not None:
-            self.swim.spread_act(act)
-        return act is not None
-
-    def lease_token(self, duty: int) -> int:
-        return self.leases.holds(duty, self._clock()) if self.leases is not None else 0
-
-    def with_core(self, use: Callable[[Swim, int], _T]) -> _T:
-        """Let `use` read or change the core at this moment of the clock (snapshots)."""
-        return use(self.swim, self._clock())
-
-    def describe(self) -> dict[str, Any]:
-        """What the plane holds, for the operators: members, counts, verdicts."""
-        swim, now = self.swim, self._clock()
-        counts = swim.counts
-        return {
-            "me": swim.me,
-            "incarnation": swim.incarnation,
-            "health": swim.health,
-            "members": {str(n): [s.name.lower(), inc] for n, (s, inc) in swim.view().items()},
-            "sent": [counts.sent, counts.sent_bytes],
-            "received": [counts.received, counts.received_bytes],
-            "dropped": dict(counts.dropped),
-            "verdicts": [
-                [u.origin, u.server, codec.VERDICT_NAMES[u.verdict], u.slot, ttl]
-                for u, ttl in swim.verdicts.live(now)
-            ],
-            "evicted": swim.verdicts.evicted,
-        }
+        """Request all that a few members know."""
+        self._send(self.swim.request_state())
+
+    def issue_command(self, lease: TierLease, subject: str, verb: CommandVerb) -> bool:
+        """Broadcast a fenced command; False where this member does not hold the lease."""
+        if self.leases is None:
+            return False
+        command = self.leases.issue_command(self._clock(), lease, subject, verb)
+        if command is None:
+            return False
+        self.swim.broadcast_command(command)
+        return True
+
+    def lease_token(self, lease: TierLease) -> int:
+        """The fencing token while this member holds the lease, else 0."""
+        return self.leases.token(lease, self._clock()) if self.leases is not None else 0
+
+    # -- Inside -----------------------------------------------------------------------------------------
 
     def _tick(self) -> None:
-        now = self._clock()
-        self._post(self.swim.tick(now))
-        due = self.swim.due_us()
-        if self.leases is not None:
-            self._post(self.swim.direct(self.leases.tick(now, self.swim.alive())))
-            due = min(due, self.leases.due_us(now))
-        wait_s = max(due - self._clock(), 1000) / 1e6
-        self._timer = asyncio.get_running_loop().call_later(wait_s, self._tick)
-
-    def _post(self, out: list[Datagram]) -> None:
+        now_us = self._clock()
+        self._send(self.swim.tick(now_us))
+        due_us = self.swim.due_us()
+        if self.leases is not None and self._lease_channel is not None:
+            updates = self._lease_channel.tick(now_us, self.swim.members.alive())
+            self._send(self.swim.send_direct(updates))
+            due_us = min(due_us, self.leases.due_us(now_us))
+        wait_us = max(due_us - self._clock(), _TICK_WAIT_MIN_US)
+        self._timer = asyncio.get_running_loop().call_later(wait_us / 1e6, self._tick)
+
+    def _send(self, datagrams: list[Datagram]) -> None:
         if self._transport is None:
             return
-        for target, data in out:
+        for target, data in datagrams:
             self._transport.sendto(data, self._peers[target])
--- a/sidecar_balancer/membership/verdict_table.py
+++ b/sidecar_balancer/membership/verdict_table.py
@@ -1,78 +1,105 @@
-"""Shared verdicts: one entry per (origin, subject, slot), last writer by (incarnation, counter).
+"""Shared verdicts: one entry per (origin, subject, scope); the highest (incarnation, counter) prevails.
 
-Merging is commutative and idempotent: of two updates for one key the one with the larger version stays,
-whatever the order they come in or how often.  Each entry expires on the receiver's own monotonic clock,
-`ttl_ms` after it was taken (so no clock is compared between processes).  The table holds at most `most`
-entries; past that the one that expires first goes, and `evicted` counts it.  An entry lives on as a
-tombstone until `TTL_MOST_MS` after its expiry, so that an old datagram heard again then is not taken anew.
+Merging is commutative and idempotent: of two updates with one key the one with the higher version stays,
+whatever the order or number of their arrivals.  Each entry expires on the receiver's own monotonic clock,
+`ttl_ms` after it was merged, so no clocks of different processes are compared.  An expired entry remains as a
+tombstone until `VERDICT_TTL_MAX_MS` after its expiry, so that a replayed datagram does not bring it back.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import NamedTuple
 
-from sidecar_balancer.membership.codec import TTL_MOST_MS, VerdictUpdate, WireVerdict
+from sidecar_balancer.membership.errors import MembershipSettingsError
+from sidecar_balancer.membership.messages import VERDICT_TTL_MAX_MS, VerdictUpdate, WireVerdict
 
 _US_PER_MS = 1000
+_NO_ORIGIN = -1
+
+
+class VerdictKey(NamedTuple):
+    """What identifies an entry."""
+
+    origin: int
+    subject: str
+    scope: int
+
+    @classmethod
+    def of(cls, update: VerdictUpdate) -> VerdictKey:
+        """The key of the entry that `update` is for."""
+        return cls(update.origin, update.subject, update.scope)
+
+
+class LiveVerdict(NamedTuple):
+    """An unexpired verdict and the ms until it expires, 1 at least."""
+
+    update: VerdictUpdate
+    remaining_ms: int
 
 
 @dataclass(slots=True)
-class Entry:
+class _Entry:
     update: VerdictUpdate
     expires_us: int  # on this process's clock
 
 
 class VerdictTable:
-    """The table of verdicts: `take` merges, `holding` reads, `fresh` gives what is worth gossiping."""
-
-    def __init__(self, most: int) -> None:
-        if most < 1:
-            raise ValueError("the table needs room for one entry at least")
-        self._most = most
-        self._entries: dict[tuple[int, str, int], Entry] = {}
-        self.evicted = 0
-        self.stale = 0  # updates not taken: an equal or newer version was held
-
-    def take(self, now_us: int, update: VerdictUpdate) -> bool:
-        """Merge one update; True where it changed the table (and so is worth passing on)."""
-        key = (update.origin, update.server, update.slot)
-        held = self._entries.get(key)
-        if held is not None and _version(held.update) >= _version(update):
-            self.stale += 1
+    """A table of at most `capacity` entries; past that the one that expires first is evicted.
+
+    Raises:
+        MembershipSettingsError: `capacity` is less than 1.
+    """
+
+    def __init__(self, capacity: int) -> None:
+        if capacity < 1:
+            raise MembershipSettingsError(f"peer_plane: a table of {capacity} verdicts, 1 at least is needed")
+        self._capacity = capacity
+        self._entries: dict[VerdictKey, _Entry] = {}
+        self.evicted_count = 0
+        self.stale_count = 0  # updates not merged: an equal or newer version was present
+
+    def merge(self, now_us: int, update: VerdictUpdate) -> bool:
+        """Merge one update; True where it changed the table, so that it is worth passing on."""
+        key = VerdictKey.of(update)
+        present = self._entries.get(key)
+        if present is not None and _version(present.update) >= _version(update):
+            self.stale_count += 1
             return False
-        if held is None and len(self._entries) >= self._most:
+        if present is None and len(self._entries) >= self._capacity:
             self._evict(now_us)
-        self._entries[key] = Entry(update, now_us + update.ttl_ms * _US_PER_MS)
+        self._entries[key] = _Entry(update, now_us + update.ttl_ms * _US_PER_MS)
         return True
 
     def _evict(self, now_us: int) -> None:
-        self.forget(now_us)
-        if len(self._entries) >= self._most:
-            first = min(self._entries, key=lambda key: self._entries[key].expires_us)
-            del self._entries[first]
-            self.evicted += 1
-
-    def forget(self, now_us: int) -> None:
-        """Drop tombstones past their span."""
-        gone = now_us - TTL_MOST_MS * _US_PER_MS
-        for key in [key for key, entry in self._entries.items() if entry.expires_us < gone]:
+        self._drop_tombstones(now_us)
+        if len(self._entries) >= self._capacity:
+            soonest = min(self._entries, key=lambda key: self._entries[key].expires_us)
+            del self._entries[soonest]
+            self.evicted_count += 1
+
+    def _drop_tombstones(self, now_us: int) -> None:
+        limit_us = now_us - VERDICT_TTL_MAX_MS * _US_PER_MS
+        for key in [key for key, entry in self._entries.items() if entry.expires_us < limit_us]:
             del self._entries[key]
 
-    def holding(self, now_us: int, server: str, verdict: WireVerdict, but: int = -1) -> list[VerdictUpdate]:
-        """The unexpired verdicts of that kind on `server`, one an origin, leaving out origin `but`."""
+    def matching(
+        self, now_us: int, subject: str, verdict: WireVerdict, except_origin: int = _NO_ORIGIN
+    ) -> list[VerdictUpdate]:
+        """The unexpired verdicts of that kind on `subject`, without those of `except_origin`."""
         return [
-            each
-            for each, _ in self.live(now_us)
-            if each.server == server and each.origin != but and each.verdict is verdict
+            update
+            for update, _ in self.live(now_us)
+            if update.subject == subject and update.origin != except_origin and update.verdict is verdict
         ]
 
-    def live(self, now_us: int) -> list[tuple[VerdictUpdate, int]]:
-        """Every unexpired verdict with its remaining life in ms, the soonest to expire last."""
-        alive = [
-            (entry.update, entry.expires_us) for entry in self._entries.values() if entry.expires_us > now_us
+    def live(self, now_us: int) -> list[LiveVerdict]:
+        """Every unexpired verdict, the soonest to expire last."""
+        entries = [entry for entry in self._entries.values() if entry.expires_us > now_us]
+        entries.sort(key=lambda entry: -entry.expires_us)
+        return [
+            LiveVerdict(entry.update, max((entry.expires_us - now_us) // _US_PER_MS, 1)) for entry in entries
         ]
-        alive.sort(key=lambda pair: -pair[1])
-        return [(update, max((until - now_us) // _US_PER_MS, 1)) for update, until in alive]
 
     def __len__(self) -> int:
         return len(self._entries)
--- a/sidecar_balancer/persistence/persister.py
+++ b/sidecar_balancer/persistence/persister.py
@@ -25,10 +25,14 @@
 
 import msgpack  # type: ignore[import-untyped]
 
-from sidecar_balancer.lease.manager import CommandVerb, TierLease
+from sidecar_balancer.lease.fencing import CommandVerb
+from sidecar_balancer.lease.manager import TierLease
 from sidecar_balancer.membership import codec
-from sidecar_balancer.membership.codec import MalformedDatagramError, Status, VerdictUpdate
+from sidecar_balancer.membership.errors import MalformedDatagramError
+from sidecar_balancer.membership.messages import MemberStatus, VerdictScope, VerdictUpdate
+from sidecar_balancer.membership.swim import Swim
 from sidecar_balancer.membership.transport import MembershipTransport
+from sidecar_balancer.membership.verdict_table import LiveVerdict
 from sidecar_balancer.persistence import tier_snapshot as tier
 from sidecar_balancer.persistence.store import Store
 from sidecar_balancer.policy.balancer import Balancer
@@ -49,7 +53,7 @@
     recalled: StateRestored = field(default_factory=StateRestored)
     listed: tuple[str, dict[str, Any]] | None = None  # discovery's address, and its list
     plane: tuple[int, int] | None = None
-    members: dict[int, tuple[Status, int]] = field(default_factory=dict)
+    members: dict[int, tuple[MemberStatus, int]] = field(default_factory=dict)
     verdicts: list[VerdictUpdate] = field(default_factory=list)
     epochs: dict[int, int] = field(default_factory=dict)
 
@@ -155,21 +159,21 @@
     yield "usual", pack([[name, size, int(us // 1000) * 1000] for (name, size), us in balancer.norms.items()])
     yield "bearable", pack(float(f"{balancer.bearable:.2g}"))
     if plane is not None:
-        yield from plane.with_core(lambda swim, at: list(_plane_records(swim, at)))
+        yield from _plane_records(plane.swim, plane.now_us())
         if plane.leases is not None:
             for number, epoch in plane.leases.highest_epochs().items():
                 yield f"lease/{number}", pack(epoch)
 
 
-def _plane_records(swim: Any, now: int) -> Iterator[tuple[str, bytes]]:
-    yield "plane", msgpack.packb([swim.incarnation, swim.counter])
-    for number, (status, incarnation) in swim.view().items():
+def _plane_records(swim: Swim, now: int) -> Iterator[tuple[str, bytes]]:
+    yield "plane", msgpack.packb([swim.members.incarnation, swim.verdict_counter])
+    for number, (status, incarnation) in swim.members.view().items():
         yield f"member/{number}", msgpack.packb([int(status), incarnation])
     for update, left_ms in swim.verdicts.live(now):
-        if update.slot != codec.ASKED:
+        if update.scope != VerdictScope.TENANT_DEMAND:
             left = max(left_ms // 1000 * 1000, 1)
-            key = f"verdict/{update.origin}/{update.slot}/{update.server}"
-            yield key, msgpack.packb(codec.flat(replace(update, ttl_ms=left)))
+            key = f"verdict/{update.origin}/{update.scope}/{update.subject}"
+            yield key, msgpack.packb(codec.update_to_list(replace(update, ttl_ms=left)))
 
 
 def _read(records: dict[str, bytes]) -> Kept:
@@ -192,9 +196,9 @@
                 kept.plane = _pair(given)
             elif kind == "member":
                 status, incarnation = _pair(given)
-                kept.members[int(rest)] = (Status(status), incarnation)
+                kept.members[int(rest)] = (MemberStatus(status), incarnation)
             elif kind == "verdict":
-                update = codec.update_from(given)
+                update = codec.update_from_list(given)
                 kept.verdicts += [update] if isinstance(update, VerdictUpdate) else []
             elif kind == "lease":
                 kept.epochs[int(rest)] = int(given)
@@ -221,10 +225,10 @@
 def resume_plane(plane: MembershipTransport, kept: Kept) -> None:
     """Let the plane go on from what an earlier life kept: a life after it, its members and verdicts."""
     if kept.plane is not None:
-        held = [(each, each.ttl_ms) for each in kept.verdicts]
+        held = [LiveVerdict(each, each.ttl_ms) for each in kept.verdicts]
         incarnation, counter = kept.plane
-        plane.with_core(lambda swim, now: swim.restore(now, incarnation, counter, held))
-        plane.with_core(lambda swim, now: swim.restore_members(now, kept.members))
+        plane.swim.restore(plane.now_us(), incarnation, counter, held)
+        plane.swim.members.restore_others(plane.now_us(), kept.members)
     if plane.leases is not None:
         for number, epoch in kept.epochs.items():
             plane.leases.restore_epoch(number, epoch)
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -12,7 +12,14 @@
 
 from harness import PLANE, Tier, play, tier
 from sidecar_balancer.membership import codec
-from sidecar_balancer.membership.codec import Kind, Message, VerdictUpdate, WireVerdict
+from sidecar_balancer.membership.messages import (
+    DatagramKind,
+    Message,
+    Update,
+    VerdictScope,
+    VerdictUpdate,
+    WireVerdict,
+)
 from sidecar_balancer.persistence import snapshot
 from sidecar_balancer.persistence.store import Store
 from world import Catalogue, World, world
@@ -127,7 +134,7 @@
             store = Store(tmp_path / "n2", 1 << 20)
             store.open()
             store.put("plane", msgpack.packb([41, 3]))
-            store.put("verdict/1/-1/s-1", msgpack.packb(codec.flat(kept)))
+            store.put("verdict/1/-1/s-1", msgpack.packb(codec.update_to_list(kept)))
             store.flush()
             (tmp_path / "n1").mkdir()
             (tmp_path / "n1" / "state-7.snap").write_bytes(snapshot.pack([b"x"])[:-3] + b"junk")
@@ -210,11 +217,13 @@
             await made.tier.kill(2)  # from now on the test speaks for it
             liar = made.tier.proxies[2].transport
             assert liar is not None
-            lies: list[codec.Update] = [
+            lies: list[Update] = [
                 VerdictUpdate(2, 0, 100 + n, f"a-{n}", WireVerdict.EJECTED, 1 << 16, 60_000) for n in range(4)
             ]
-            lies.append(VerdictUpdate(2, 0, 200, "a", WireVerdict.ZONE_EVACUATED, 99, 60_000, codec.ZONE))
-            data = [codec.encode(Message(Kind.DIRECT, 0, 1, -1, (lie,)))[0] for lie in lies]
+            lies.append(
+                VerdictUpdate(2, 0, 200, "a", WireVerdict.ZONE_EVACUATED, 99, 60_000, VerdictScope.ZONE)
+            )
+            data = [codec.encode(Message(DatagramKind.DIRECT, 0, 1, -1, (lie,))).data for lie in lies]
             for number in (0, 1):
                 for _ in range(20):  # the same again and again
                     for each in [*data, data[0] * 9, b"\xff" * 1400]:
--- a/tests/compatibility/golden_subjects.py
+++ b/tests/compatibility/golden_subjects.py
@@ -16,7 +16,7 @@
 from sidecar_balancer.config.wire_names import settings_from_wire
 from sidecar_balancer.discovery.endpoint_list import parse_list
 from sidecar_balancer.lease.protocol import LeaseTiming
-from sidecar_balancer.membership import codec
+from sidecar_balancer.membership import codec, messages
 from sidecar_balancer.membership.settings import MembershipSettings
 from sidecar_balancer.membership.transport import MembershipTransport
 from sidecar_balancer.persistence import tier_snapshot as tier
@@ -123,13 +123,17 @@
 
 def build_datagram(kind: int, incarnation: int, seq: int, target: int, updates: list[list[Any]]) -> bytes:
     """Encode a message from plain values, its updates as the lists that a datagram carries."""
-    message = codec.Message(
-        codec.Kind(kind), incarnation, seq, target, tuple(codec.update_from(each) for each in updates)
+    message = messages.Message(
+        messages.DatagramKind(kind),
+        incarnation,
+        seq,
+        target,
+        tuple(codec.update_from_list(each) for each in updates),
     )
-    return codec.encode(message)[0]
+    return codec.encode(message).data
 
 
 def read_datagram(data: bytes) -> tuple[list[Any], bytes]:
     """Decode a datagram: its values by position, and the bytes of encoding them again."""
     message = codec.decode(data)
-    return plain(message), codec.encode(message)[0]
+    return plain(message), codec.encode(message).data
--- a/tests/support/simnet.py
+++ b/tests/support/simnet.py
@@ -9,10 +9,9 @@
 
 import random
 
-from sidecar_balancer.membership import codec
-from sidecar_balancer.membership.codec import Status
+from sidecar_balancer.membership.messages import DATAGRAM_MAX_BYTES, Datagram, MemberStatus
 from sidecar_balancer.membership.settings import MembershipSettings
-from sidecar_balancer.membership.swim import Datagram, Swim
+from sidecar_balancer.membership.swim import Swim
 
 _MS = 1000
 
@@ -63,16 +62,16 @@
 
     def _post(self, sender: int, out: list[Datagram]) -> None:
         for target, data in out:
-            if len(data) > codec.DATAGRAM_MOST:
+            if len(data) > DATAGRAM_MAX_BYTES:
                 raise AssertionError("a datagram over the protocol's size")
             self.sent_bytes += len(data)
             if frozenset((sender, target)) in self.cut or self._random.random() < self.loss:
                 continue
             self._flying.append((self.now + self.delay_us, sender, target, data))
 
-    def statuses(self, of: int) -> set[Status]:
+    def statuses(self, of: int) -> set[MemberStatus]:
         """How the live members other than `of` hold it."""
-        return {self.members[each].view()[of][0] for each in self.live() if each != of}
+        return {self.members[each].members[of].status for each in self.live() if each != of}
 
     def live(self) -> list[int]:
         return [each for each in range(len(self.members)) if each not in self.down]
