--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -201,7 +201,7 @@
     stage.servers(names(3))
     stage.wait(60 * S)
     assert len(stage.balancer.servers) == 3
-    assert stage.balancer._ejected == [] and stage.balancer._load() == 0
+    assert stage.balancer.ejected_servers == [] and stage.balancer.load == 0
     assert stage.sends(stage.request())
 
 
@@ -307,7 +307,7 @@
             stage.wait(20 * MS)
             stage.end(stage.request(cost_us=served_us))
             stage.request(remaining_us=0, cost_us=200_000 - served_us)  # too late to be sent
-        rates.append(stage.balancer._bearable_by_mean())
+        rates.append(stage.balancer.slow_start.estimate_capacity(stage.now))
     assert 0.0 < rates[1] < 0.5 * rates[0]
 
 
@@ -317,9 +317,9 @@
     stage.serve(200, every_us=10 * MS)
     stage.servers([ListedServer("10.0.0.9:80", zone="east", started_at=stage.now)], ListKind.DELTA)
     stage.request()
-    served = stage.balancer._bearable_by_mean()
+    served = stage.balancer.slow_start.estimate_capacity(stage.now)
     stage.wait(5 * S)  # more than the span over which rates are averaged
-    assert stage.balancer._bearable_by_mean() > 0.5 * served > 0.0
+    assert stage.balancer.slow_start.estimate_capacity(stage.now) > 0.5 * served > 0.0
 
 
 def test_a_cold_server_is_sent_what_its_warmth_bears_and_little_more() -> None:
@@ -347,9 +347,8 @@
         stage.serve(40, every_us=200 * MS)  # one request a second to each server
         stage.servers([ListedServer("10.0.0.9:80", zone="east", started_at=stage.now)], ListKind.DELTA)
         began, server = stage.now, stage.balancer.servers["10.0.0.9:80"]
-        while not stage.balancer._cold_room(server, 1.0):
+        while not stage.balancer.slow_start.has_capacity(stage.now, server, 1.0):
             stage.wait(100 * MS)
-            stage.balancer._now = stage.now
         room.append(stage.now - began)
     # Of 40 requests a second at a warm server, this cold one bears 8, and is pushed over by 48 in 2 s.
     assert 1 <= sum(each <= S for each in room) <= 24
@@ -370,24 +369,24 @@
 def test_the_gate_lets_nothing_out_to_a_draining_or_gone_server() -> None:
     stage = Stage()
     stage.servers(names(3))
-    request = stage.balancer._requests[stage.request()]
+    request = stage.balancer.open_requests[stage.request()]
     server = next(each for each in stage.balancer.servers.values() if each is not request.attempts[0].server)
     for state in (ServerState.DRAINING, ServerState.REMOVED):
         stage.drain(server.name, state)
-        assert not stage.balancer._send(request, server)
+        assert not stage.balancer.gate.send(stage.now, request, server)
     stage.servers([server.name], ListKind.DELTA)
-    assert stage.balancer._send(request, stage.balancer.servers[server.name])
+    assert stage.balancer.gate.send(stage.now, request, stage.balancer.servers[server.name])
 
 
 def test_the_gate_lets_no_second_copy_out_where_only_one_is_allowed() -> None:
     for allowed in (False, True):
         stage = Stage(settings(limits={"may_hedge": allowed}))
         stage.servers(names(3))
-        request = stage.balancer._requests[stage.request()]
+        request = stage.balancer.open_requests[stage.request()]
         server = next(
             each for each in stage.balancer.servers.values() if each is not request.attempts[0].server
         )
-        assert stage.balancer._send(request, server) is allowed
+        assert stage.balancer.gate.send(stage.now, request, server) is allowed
 
 
 # Full is no proof, where that is stated
@@ -411,34 +410,34 @@
     stage = Stage()
     stage.servers(names(4))
     request = stage.request()
-    live = stage.balancer._requests[request]
+    live = stage.balancer.open_requests[request]
     server = next(each for each in stage.balancer.servers.values() if each is not live.attempts[0].server)
-    assert stage.balancer._send(live, server)
+    assert stage.balancer.gate.send(stage.now, live, server)
     stage.play(ResponseStarted(request, 1, server.name, 30 * MS))
     assert [(each.request, each.attempt) for each in stage.said(CancelAttempt)] == [(request, 0)]
     stage.end(request, Outcome.CANCELLED, attempt=0, answered=True)
     stage.wait(10 * S)
     assert not stage.said(Reject) and not stage.said(Fail)
     stage.play(AttemptEnded(request, 1, server.name, Outcome.CONNECTION_LOST, 30 * MS, True))
-    assert len(live.attempts) == 2 and request not in stage.balancer._requests
+    assert len(live.attempts) == 2 and request not in stage.balancer.open_requests
 
 
 def test_an_answer_under_way_is_no_load_and_its_length_is_no_slowness() -> None:
     stage = Stage()
     stage.servers(names(3))
     stage.serve(60)
-    spent = stage.balancer._spent
+    spent = stage.balancer.typical_latency_ratio
     for _ in range(20):
         request = stage.request()
         stage.wait(50 * MS)
         stage.play(ResponseStarted(request, 0, stage.target(request), 50 * MS))
-    assert stage.balancer._load() == 0
+    assert stage.balancer.load == 0
     assert all(each.in_flight == 0 for each in stage.balancer.servers.values())
     stage.wait(30 * S)
-    for request in list(stage.balancer._requests):
+    for request in list(stage.balancer.open_requests):
         target = stage.target(request)
         stage.play(AttemptEnded(request, 0, target, Outcome.DELIVERED, 50 * MS, True))
-    assert stage.balancer._spent <= spent + 0.05 and not stage.balancer._requests
+    assert stage.balancer.typical_latency_ratio <= spent + 0.05 and not stage.balancer.open_requests
 
 
 def test_while_its_body_comes_a_request_has_all_the_time_and_then_its_own() -> None:
@@ -447,7 +446,7 @@
     number = 77
     stage.play(RequestReceived(number, "pay", None, None, 1 * S, body_open=True))
     stage.wait(60 * S)
-    assert not stage.said(Reject) and not stage.said(Fail) and not stage.balancer._ejected
+    assert not stage.said(Reject) and not stage.said(Fail) and not stage.balancer.ejected_servers
     stage.play(RequestBodyEnded(number, 1 * S))
     ended = stage.now
     stage.wait(2 * S)
--- a/tests/runtime/test_close_range.py
+++ b/tests/runtime/test_close_range.py
@@ -31,9 +31,10 @@
     until,
     world,
 )
-from sidecar_balancer.admin.overrides import Orders
-from sidecar_balancer.discovery.client import Discovery
+from sidecar_balancer.admin.overrides import OperatorOverrides
+from sidecar_balancer.discovery.client import DiscoveryClient
 from sidecar_balancer.discovery.endpoint_list import ListUpdate
+from sidecar_balancer.discovery.watch_events import WatchEvent
 from sidecar_balancer.policy.actions import HealthCheck
 from sidecar_balancer.policy.events import (
     AttemptEnded,
@@ -90,7 +91,7 @@
 ) -> None:
     async def scene() -> None:
         async with world(served, drained=True, discovery=mode) as w:
-            w.sidecar._discovery._chance = lambda: chance
+            w.sidecar._discovery._random_fraction = lambda: chance
             if not first:  # else the first call after the start falls silent
                 w.discovery.say(42, [])
             await until(lambda: len(w.discovery.targets) == 4 - first)
@@ -98,7 +99,7 @@
             assert again - fell_silent <= SILENT_S - 2.0  # time for the service's queue
             assert third - fell_silent <= SILENT_S  # and the grace is left where that is silent too
             w.discovery.say(43, [w.servers[0].entry(status="leaving")])
-            await until(lambda: not w.sidecar._engine.balancer.ready)
+            await until(lambda: not w.sidecar._engine.balancer.ready_servers)
 
     on_clock(scene())
 
@@ -119,14 +120,14 @@
 ) -> None:
     async def scene() -> None:
         async with world(served, drained=True, discovery=mode) as w:
-            w.sidecar._discovery._chance = lambda: 0.999
+            w.sidecar._discovery._random_fraction = lambda: 0.999
             await fail(w, failures)
             fell_silent = w.discovery.called_at[-1]
             await until(lambda: len(w.discovery.targets) == failures + 3)
             again, third = w.discovery.called_at[-2:]
             assert again - fell_silent <= SILENT_S - 2.0 and third - fell_silent <= SILENT_S
             w.discovery.say(43, [w.servers[0].entry(status="leaving")])
-            await until(lambda: not w.sidecar._engine.balancer.ready)
+            await until(lambda: not w.sidecar._engine.balancer.ready_servers)
 
     on_clock(scene())
 
@@ -211,7 +212,7 @@
 
 
 def is_over(w: World) -> Callable[[], bool]:
-    return lambda: not w.sidecar.proxy.in_flight and not w.sidecar._engine.balancer._requests
+    return lambda: not w.sidecar.proxy.in_flight and not w.sidecar._engine.balancer.open_requests
 
 
 async def over_soon(w: World) -> None:
@@ -346,7 +347,7 @@
     await server.start()
     async with world(drained=True, **changes) as w:
         w.discovery.say(42, [server.entry()])
-        await until(lambda: w.sidecar._engine.balancer.ready)
+        await until(lambda: w.sidecar._engine.balancer.ready_servers)
         yield w, server
     await server.end()
 
@@ -458,7 +459,7 @@
                 w.discovery.say(42, places, snapshot=True)
                 await until(lambda: w.sidecar._upstream._endpoints["s-0"].address == address)
                 w.discovery.say(43, [w.servers[1].entry(status="leaving")])
-                await until(lambda: len(w.sidecar._engine.balancer.ready) == 1)
+                await until(lambda: len(w.sidecar._engine.balancer.ready_servers) == 1)
                 asking = asyncio.create_task(w.ask(kind="pay", body=b"x"))
                 await until(lambda: w.sidecar._upstream._dials)
                 heard = w.hear()
@@ -469,7 +470,9 @@
                 assert (await asking)[0] == 200 and not w.servers[0].requests
                 ended = [each for each in heard if isinstance(each, AttemptEnded)]
                 assert [each.outcome for each in ended] == [Outcome.UNSENT, Outcome.DELIVERED]
-                assert w.sidecar._engine.balancer.servers["s-0"].strikes == 0  # it did nothing wrong
+                assert (
+                    w.sidecar._engine.balancer.servers["s-0"].consecutive_failures == 0
+                )  # it did nothing wrong
 
     on_clock(scene())
 
@@ -527,9 +530,9 @@
             asking = asyncio.create_task(w.ask(kind="pay", body=b"x", budget="1.5"))
             await until(w.sent)
             w.discovery.say(42, [server.entry(status="left")])
-            await until(lambda: not w.sidecar._engine.balancer.ready)
+            await until(lambda: not w.sidecar._engine.balancer.ready_servers)
             w.discovery.say(43, [server.entry()])
-            await until(lambda: w.sidecar._engine.balancer.ready)
+            await until(lambda: w.sidecar._engine.balancer.ready_servers)
             if outcome == "answer":
                 server.writers[0].write(answer(200, b"served"))
             elif outcome == "break":
@@ -556,7 +559,7 @@
                 w.discovery.say(42, [], snapshot=True)
             else:
                 w.discovery.say(42, [server.entry(status=change)])
-            await until(lambda: not w.sidecar._engine.balancer.ready)
+            await until(lambda: not w.sidecar._engine.balancer.ready_servers)
             server.writers[0].write(answer(200, b"served"))
             assert (await asking)[2] == b"served"
             await until(lambda: w.sidecar._upstream.open_count == 0)  # it is not kept for another
@@ -811,15 +814,15 @@
                 client.send(request(budget="5.0"))
                 await until(lambda: w.sidecar.proxy.in_flight)
                 (live,), balancer = w.sidecar.proxy.in_flight.values(), w.sidecar._engine.balancer
-                (asked,) = balancer._requests.values()
+                (asked,) = balancer.open_requests.values()
                 if first == "dialling":
                     for name, each in w.sidecar._upstream._endpoints.items():
                         each.address = places[name]
                 else:
                     await until(w.sent)
-                seen, balancer.actions = len(w.sent()), []
-                balancer._place(asked)  # a second copy, as once the first is overdue
-                w.sidecar._engine.execute(balancer.actions)
+                seen, earlier = len(w.sent()), len(balancer.actions)
+                balancer.placement.place(w.sidecar._engine.clock.now(), asked)  # a hedged request
+                w.sidecar._engine.execute(balancer.actions[earlier:])
                 await until(lambda: len(w.sent()) > seen)
                 name = asked.attempts[1].server.name
                 (there,) = [each for each in w.servers if each.name == name]
@@ -880,24 +883,25 @@
 ) -> None:
     async def scene() -> None:
         async with world(hung, hung, drained=True) as w:
-            real, failed = w.sidecar._engine.balancer._finish, list[int]()
+            requests, failed = w.sidecar._engine.balancer.requests, list[int]()
+            real = requests.finish
 
             def finish(given: Any) -> None:
                 if len(failed) == 1:
-                    failed.append(given.ident)
+                    failed.append(given.request_id)
                     raise ZeroDivisionError
-                failed.append(given.ident)
+                failed.append(given.request_id)
                 real(given)
 
             asking = [asyncio.create_task(w.ask(kind="pay", body=b"x", budget="1.0")) for _ in range(4)]
             await until(lambda: len(w.sent()) == 4)
-            monkeypatch.setattr(w.sidecar._engine.balancer, "_finish", finish)
+            monkeypatch.setattr(requests, "finish", finish)
             began = asyncio.get_running_loop().time()
             stall(2.0)  # all fall due in one event
             assert [(await each)[0] for each in asking] == [500] * 4
             assert asyncio.get_running_loop().time() - began < 2.2 and len(failed) >= 3
             assert is_over(w)()
-            monkeypatch.setattr(w.sidecar._engine.balancer, "_finish", real)
+            monkeypatch.setattr(requests, "finish", real)
 
     on_clock(scene())
 
@@ -907,15 +911,16 @@
 ) -> None:
     async def scene() -> None:
         async with world(hung, drained=True) as w:
-            real = w.sidecar._engine.balancer._timer_fired
+            timers = w.sidecar._engine.balancer.timers
+            real = timers.pop_due
 
-            def fails() -> None:
-                monkeypatch.setattr(w.sidecar._engine.balancer, "_timer_fired", real)
+            def fails(_: int) -> None:
+                monkeypatch.setattr(timers, "pop_due", real)
                 raise ZeroDivisionError
 
             await until(lambda: w.discovery.targets)
             heard = w.hear()
-            monkeypatch.setattr(w.sidecar._engine.balancer, "_timer_fired", fails)
+            monkeypatch.setattr(timers, "pop_due", fails)
             w.sidecar._engine.handle(TimerFired("agenda"))
             await asyncio.sleep(0.1)
             assert [type(each) for each in heard] == [TimerFired, TimerFired]
@@ -929,16 +934,17 @@
     async def scene() -> None:
         async with world(hung, drained=True) as w:
 
-            def fails(_: object) -> None:
+            def fails(_now: int, _request: object) -> None:
                 raise ZeroDivisionError
 
-            real = w.sidecar._engine.balancer._place
-            monkeypatch.setattr(w.sidecar._engine.balancer, "_place", fails)
+            placement = w.sidecar._engine.balancer.placement
+            real = placement.place
+            monkeypatch.setattr(placement, "place", fails)
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(request("pay", body=bytes(100_000))[:-1])  # its body is still coming: it has no time
             assert (await read_answer(reader))[0] == 500
             assert is_over(w)()
-            monkeypatch.setattr(w.sidecar._engine.balancer, "_place", real)
+            monkeypatch.setattr(placement, "place", real)
             writer.close()
 
     on_clock(scene())
@@ -949,13 +955,14 @@
 ) -> None:
     async def scene() -> None:
         async with world(hung, drained=True) as w:
-            real = w.sidecar._engine.balancer._keep_beat
+            timers = w.sidecar._engine.balancer.timers
+            real = timers.arm
 
-            def fails() -> None:
-                monkeypatch.setattr(w.sidecar._engine.balancer, "_keep_beat", real)
+            def fails(*_: object) -> None:
+                monkeypatch.setattr(timers, "arm", real)
                 raise ZeroDivisionError
 
-            monkeypatch.setattr(w.sidecar._engine.balancer, "_keep_beat", fails)
+            monkeypatch.setattr(timers, "arm", fails)
             assert (await w.ask())[0] == 500  # it was sent by then, and then given up
             await until(is_over(w))
             assert sum(each.in_flight for each in w.sidecar._engine.balancer.servers.values()) == 0
@@ -968,20 +975,20 @@
 ) -> None:
     async def scene() -> None:
         async with world(served, drained=True, orders=tmp_path) as w:
-            real, failed = w.sidecar.operations._orders.read, list[bool]()
+            real, failed = w.sidecar.operations._overrides.load, list[bool]()
 
             def fails() -> Any:
-                monkeypatch.setattr(w.sidecar.operations._orders, "read", real)
+                monkeypatch.setattr(w.sidecar.operations._overrides, "load", real)
                 failed.append(True)
                 raise ZeroDivisionError
 
-            monkeypatch.setattr(w.sidecar.operations._orders, "read", fails)
+            monkeypatch.setattr(w.sidecar.operations._overrides, "load", fails)
             with told_to_the_loop() as faults:
                 await until(lambda: failed)
                 await asyncio.sleep(0)
             assert [type(each) for each in faults] == [ZeroDivisionError]
-            Orders(tmp_path).exclude("s-0")  # as the other process of an upgrade may
-            await until(lambda: not w.sidecar._engine.balancer.ready)
+            OperatorOverrides(tmp_path).disable_server("s-0")  # as the other process of an upgrade may
+            await until(lambda: not w.sidecar._engine.balancer.ready_servers)
 
     on_clock(scene())
 
@@ -1045,7 +1052,7 @@
             monkeypatch.setattr(whose, what, real)
             seen = len(w.discovery.targets)
             w.discovery.say(43, [w.servers[0].entry(status="leaving")], snapshot=True)
-            await until(lambda: not w.sidecar._engine.balancer.ready)
+            await until(lambda: not w.sidecar._engine.balancer.ready_servers)
             if where == "hearing":  # half of it may have been taken
                 assert w.discovery.targets[seen] == "/registry/instances"
 
@@ -1056,13 +1063,13 @@
     async def scene() -> None:
         service = FakeDiscovery()
         await service.start()
-        watching = Discovery([service.address], 1, lambda told, silent: None, again_s=7.0)
-        watching.follow(True)
+        watching = DiscoveryClient([service.address], 1, lambda _: None, restart_after_s=7.0)
+        watching.set_watching(True)
         service.answers.put_nowait(answer(503, b""))
         await until(lambda: len(service.targets) == 2)
         assert service.called_at[1] - service.called_at[0] == pytest.approx(7.0, abs=0.1)
         await watching.close()
-        watching.follow(True)  # after the end nothing is begun
+        watching.set_watching(True)  # after the end nothing is begun
         assert watching._watch is None
         await service.end()
 
@@ -1077,20 +1084,20 @@
         old, other = FakeDiscovery(), FakeDiscovery()
         await old.start()
         await other.start()
-        heard: list[ListUpdate | None] = []
-        asked = Discovery([old.address], 1, lambda told, silent: heard.append(told))
+        heard: list[WatchEvent] = []
+        asked = DiscoveryClient([old.address], 1, heard.append)
         asked.fetch()
         asked.fetch()
         await until(lambda: len(old.targets) == 2)
-        asked.move([other.address])
-        asked.move([old.address])
+        asked.replace_sources([other.address])
+        asked.replace_sources([old.address])
         await until(lambda: len(old.targets) == 3)
         old.answers.put_nowait(answer(503, b""))
         old.say(7, [], snapshot=True)
         await until(lambda: not asked._fetches)
         assert heard == [] and asked._version is None
         old.say(8, [], snapshot=True)
-        await until(lambda: [each.version for each in heard if each is not None] == [8])
+        await until(lambda: [each.version for each in heard if isinstance(each, ListUpdate)] == [8])
         await asked.close()
         await old.end()
         await other.end()
@@ -1128,7 +1135,8 @@
             w.sidecar._discovery._tell(None, silent=True)  # it is told in the next turn
             w.move_discovery(moved.address)
             await until(lambda: moved.targets)
-            assert w.sidecar._engine.balancer._failed_calls == w.sidecar._engine.balancer._silent_calls == 0
+            schedule = w.sidecar._engine.balancer.discovery
+            assert schedule.failed_calls == schedule.unanswered_watches == 0
             await moved.end()
 
     on_clock(scene())
@@ -1139,13 +1147,13 @@
         async with world(served, served, drained=True) as w:
             gone, stays = w.servers
             w.discovery.say(43, [gone.entry(status="leaving")])
-            await until(lambda: len(w.sidecar._engine.balancer.ready) == 1)
+            await until(lambda: len(w.sidecar._engine.balancer.ready_servers) == 1)
             w.discovery.say(42, [gone.entry()])  # an older version of the service's list, late
             await until(lambda: w.discovery.targets[-1] == "/registry/instances")
-            assert len(w.sidecar._engine.balancer.ready) == 1
+            assert len(w.sidecar._engine.balancer.ready_servers) == 1
             w.discovery.say(3, [stays.entry()], snapshot=True)  # it counts anew: the whole list is right
             await until(lambda: w.discovery.targets[-1].startswith("/registry/instances?after=3&"))
-            assert [each.name for each in w.sidecar._engine.balancer.ready] == [stays.name]
+            assert [each.name for each in w.sidecar._engine.balancer.ready_servers] == [stays.name]
 
     on_clock(scene())
 
@@ -1346,7 +1354,7 @@
                     assert status == 500 and 0.98 <= took < 1.05 and len(w.sent()) == 1
                 if at == "backstop":
                     monkeypatch.setattr(w.sidecar._engine.balancer, "handle", real)
-                    for number in list(w.sidecar._engine.balancer._requests):
+                    for number in list(w.sidecar._engine.balancer.open_requests):
                         w.sidecar._engine.handle(ClientDisconnected(number))
                         w.sidecar._engine.handle(
                             AttemptEnded(number, 0, w.servers[0].name, Outcome.TIMED_OUT, 1, True)
