--- a/sidecar_balancer/admin/handlers.py
+++ b/sidecar_balancer/admin/handlers.py
@@ -24,8 +24,8 @@
 )
 from sidecar_balancer.policy.types import ZoneOverride
 from sidecar_balancer.runtime.engine import Engine
-from sidecar_balancer.runtime.proxy import Proxy, by_status
-from sidecar_balancer.upstream.connection import Upstream
+from sidecar_balancer.runtime.proxy import Proxy, count_by_status
+from sidecar_balancer.upstream.connection import EndpointPool
 
 if TYPE_CHECKING:
     from sidecar_balancer.membership.bridge import PeerLink
@@ -45,7 +45,7 @@
         engine: Engine,
         proxy: Proxy,
         frontend: Frontend,
-        connections: Upstream,
+        connections: EndpointPool,
         discovery: Discovery,
         orders: Orders,
         link: PeerLink | None,
@@ -54,7 +54,7 @@
         self._engine = engine
         self._proxy = proxy
         self._frontend = frontend
-        self._upstream = connections
+        self._endpoint_pool = connections
         self._discovery = discovery
         self._orders = orders
         self._link = link
@@ -103,10 +103,10 @@
         """The whole of this sidecar at a glance; latencies in ms."""
         told = {
             "ready": self.takes_clients and not self._frontend.draining,
-            "held": len(self._proxy.by_call),
+            "held": len(self._proxy.by_client_request),
             "clients": len(self._frontend.connections),
-            "connections_to_servers": self._upstream.open_count,
-            "answered": by_status(self._proxy.answers),
+            "connections_to_servers": self._endpoint_pool.open_count,
+            "answered": count_by_status(self._proxy.response_counts),
             "state": state_line(self._engine.balancer),
             "discovery": asdict(self._discovery.status()),
             "cpu_s": round(time.process_time(), 3),
@@ -182,7 +182,7 @@
         if evacuated:
             self._frontend.drain(EVACUATION_KEPT_S)
         else:
-            self._frontend.undrain()
+            self._frontend.cancel_drain()
 
     def hear_exclusions(self) -> None:
         """The module hears this sidecar's own orders and the bans that the plane holds for the tier."""
@@ -208,7 +208,7 @@
         self._knows_server = True
         if action.servers != self._excluded:
             self._excluded = action.servers
-            self._upstream.exclude(action.servers)
+            self._endpoint_pool.set_disabled(action.servers)
             log.info("excluded now: %s", ", ".join(sorted(action.servers))[:500] or "none")
 
 
--- a/sidecar_balancer/discovery/client.py
+++ b/sidecar_balancer/discovery/client.py
@@ -18,7 +18,7 @@
 from sidecar_balancer.discovery.endpoint_list import LIST_MOST_BYTES, ListUpdate, read_list
 from sidecar_balancer.discovery.sources import STALE_S, SourceSelector
 from sidecar_balancer.runtime.queueing import PollTimes
-from sidecar_balancer.upstream.connection import Address, Connection, Response, connect
+from sidecar_balancer.upstream.connection import Address, Response, ServerConnection, connect
 
 log = logging.getLogger(__name__)
 
@@ -307,7 +307,7 @@
         finally:
             connection.abort()
 
-    async def _exchange(self, connection: Connection, target: str) -> Response | None:
+    async def _exchange(self, connection: ServerConnection, target: str) -> Response | None:
         loop = asyncio.get_running_loop()
         answer: asyncio.Future[Response | None] = loop.create_future()
         headers = [("Host", "{}:{}".format(*self._sources.current)), ("Connection", "close")]
--- a/sidecar_balancer/downstream/frontend.py
+++ b/sidecar_balancer/downstream/frontend.py
@@ -16,45 +16,47 @@
 from sidecar_balancer.policy.settings import Idempotency, Settings
 from sidecar_balancer.runtime.queueing import BacklogAge, PollTimes, since_last_data_s
 from sidecar_balancer.runtime.streams import (
-    EVENTS_AT_ONCE,
-    HELD_WHOLE,
-    LONGEST,
-    STALLED_S,
-    Budget,
-    Receiver,
-    Sink,
-    Source,
+    MAX_BUFFERED_BODY_BYTES,
+    MAX_EVENTS_PER_TURN,
+    MAX_REQUEST_BODY_BYTES,
+    STALL_TIMEOUT_S,
+    BodyMemory,
+    BufferedReceiver,
+    ResponseSink,
+    ResponseSource,
     Upload,
 )
 from sidecar_balancer.upstream.connection import (
     Address,
     Headers,
-    end_to_end,
-    has_ended,
-    is_quiet,
+    end_to_end_headers,
+    has_no_unread_input,
     is_readable,
+    peer_has_closed,
 )
 
 log = logging.getLogger(__name__)
 
-_READY_PATH = b"/health/ready"
+_READINESS_PATH = b"/health/ready"
 _API_PATH = b"/api"
-_BACKLOG = 512
-_LOOK_S = 0.1  # how often it is seen whether a client that is not read has left
-_LOOK_AGAIN_S = 0.05  # after which what waited unread in a stall has been read
-_ACCEPTED_AT_ONCE = 64  # connections taken in one step of the event loop
-_LET_GO_EVERY_S = 0.02  # how often a drain looks for connections that came to rest
-_FLUSH_STEP_S = 0.005  # how often the end looks whether its last answers have left
-_DELAY_LEAST_S = 0.01  # queueing delay below this is not taken off a request's time
+_LISTEN_BACKLOG = 512
+_CLIENT_CHECK_INTERVAL_S = 0.1  # how often it is seen whether a client that is not read has left
+_UNREAD_INPUT_GRACE_S = 0.05  # after which what waited unread in a stall has been read
+_MAX_ACCEPTS_PER_TURN = 64  # connections taken in one step of the event loop
+_IDLE_CLOSE_INTERVAL_S = 0.02  # how often a drain looks for connections that came to rest
+_FLUSH_POLL_S = 0.005  # how often the end looks whether its last answers have left
+_MIN_QUEUE_DELAY_S = 0.01  # queueing delay below this is not taken off a request's time
 _ACCEPT_PAUSE_S = 0.05  # after a failed accept, descriptors lacking: no spinning
-_WHOLE_S = 2.5  # what a head may take from its first byte: slow ones take 2 s, and after 3 s an end is owed
-_BODY_BEGINS_S = 1.5  # after its head, when a body must have begun to come
-_BODY_RATE = (
+_REQUEST_TIMEOUT_S = (
+    2.5  # what a head may take from its first byte: slow ones take 2 s, and after 3 s an end is owed
+)
+_BODY_START_TIMEOUT_S = 1.5  # after its head, when a body must have begun to come
+_MIN_BODY_BYTES_PER_S = (
     32_000.0  # bytes a second at which it must go on; the slowest that are owed service send twice as fast
 )
 _LINGER_S = 1.0  # how long an ended connection is read on after its last byte, so that its answer arrives
-_LINGER_MOST_S = 30.0  # and in all: a long body may still be under way
-_REASONS = {
+_MAX_LINGER_S = 30.0  # and in all: a long body may still be under way
+_REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
@@ -63,7 +65,7 @@
 }
 
 
-class BadRequest(Exception):
+class RequestError(Exception):
     """What can't be taken; the status tells why."""
 
     def __init__(self, status: int, why: str) -> None:
@@ -72,64 +74,72 @@
 
 
 @dataclass(slots=True, eq=False)
-class Call:
+class ClientRequest:
     """A request as the application sent it; it is answered once."""
 
     method: bytes
     target: bytes
     headers: Headers  # those that go on
     body: bytes
-    ident: str
+    request_id: str
     service_class: str
     tenant: str | None
     key: int | None
-    budget_us: int
+    remaining_us: int
     cost_us: int | None
-    again: bool
+    is_retry: bool
     port: int  # of the application's connection, for the log
-    answer: Callable[[int, Headers, bytes], None]
-    begin: Callable[[Headers, int | None, Source], Sink | None]  # in place of `answer`, where that is long
+    respond: Callable[[int, Headers, bytes], None]
+    begin_streaming: Callable[
+        [Headers, int | None, ResponseSource], ResponseSink | None
+    ]  # in place of `answer`, where that is long
     upload: Upload | None = None  # in place of the body, where that is long
-    look: Callable[[], None] = lambda: None  # whether its client is still there; if not, it is told gone
+    check_connected: Callable[[], None] = lambda: (
+        None
+    )  # whether its client is still there; if not, it is told gone
 
 
 @dataclass(slots=True)
-class Hooks:
+class RequestHandler:
     """What the frontend asks of the driver."""
 
-    taken: Callable[[Call], None]
-    gone: Callable[[Call], None]
-    ready: Callable[[], bool]
-    whole: Callable[[Call], None] = lambda call: None  # the last byte of a long body has come
+    request_received: Callable[[ClientRequest], None]
+    client_disconnected: Callable[[ClientRequest], None]
+    is_ready: Callable[[], bool]
+    body_completed: Callable[[ClientRequest], None] = lambda call: (
+        None
+    )  # the last byte of a long body has come
 
 
-def parse_call(
+def parse_request(
     head: h11.Request,
     body: bytes,
-    answer: Callable[[int, Headers, bytes], None],
-    begin: Callable[[Headers, int | None, Source], Sink | None],
+    respond: Callable[[int, Headers, bytes], None],
+    begin_streaming: Callable[[Headers, int | None, ResponseSource], ResponseSink | None],
     port: int = 0,
-) -> Call:
+) -> ClientRequest:
     """Read a request of the application; raise BadRequest where a header is missing or makes no sense."""
     given = {name: value.decode("latin-1").strip() for name, value in head.headers}
     for name in (b"x-call-id", b"x-call-class", b"x-budget"):
         if not given.get(name):
-            raise BadRequest(400, f"{name.decode()} is missing")
-    return Call(
+            raise RequestError(400, f"{name.decode()} is missing")
+    return ClientRequest(
         method=head.method,
         target=head.target,
-        headers=end_to_end(head.headers, b"content-length", b"x-budget", b"expect"),
+        headers=end_to_end_headers(head.headers, b"content-length", b"x-budget", b"expect"),
         body=body,
-        ident=given[b"x-call-id"],
+        request_id=given[b"x-call-id"],
         service_class=given[b"x-call-class"],
         tenant=given.get(b"x-caller") or None,
-        key=_key(head.target),
-        budget_us=int(_number(given[b"x-budget"], "x-budget") * 1e6),
-        cost_us=int(_number(given[b"x-call-cost"], "x-call-cost")) if given.get(b"x-call-cost") else None,
-        again=given.get(b"x-again") == "1",
+        key=_routing_key(head.target),
+        remaining_us=int(_parse_number(given[b"x-budget"], "x-budget") * 1e6),
+        cost_us=int(_parse_number(given[b"x-call-cost"], "x-call-cost"))
+        if given.get(b"x-call-cost")
+        else None,
+        is_retry=given.get(b"x-again") == "1",
         port=port,
-        answer=answer,
-        begin=begin,
+        respond=respond,
+        begin_streaming=begin_streaming,
     )
 
 
@@ -140,38 +150,40 @@
     """
     names = [name for name, _ in head.headers]
     if b"transfer-encoding" in names and (b"content-length" in names or head.http_version < b"1.1"):
-        raise BadRequest(400, "transfer-encoding beside content-length or before HTTP/1.1")
+        raise RequestError(400, "transfer-encoding beside content-length or before HTTP/1.1")
 
 
-def _check_call(call: Call, head: h11.Request, settings: Settings) -> None:
+def _validate(call: ClientRequest, head: h11.Request, settings: Settings) -> None:
     """Raise BadRequest for what the settings do not know: a server that answers it 400 is not sick."""
     kind = next((each for each in settings.classes if each.name == call.service_class), None)
     if kind is None:
-        raise BadRequest(400, "x-call-class is not known")
-    call.budget_us = min(call.budget_us, kind.deadline_us)  # nobody waits longer, and it is held as long
+        raise RequestError(400, "x-call-class is not known")
+    call.remaining_us = min(
+        call.remaining_us, kind.deadline_us
+    )  # nobody waits longer, and it is held as long
     if settings.tenants and call.tenant not in {each.name for each in settings.tenants}:
-        raise BadRequest(400, "x-caller is not known")
+        raise RequestError(400, "x-caller is not known")
     if call.method != (b"GET" if kind.idempotency is Idempotency.IDEMPOTENT else b"POST"):
-        raise BadRequest(405, "the class needs another method")
-    if kind.idempotency is Idempotency.IDEMPOTENCY_KEY and not _is_keyed(head):
-        raise BadRequest(400, "idempotency-key is missing")  # servers could not drop its repeats
+        raise RequestError(405, "the class needs another method")
+    if kind.idempotency is Idempotency.IDEMPOTENCY_KEY and not _has_idempotency_key(head):
+        raise RequestError(400, "idempotency-key is missing")  # servers could not drop its repeats
 
 
-def _is_keyed(head: h11.Request) -> bool:
+def _has_idempotency_key(head: h11.Request) -> bool:
     return any(name == b"idempotency-key" and value.strip() for name, value in head.headers)
 
 
-def _number(text: str, name: str) -> float:
+def _parse_number(text: str, name: str) -> float:
     try:
         value = float(text)
     except ValueError:
         value = math.nan
     if not 0.0 <= value <= 1e9:
-        raise BadRequest(400, f"{name}: a number is needed")
+        raise RequestError(400, f"{name}: a number is needed")
     return value
 
 
-def _key(target: bytes) -> int | None:
+def _routing_key(target: bytes) -> int | None:
     """The last part of the path as a number, whatever it is made of."""
     last = target.partition(b"?")[0].removeprefix(_API_PATH).rpartition(b"/")[2]
     if not last:
@@ -182,12 +194,12 @@
         return int.from_bytes(last, "big")
 
 
-class ClientConnection(Receiver):
+class ClientConnection(BufferedReceiver):
     """One connection of the application; it carries one request at a time."""
 
     def __init__(self, frontend: Frontend, sock: socket.socket, established_after: float) -> None:
         """Serve an accepted connection; it came up after that time, on the event loop's clock."""
-        super().__init__(frontend.budget)
+        super().__init__(frontend.body_memory)
         self._frontend = frontend
         self._sock = sock
         self._port = 0
@@ -195,191 +207,206 @@
         self._transport: asyncio.Transport | None = None
         self._head: h11.Request | None = None
         self._body = bytearray()
-        self._call: Call | None = None
+        self._request: ClientRequest | None = None
         self._upload: Upload | None = None  # where the body goes that is still coming
-        self._source: Source | None = None  # where the long answer under way comes from
-        self._stuck = False  # the last answer is not all written yet
-        self._unread = 0  # how much of it was still to be written when that was last looked at
-        self._more = False  # h11 holds more than one step may parse
-        self._paused = False  # nothing is read for now
-        self._lingering_until: float | None = None  # what still comes is dropped: its framing is lost
-        self._due: asyncio.TimerHandle | None = None  # when a request that is awaited must have come whole
-        self._looking: asyncio.TimerHandle | None = None  # when it is seen whether an unread client has left
-        self._began = 0.0  # when it began to be awaited
-        self._body_from = 0.0  # since when its body is counted
-        self._body_came = 0  # bytes of it since then
-        self._came_at = 0.0  # when the last of them came
+        self._source: ResponseSource | None = None  # where the long answer under way comes from
+        self._write_blocked = False  # the last answer is not all written yet
+        self._unsent_bytes = 0  # how much of it was still to be written when that was last looked at
+        self._parse_scheduled = False  # h11 holds more than one step may parse
+        self._reading_paused = False  # nothing is read for now
+        self._linger_deadline: float | None = None  # what still comes is dropped: its framing is lost
+        self._timer: asyncio.TimerHandle | None = None  # when a request that is awaited must have come whole
+        self._client_check_timer: asyncio.TimerHandle | None = (
+            None  # when it is seen whether an unread client has left
+        )
+        self._awaited_since = 0.0  # when it began to be awaited
+        self._body_counted_since = 0.0  # since when its body is counted
+        self._body_bytes = 0  # bytes of it since then
+        self._last_input_at = 0.0  # when the last of them came
         # Since when nothing was read; None: it is polled in each step.
         self._unread_since: float | None = established_after
         self._arrived_at = 0.0  # when what was read last had arrived in the kernel, at the earliest
         # It sent too far ahead: it is read no more but for its end, which its answer brings.
-        self._drops = False
-        self._dropped = 0  # bytes so far
-        self._uploaded = 0  # bytes of a long body, from its beginning
-        self.used = False  # whether it has carried a request
+        self._discards_input = False
+        self._discarded_bytes = 0  # bytes so far
+        self._upload_bytes = 0  # bytes of a long body, from its beginning
+        self.has_served = False  # whether it has carried a request
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._port = int((transport.get_extra_info("peername") or ("", 0))[1])
         transport.set_write_buffer_limits(high=0)
-        self._frontend.opened(self)
-        self._await_request()
+        self._frontend.connection_opened(self)
+        self._start_request_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._frontend.lost(self)
-        self._await_no_more()
-        if self._looking is not None:
-            self._looking.cancel()
-        self._count_unread(0)
-        self._let_body_go()
-        self._client_gone()
+        self._frontend.connection_closed(self)
+        self._stop_timer()
+        if self._client_check_timer is not None:
+            self._client_check_timer.cancel()
+        self._record_unsent(0)
+        self._release_body()
+        self._client_disconnected()
 
     def eof_received(self) -> bool:
         return False  # a client that closes has gone away
 
     def data_received(self, data: bytes) -> None:
-        if self._lingering_until is not None:
-            self._linger_on()
+        if self._linger_deadline is not None:
+            self._extend_linger()
             return
-        if self._drops:
-            self._drop(data)
+        if self._discards_input:
+            self._discard_input(data)
             return
-        self._note_arrival()
+        self._record_arrival()
         try:
             self._h11.receive_data(data)
-        except h11.RemoteProtocolError as bad:
-            self._reject(BadRequest(400, str(bad)))
+        except h11.RemoteProtocolError as error:
+            self._reject(RequestError(400, str(error)))
             return
-        if self._upload is not None or (self._call is None and not self._stuck):
-            self._read()
-        elif len(self._h11.trailing_data[0]) > HELD_WHOLE:
-            self._drops = True  # it sends ahead; what is held is bounded, and its leaving must be seen
-
-    def _note_arrival(self) -> None:
+        if self._upload is not None or (self._request is None and not self._write_blocked):
+            self._parse()
+        elif len(self._h11.trailing_data[0]) > MAX_BUFFERED_BODY_BYTES:
+            self._discards_input = (
+                True  # it sends ahead; what is held is bounded, and its leaving must be seen
+            )
+
+    def _record_arrival(self) -> None:
         """Note when the input that is read now came, and how long it can have waited before."""
-        self._came_at = now = asyncio.get_running_loop().time()
+        self._last_input_at = now = asyncio.get_running_loop().time()
         unread_since = self._frontend.poll_times.unread_since
         if self._unread_since is not None:
             unread_since, self._unread_since = min(unread_since, self._unread_since), None
         delay_s = max(now - unread_since, 0.0)
-        if delay_s >= _DELAY_LEAST_S and (known_s := since_last_data_s(self._sock)) is not None:
+        if delay_s >= _MIN_QUEUE_DELAY_S and (known_s := since_last_data_s(self._sock)) is not None:
             delay_s = min(delay_s, known_s)
         self._arrived_at = now - delay_s
 
-    def _time_left_us(self, budget_us: int) -> int:
+    def _remaining_us(self, remaining_us: int) -> int:
         """Take off a request's time what it waited for after it had come whole."""
         delay_s = asyncio.get_running_loop().time() - self._arrived_at
-        return budget_us if delay_s < _DELAY_LEAST_S else max(budget_us - int(delay_s * 1e6), 0)
+        return remaining_us if delay_s < _MIN_QUEUE_DELAY_S else max(remaining_us - int(delay_s * 1e6), 0)
 
-    def _drop(self, data: bytes) -> None:
+    def _discard_input(self, data: bytes) -> None:
         """Read on what was sent ahead too far, only to see its client leave; without end it is none."""
-        self._dropped += len(data)
-        if self._dropped > LONGEST:
+        self._discarded_bytes += len(data)
+        if self._discarded_bytes > MAX_REQUEST_BODY_BYTES:
             self.abort()
 
     # -- Time limits: peers that send slowly or nothing may not hold descriptors ----------------------
 
-    def _await_request(self) -> None:
-        if self._due is None:
+    def _start_request_timer(self) -> None:
+        if self._timer is None:
             loop = asyncio.get_running_loop()
-            self._began = loop.time()
-            self._due = loop.call_later(_WHOLE_S, self._too_slow, True)
+            self._awaited_since = loop.time()
+            self._timer = loop.call_later(_REQUEST_TIMEOUT_S, self._check_request_deadline, True)
 
-    def _await_no_more(self) -> None:
-        if self._due is not None:
-            self._due.cancel()
-            self._due = None
+    def _stop_timer(self) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
 
-    def _due_at(self) -> float:
+    def _request_deadline(self) -> float:
         """When what has come so far must have become more: a body may take its time while it moves."""
         if self._head is None:
-            return self._began + _WHOLE_S
-        in_time = self._body_from + _BODY_BEGINS_S + self._body_came / _BODY_RATE
-        return max(self._began + _WHOLE_S, min(in_time, self._came_at + STALLED_S))
+            return self._awaited_since + _REQUEST_TIMEOUT_S
+        in_time = self._body_counted_since + _BODY_START_TIMEOUT_S + self._body_bytes / _MIN_BODY_BYTES_PER_S
+        return max(
+            self._awaited_since + _REQUEST_TIMEOUT_S, min(in_time, self._last_input_at + STALL_TIMEOUT_S)
+        )
 
-    def _too_slow(self, look_again: bool) -> None:
+    def _check_request_deadline(self, allow_unread_input: bool) -> None:
         loop = asyncio.get_running_loop()
-        if self._paused:
-            self._count_body_anew()  # it is not read: its server is the slow one
-        if (due := self._due_at()) > loop.time():
-            self._due = loop.call_at(due, self._too_slow, True)
+        if self._reading_paused:
+            self._restart_body_rate()  # it is not read: its server is the slow one
+        if (due := self._request_deadline()) > loop.time():
+            self._timer = loop.call_at(due, self._check_request_deadline, True)
             return
-        if look_again and not is_quiet(self._sock):  # our own delay: read first what waits
-            self._due = loop.call_later(_LOOK_AGAIN_S, self._too_slow, False)
+        if allow_unread_input and not has_no_unread_input(self._sock):  # our own delay: read first what waits
+            self._timer = loop.call_later(_UNREAD_INPUT_GRACE_S, self._check_request_deadline, False)
             return
-        self._due = None
+        self._timer = None
         if self._head is not None or self._h11.trailing_data[0]:
-            self._reject(BadRequest(408, "the request did not come in time"))
+            self._reject(RequestError(408, "the request did not come in time"))
         else:
             self.close()
 
-    def _count_body_anew(self) -> None:
-        self._body_from = self._came_at = asyncio.get_running_loop().time()
-        self._body_came = 0
+    def _restart_body_rate(self) -> None:
+        self._body_counted_since = self._last_input_at = asyncio.get_running_loop().time()
+        self._body_bytes = 0
 
     # -- Writing: a client that reads nothing is given up, a slow one is not --------------------------
 
     def pause_writing(self) -> None:
-        self._stuck = True
+        self._write_blocked = True
         if self._transport is not None:
-            self._count_unread(self._transport.get_write_buffer_size())
+            self._record_unsent(self._transport.get_write_buffer_size())
             if self._source is not None:
                 self._source.pause()
             if self._upload is None:
-                self._await_no_more()
-                self._due = asyncio.get_running_loop().call_later(STALLED_S, self._look_unread)
+                self._stop_timer()
+                self._timer = asyncio.get_running_loop().call_later(
+                    STALL_TIMEOUT_S, self._check_write_progress
+                )
 
     def resume_writing(self) -> None:
-        self._stuck = False
-        self._count_unread(0)
+        self._write_blocked = False
+        self._record_unsent(0)
         if self._upload is None:
-            self._await_no_more()
+            self._stop_timer()
         if self._source is not None:
             self._source.resume()
-        elif self._call is None:
+        elif self._request is None:
             self._next_request()
 
-    def _look_unread(self) -> None:
+    def _check_write_progress(self) -> None:
         if self._transport is None:
             return
         left = self._transport.get_write_buffer_size()
-        if left >= self._unread:
+        if left >= self._unsent_bytes:
             self.abort()
             return
-        self._count_unread(left)
-        self._due = asyncio.get_running_loop().call_later(STALLED_S, self._look_unread)
+        self._record_unsent(left)
+        self._timer = asyncio.get_running_loop().call_later(STALL_TIMEOUT_S, self._check_write_progress)
 
-    def _count_unread(self, size: int) -> None:
-        self.budget.held += size - self._unread
-        self._unread = size
+    def _record_unsent(self, size: int) -> None:
+        self.body_memory.buffered_bytes += size - self._unsent_bytes
+        self._unsent_bytes = size
 
     # -- A client that leaves: what it waits for is not sent on ---------------------------------------
 
-    def look(self) -> None:
+    def check_connected(self) -> None:
         """See whether the client has left, though nothing that it sent last was read yet."""
-        if self._call is not None and has_ended(self._sock):
-            self._client_gone()
+        if self._request is not None and peer_has_closed(self._sock):
+            self._client_disconnected()
             self.close()
 
-    def _look_later(self) -> None:
+    def _schedule_client_check(self) -> None:
         """While nothing is read, no event tells of a client that leaves."""
-        if self._looking is None:
-            self._looking = asyncio.get_running_loop().call_later(_LOOK_S, self._look_now)
+        if self._client_check_timer is None:
+            self._client_check_timer = asyncio.get_running_loop().call_later(
+                _CLIENT_CHECK_INTERVAL_S, self._run_client_check
+            )
 
-    def _look_now(self) -> None:
-        self._looking = None
+    def _run_client_check(self) -> None:
+        self._client_check_timer = None
         if self._transport is not None and not self._transport.is_closing():
-            self.look()
-            if self._call is not None and not self._transport.is_reading():
-                self._look_later()
+            self.check_connected()
+            if self._request is not None and not self._transport.is_reading():
+                self._schedule_client_check()
 
     # -- Reading --------------------------------------------------------------------------------------
 
     def is_idle(self) -> bool:
         """Whether it may be closed: no request is held, begun or waiting unread."""
-        held = self._call is not None or self._head is not None or self._stuck or self._h11.trailing_data[0]
-        return not held and is_quiet(self._sock)
+        is_busy = (
+            self._request is not None
+            or self._head is not None
+            or self._write_blocked
+            or self._h11.trailing_data[0]
+        )
+        return not is_busy and has_no_unread_input(self._sock)
 
     def close(self) -> None:
         if self._transport is not None:
@@ -397,183 +424,186 @@
                 self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self._transport.abort()
 
-    def finish(self) -> None:
+    def close_gracefully(self) -> None:
         """Close once what is written has arrived: closing on unread bytes would reset it away.
 
         A long answer under way can't become whole any more, and its client must be able to tell.
         """
         if self._source is not None:
-            self.break_answer()
-        elif self._lingering_until is None and not self.is_idle():
+            self.abort_response()
+        elif self._linger_deadline is None and not self.is_idle():
             self._linger()
-        elif self._lingering_until is None:
+        elif self._linger_deadline is None:
             self.close()
 
-    def _read(self) -> None:
+    def _parse(self) -> None:
         """Take what has come, up to the end of one request and a bounded number of events in a step."""
-        if self._more:
+        if self._parse_scheduled:
             return  # its turn comes
         try:
-            for _ in range(EVENTS_AT_ONCE):
-                if not self._next_event():
+            for _ in range(MAX_EVENTS_PER_TURN):
+                if not self._handle_next_event():
                     break
             else:
-                self._more = True
-                self._read_or_not()
-                asyncio.get_running_loop().call_soon(self._read_on)
-            if self._call is None and (self._head is not None or self._h11.trailing_data[0]):
-                self._await_request()
-        except BadRequest as bad:
-            self._reject(bad)
-        except h11.RemoteProtocolError as bad:
-            self._reject(BadRequest(400, str(bad)))
+                self._parse_scheduled = True
+                self._update_reading()
+                asyncio.get_running_loop().call_soon(self._continue_parsing)
+            if self._request is None and (self._head is not None or self._h11.trailing_data[0]):
+                self._start_request_timer()
+        except RequestError as error:
+            self._reject(error)
+        except h11.RemoteProtocolError as error:
+            self._reject(RequestError(400, str(error)))
         except Exception:
             log.exception("a request could not be handled")  # a defect: its request fails, no other
             if self._transport is not None:
-                self._reject(BadRequest(500, "internal error"))
+                self._reject(RequestError(500, "internal error"))
 
-    def _read_on(self) -> None:
-        self._more = False
-        self._read_or_not()
-        if self._transport is not None and not self._transport.is_closing() and self._lingering_until is None:
-            if self._upload is not None or (self._call is None and not self._stuck):
-                self._read()
+    def _continue_parsing(self) -> None:
+        self._parse_scheduled = False
+        self._update_reading()
+        if self._transport is not None and not self._transport.is_closing() and self._linger_deadline is None:
+            if self._upload is not None or (self._request is None and not self._write_blocked):
+                self._parse()
 
-    def _read_or_not(self) -> None:
+    def _update_reading(self) -> None:
         if self._transport is None or self._transport.is_closing():
             return
-        was, self._paused = self._paused, self._more or (self._upload is not None and self._upload.is_full())
-        if self._paused:
-            if not was:
+        was_paused, self._reading_paused = (
+            self._reading_paused,
+            self._parse_scheduled or (self._upload is not None and self._upload.is_full()),
+        )
+        if self._reading_paused:
+            if not was_paused:
                 self._unread_since = asyncio.get_running_loop().time()
             self._transport.pause_reading()
-            self._look_later()
+            self._schedule_client_check()
         else:
             self._transport.resume_reading()
-            if was:
-                self._count_body_anew()
+            if was_paused:
+                self._restart_body_rate()
 
-    def _next_event(self) -> bool:
-        if self._lingering_until is not None or self._transport is None or self._transport.is_closing():
+    def _handle_next_event(self) -> bool:
+        if self._linger_deadline is not None or self._transport is None or self._transport.is_closing():
             return False
         event = self._h11.next_event()
         if isinstance(event, h11.Request):
             self._head = event
-            self._begin(event)
+            self._begin_request(event)
         elif isinstance(event, h11.Data):
-            self._take(event.data)
+            self._receive_body(event.data)
         elif isinstance(event, h11.EndOfMessage):
-            self._whole()
+            self._complete_request()
             return False
         return isinstance(event, h11.Request | h11.Data)
 
-    def _begin(self, head: h11.Request) -> None:
+    def _begin_request(self, head: h11.Request) -> None:
         _check_framing(head)
-        self._count_body_anew()
+        self._restart_body_rate()
         length = int(next((v for n, v in head.headers if n == b"content-length"), b"0"))
-        if length > LONGEST:
-            raise BadRequest(413, "the body is too large")
-        if length > HELD_WHOLE:
+        if length > MAX_REQUEST_BODY_BYTES:
+            raise RequestError(413, "the body is too large")
+        if length > MAX_BUFFERED_BODY_BYTES:
             self._begin_upload(head, length)
         if self._h11.they_are_waiting_for_100_continue and self._transport is not None:
             go_on = h11.InformationalResponse(status_code=100, headers=[])
             self._transport.write(self._h11.send(go_on) or b"")
 
-    def _take(self, data: bytes) -> None:
+    def _receive_body(self, data: bytes) -> None:
         """Take some of the body."""
-        self._body_came += len(data)
+        self._body_bytes += len(data)
         if self._upload is not None:
-            self._uploaded += len(data)
-            if self._uploaded > LONGEST:
-                raise BadRequest(413, "the body is too large")
-            if self._uploaded == self._upload.length:
-                self.look()  # its end may have come together with its client's leaving
+            self._upload_bytes += len(data)
+            if self._upload_bytes > MAX_REQUEST_BODY_BYTES:
+                raise RequestError(413, "the body is too large")
+            if self._upload_bytes == self._upload.length:
+                self.check_connected()  # its end may have come together with its client's leaving
             if self._upload is not None:
                 self._upload.feed(data)
-                self._read_or_not()
+                self._update_reading()
             return
         self._body += data
-        self.budget.held += len(data)
-        if not self.budget.may_hold(len(self._body)) and self._head is not None:
+        self.body_memory.buffered_bytes += len(data)
+        if not self.body_memory.may_buffer(len(self._body)) and self._head is not None:
             self._begin_upload(self._head, None)
 
     def _begin_upload(self, head: h11.Request, length: int | None) -> None:
         """Pass a long body on as it comes, with its request taken before its end."""
-        call = self._parsed(head, b"")
+        call = self._parse_request(head, b"")
         if length is None:
             length = next((int(v) for n, v in head.headers if n == b"content-length"), None)
-        self._await_request()
-        self._upload = call.upload = Upload(length, self._read_or_not)
-        self._uploaded = len(self._body)
-        self.budget.streams += 1
+        self._start_request_timer()
+        self._upload = call.upload = Upload(length, self._update_reading)
+        self._upload_bytes = len(self._body)
+        self.body_memory.active_streams += 1
         self._upload.feed(self._body)
-        self._let_body_go()
-        self.used = True
-        self._call = call
-        self._frontend.hooks.taken(call)
-        self._read_or_not()
+        self._release_body()
+        self.has_served = True
+        self._request = call
+        self._frontend.handler.request_received(call)
+        self._update_reading()
 
     def _end_upload(self) -> None:
         if self._upload is not None:
             self._upload = None
-            self.budget.streams -= 1
-            self._await_no_more()
-            self._read_or_not()
+            self.body_memory.active_streams -= 1
+            self._stop_timer()
+            self._update_reading()
 
-    def _let_body_go(self) -> None:
-        self.budget.held -= len(self._body)
+    def _release_body(self) -> None:
+        self.body_memory.buffered_bytes -= len(self._body)
         self._body = bytearray()
 
-    def _parsed(self, head: h11.Request, body: bytes) -> Call:
+    def _parse_request(self, head: h11.Request, body: bytes) -> ClientRequest:
         path = head.target.partition(b"?")[0]
         if path != _API_PATH and not path.startswith(_API_PATH + b"/"):
-            raise BadRequest(404, "no such path")
-        call = parse_call(head, body, self._answer, self._begin_answer, self._port)
-        call.look = self.look
-        _check_call(call, head, self._frontend.settings)
+            raise RequestError(404, "no such path")
+        call = parse_request(head, body, self._respond, self._begin_streaming, self._port)
+        call.check_connected = self.check_connected
+        _validate(call, head, self._frontend.settings)
         return call
 
-    def _whole(self) -> None:
+    def _complete_request(self) -> None:
         """A request has come whole."""
         head, body = self._head, bytes(self._body)
         assert head is not None
-        self._await_no_more()
-        self.used = True
+        self._stop_timer()
+        self.has_served = True
         if self._upload is not None:
-            self.look()  # likewise
-            upload, call = self._upload, self._call
+            self.check_connected()  # likewise
+            upload, call = self._upload, self._request
             if upload is None:
                 return
             self._end_upload()
             upload.end()
             if call is not None:
-                call.budget_us = self._time_left_us(call.budget_us)
-                self._frontend.hooks.whole(call)
-        elif head.target.partition(b"?")[0] == _READY_PATH:
-            self._answer(200 if self._frontend.hooks.ready() else 503, [], b"")
+                call.remaining_us = self._remaining_us(call.remaining_us)
+                self._frontend.handler.body_completed(call)
+        elif head.target.partition(b"?")[0] == _READINESS_PATH:
+            self._respond(200 if self._frontend.handler.is_ready() else 503, [], b"")
         else:
-            self._call = call = self._parsed(head, body)
-            call.budget_us = self._time_left_us(call.budget_us)
-            self._frontend.hooks.taken(call)
+            self._request = call = self._parse_request(head, body)
+            call.remaining_us = self._remaining_us(call.remaining_us)
+            self._frontend.handler.request_received(call)
 
-    def _reject(self, bad: BadRequest) -> None:
-        log.info("request from port %d rejected: %.120s", self._port, bad)
-        self._client_gone()  # nothing more of a body that was under way
+    def _reject(self, error: RequestError) -> None:
+        log.info("request from port %d rejected: %.120s", self._port, error)
+        self._client_disconnected()  # nothing more of a body that was under way
         if self._h11.our_state is h11.SEND_RESPONSE or self._h11.our_state is h11.IDLE:
-            self._answer(bad.status, [(b"Content-Type", b"text/plain")], f"{bad}\n".encode())
-        elif self._call is None:
+            self._respond(error.status, [(b"Content-Type", b"text/plain")], f"{error}\n".encode())
+        elif self._request is None:
             self.close()
 
     # -- Answering ------------------------------------------------------------------------------------
 
-    def _answer(self, status: int, headers: Headers, body: bytes) -> None:
+    def _respond(self, status: int, headers: Headers, body: bytes) -> None:
         """Write an answer whole, at once; its connection goes on if framing allows."""
-        self._call = None
+        self._request = None
         if self._transport is None or self._transport.is_closing():
             return
         headers = [*headers, (b"Content-Length", str(len(body)).encode())]
         try:
-            events: list[h11.Event] = [self._response(status, headers), h11.EndOfMessage()]
+            events: list[h11.Event] = [self._response_head(status, headers), h11.EndOfMessage()]
             if body:
                 events.insert(1, h11.Data(data=body))
             data = b"".join(self._h11.send(each) or b"" for each in events)
@@ -582,75 +612,77 @@
             self.abort()
             return
         self._transport.write(data)
-        self._answered()
+        self._response_written()
 
-    def _response(self, status: int, headers: Headers) -> h11.Response:
-        if self._frontend.draining or not self._came_whole():
+    def _response_head(self, status: int, headers: Headers) -> h11.Response:
+        if self._frontend.draining or not self._request_was_read():
             headers.append((b"Connection", b"close"))
-        return h11.Response(status_code=status, headers=headers, reason=_REASONS.get(status, b""))
+        return h11.Response(status_code=status, headers=headers, reason=_REASON_PHRASES.get(status, b""))
 
-    def _came_whole(self) -> bool:
+    def _request_was_read(self) -> bool:
         """Whether all was read to the request's end; its connection may be about to end all the same."""
-        return not self._drops and self._h11.their_state in (h11.DONE, h11.MUST_CLOSE, h11.CLOSED)
+        return not self._discards_input and self._h11.their_state in (h11.DONE, h11.MUST_CLOSE, h11.CLOSED)
 
-    def _answered(self) -> None:
+    def _response_written(self) -> None:
         """An answer is written to its end: on to the next request, or to the end of the connection."""
         self._head = None
-        self._let_body_go()
+        self._release_body()
         self._end_upload()
-        if not self._came_whole():
+        if not self._request_was_read():
             self._linger()
         elif self._h11.our_state is not h11.DONE:
-            (self.close if self._stuck else self.finish)()  # what is stuck is written first
-        elif not self._stuck:
+            (self.close if self._write_blocked else self.close_gracefully)()  # what is stuck is written first
+        elif not self._write_blocked:
             asyncio.get_running_loop().call_soon(self._next_request)
 
-    def _begin_answer(self, headers: Headers, length: int | None, source: Source) -> Sink | None:
+    def _begin_streaming(
+        self, headers: Headers, length: int | None, source: ResponseSource
+    ) -> ResponseSink | None:
         """Begin an answer that is passed on as it comes; None where the client has left."""
         if self._transport is None or self._transport.is_closing():
             return None
         if length is not None:
             headers = [*headers, (b"Content-Length", str(length).encode())]
         self._source = source
-        self._transport.write(self._h11.send(self._response(200, list(headers))) or b"")
+        self._transport.write(self._h11.send(self._response_head(200, list(headers))) or b"")
         return self
 
-    def pass_on(self, data: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write(self._h11.send(h11.Data(data=data)) or b"")
-            if self._stuck:  # what its server had sent by then still comes: that is no standstill
-                self._count_unread(self._transport.get_write_buffer_size())
+            if self._write_blocked:  # what its server had sent by then still comes: that is no standstill
+                self._record_unsent(self._transport.get_write_buffer_size())
 
-    def end_answer(self) -> None:
-        self._call = self._source = None
+    def end_response(self) -> None:
+        self._request = self._source = None
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write(self._h11.send(h11.EndOfMessage()) or b"")
-            self._answered()
+            self._response_written()
 
-    def break_answer(self) -> None:
+    def abort_response(self) -> None:
         """End the connection short of the answer's end, so that its client can tell."""
         if self._transport is not None and not self._transport.is_closing():
             if self._h11.their_http_version == b"1.0":
                 self.abort()
             else:
                 self.close()
-        self._call = self._source = None
+        self._request = self._source = None
 
     def _linger(self) -> None:
         """End our side and drop what still comes: closing on unread bytes would reset the answer away."""
         if self._transport is not None and not self._transport.is_closing():
             loop = asyncio.get_running_loop()
-            self._lingering_until = loop.time() + _LINGER_MOST_S
+            self._linger_deadline = loop.time() + _MAX_LINGER_S
             self._transport.resume_reading()
             with contextlib.suppress(OSError):  # the client has ended it meanwhile
                 self._transport.write_eof()
-            self._linger_on()
+            self._extend_linger()
 
-    def _linger_on(self) -> None:
+    def _extend_linger(self) -> None:
         loop = asyncio.get_running_loop()
-        self._await_no_more()
-        until = min(loop.time() + _LINGER_S, self._lingering_until or 0.0)
-        self._due = loop.call_at(until, self._end_linger)
+        self._stop_timer()
+        until = min(loop.time() + _LINGER_S, self._linger_deadline or 0.0)
+        self._timer = loop.call_at(until, self._end_linger)
 
     def _end_linger(self) -> None:
         if self._transport is not None and self._transport.get_write_buffer_size():
@@ -660,29 +692,34 @@
 
     def _next_request(self) -> None:
         """Turn to what came behind the answered request."""
-        if self._transport is None or self._transport.is_closing() or self._call is not None or self._stuck:
+        if (
+            self._transport is None
+            or self._transport.is_closing()
+            or self._request is not None
+            or self._write_blocked
+        ):
             return
         if self._h11.our_state is h11.DONE and self._h11.their_state is h11.DONE:
             self._h11.start_next_cycle()
-            self._frontend.rested(self)
-            self._read_or_not()
+            self._frontend.connection_idle(self)
+            self._update_reading()
             if ahead := self._h11.trailing_data[0]:
                 log.info("port %d sent %d bytes behind its request: %.60r", self._port, len(ahead), ahead)
-            self._read()
+            self._parse()
 
-    def _client_gone(self) -> None:
-        call, self._call = self._call, None
+    def _client_disconnected(self) -> None:
+        call, self._request = self._request, None
         if call is not None:
-            self._frontend.hooks.gone(call)
+            self._frontend.handler.client_disconnected(call)
         self._end_upload()
 
 
-def _inherited(fd: int) -> socket.socket:
+def _adopt_listening_socket(fd: int) -> socket.socket:
     """The listening socket that the platform holds; OSError on anything else."""
     try:
         sock = socket.socket(fileno=fd)
-    except OSError as fault:
-        raise OSError(f"descriptor {fd}, where the clients' listening socket should be: {fault}") from None
+    except OSError as error:
+        raise OSError(f"descriptor {fd}, where the clients' listening socket should be: {error}") from None
     try:
         listens = bool(sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN))
     except OSError:
@@ -699,58 +736,58 @@
     def __init__(
         self,
         address: Address,
-        most: int,
-        hooks: Hooks,
+        max_connections: int,
+        handler: RequestHandler,
         settings: Settings,
-        inherited: int | None = None,
-        budget: Budget | None = None,
+        listen_fd: int | None = None,
+        body_memory: BodyMemory | None = None,
         poll_times: PollTimes | None = None,
     ) -> None:
-        self.hooks = hooks
+        self.handler = handler
         self.poll_times = poll_times or PollTimes(math.inf)  # without: input is never known to have waited
-        self._backlog = BacklogAge(_BACKLOG)
-        self.budget = budget or Budget()
+        self._backlog = BacklogAge(_LISTEN_BACKLOG)
+        self.body_memory = body_memory or BodyMemory()
         self.settings = settings
         self.draining = False
-        self._letting_go: asyncio.TimerHandle | None = None
+        self._idle_close_timer: asyncio.TimerHandle | None = None
         self.connections: dict[ClientConnection, None] = {}  # the longest at rest first
-        self._most = most
+        self._max_connections = max_connections
         self._accepting = False
-        self._starting: set[asyncio.Task[None]] = set()
+        self._open_tasks: set[asyncio.Task[None]] = set()
         self._opening: set[ClientConnection] = set()  # those accepted that are not among `connections` yet
-        if inherited is None:
-            self._sock = socket.create_server(address, backlog=_BACKLOG)
+        if listen_fd is None:
+            self._sock = socket.create_server(address, backlog=_LISTEN_BACKLOG)
         else:
-            self._sock = _inherited(inherited)
+            self._sock = _adopt_listening_socket(listen_fd)
         self._sock.setblocking(False)
         self.address: Address = self._sock.getsockname()[:2]
 
     def start(self) -> None:
-        self._accept_again()
+        self._resume_accepting()
 
-    def _accept_again(self) -> None:
+    def _resume_accepting(self) -> None:
         if not self._accepting and self._sock.fileno() >= 0:
             self._accepting = True
-            asyncio.get_running_loop().add_reader(self._sock, self._accept)
+            asyncio.get_running_loop().add_reader(self._sock, self._accept_waiting)
 
-    def _pause(self) -> None:
+    def _stop_accepting(self) -> None:
         """Leave new connections to the kernel's queue for now."""
         self._accepting = False
         asyncio.get_running_loop().remove_reader(self._sock)
 
-    def _accept(self) -> bool:
+    def _accept_waiting(self) -> bool:
         """Take connections that wait, a bounded number in a step: the operators' door must have its turn.
 
         Says whether more may be waiting.
         """
         self._sock.setblocking(False)  # an inherited socket shares its flags with whoever else holds it
         now, unread_since = asyncio.get_running_loop().time(), self.poll_times.unread_since
-        for _ in range(_ACCEPTED_AT_ONCE):
-            if len(self.connections) + len(self._opening) >= self._most:
+        for _ in range(_MAX_ACCEPTS_PER_TURN):
+            if len(self.connections) + len(self._opening) >= self._max_connections:
                 if not is_readable(self._sock):  # no room is made for nobody
                     self._backlog.emptied()
                     return False
-                if not self._make_room():
+                if not self._ensure_capacity():
                     self._backlog.left(unread_since, now)
                     self._pause_accepting()
                     return False
@@ -759,69 +796,71 @@
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 self._backlog.emptied()
                 return False
-            except OSError as fault:
-                log.error("accept: %s", fault)
+            except OSError as error:
+                log.error("accept: %s", error)
                 self._backlog.left(unread_since, now)
                 self._pause_accepting()
                 return False
-            self._take(sock, self._backlog.oldest(unread_since))
+            self._accept_connection(sock, self._backlog.oldest(unread_since))
             self._backlog.accepted(now)
         self._backlog.left(unread_since, now)
         return True
 
     def _pause_accepting(self) -> None:
-        self._pause()
-        asyncio.get_running_loop().call_later(_ACCEPT_PAUSE_S, self._accept_again)
+        self._stop_accepting()
+        asyncio.get_running_loop().call_later(_ACCEPT_PAUSE_S, self._resume_accepting)
 
-    def _take(self, sock: socket.socket, established_after: float) -> None:
+    def _accept_connection(self, sock: socket.socket, established_after: float) -> None:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         connection = ClientConnection(self, sock, established_after)
         self._opening.add(connection)
-        task = asyncio.get_running_loop().create_task(self._begin(sock, connection))
-        self._starting.add(task)
-        task.add_done_callback(self._starting.discard)
+        task = asyncio.get_running_loop().create_task(self._open_connection(sock, connection))
+        self._open_tasks.add(task)
+        task.add_done_callback(self._open_tasks.discard)
 
-    async def _begin(self, sock: socket.socket, connection: ClientConnection) -> None:
+    async def _open_connection(self, sock: socket.socket, connection: ClientConnection) -> None:
         try:
             await asyncio.get_running_loop().connect_accepted_socket(lambda: connection, sock)
-        except BaseException as fault:
+        except BaseException as error:
             sock.close()
-            if not isinstance(fault, OSError):
+            if not isinstance(error, OSError):
                 raise
         finally:
             self._opening.discard(connection)
 
-    def opened(self, connection: ClientConnection) -> None:
+    def connection_opened(self, connection: ClientConnection) -> None:
         """Count an accepted connection among those that are served from now on."""
         self._opening.discard(connection)
         self.connections[connection] = None
 
-    def _make_room(self) -> bool:
+    def _ensure_capacity(self) -> bool:
         """Close the connection longest at rest, preferring one that has carried a request.
 
         A connection that carried none was opened for a request that may still be on its way.
         """
-        chosen = self._longest_idle(used=True) or self._longest_idle(used=False)
+        chosen = self._longest_idle(has_served=True) or self._longest_idle(has_served=False)
         if chosen is None:
             return False
         chosen.close()
         del self.connections[chosen]
         return True
 
-    def _longest_idle(self, used: bool) -> ClientConnection | None:
+    def _longest_idle(self, has_served: bool) -> ClientConnection | None:
         """Find the first closable connection; it stops there, as each look at one is a system call."""
-        return next((each for each in self.connections if each.used is used and each.is_idle()), None)
+        return next(
+            (each for each in self.connections if each.has_served is has_served and each.is_idle()), None
+        )
 
-    def rested(self, connection: ClientConnection) -> None:
+    def connection_idle(self, connection: ClientConnection) -> None:
         """A connection has begun to rest, or to wait for its next request."""
         if self.connections.pop(connection, self) is None:
             self.connections[connection] = None
 
-    def lost(self, connection: ClientConnection) -> None:
+    def connection_closed(self, connection: ClientConnection) -> None:
         self.connections.pop(connection, None)
 
-    def drain(self, kept_s: float = 0.0) -> None:
+    def drain(self, idle_grace_s: float = 0.0) -> None:
         """Send clients away until `undrain`: each answer ends its connection, and those at rest are closed.
 
         New connections are still taken: a request that crosses the closing of its connection comes again.
@@ -829,54 +868,56 @@
         """
         if not self.draining:
             self.draining = True
-            self._let_go(asyncio.get_running_loop().time() + kept_s)
+            self._close_idle_periodically(asyncio.get_running_loop().time() + idle_grace_s)
 
-    def _let_go(self, kept_until: float) -> None:
+    def _close_idle_periodically(self, keep_idle_until: float) -> None:
         loop = asyncio.get_running_loop()
-        if loop.time() >= kept_until:
-            self.close_idle(used=True)
-        self._letting_go = loop.call_later(_LET_GO_EVERY_S, self._let_go, kept_until)
+        if loop.time() >= keep_idle_until:
+            self.close_idle(only_used=True)
+        self._idle_close_timer = loop.call_later(
+            _IDLE_CLOSE_INTERVAL_S, self._close_idle_periodically, keep_idle_until
+        )
 
-    def undrain(self) -> None:
+    def cancel_drain(self) -> None:
         """Be there for clients again."""
         self.draining = False
-        if self._letting_go is not None:
-            self._letting_go.cancel()
+        if self._idle_close_timer is not None:
+            self._idle_close_timer.cancel()
 
-    def close_idle(self, used: bool) -> None:
+    def close_idle(self, only_used: bool) -> None:
         """Close what is at rest; with `used`, not what was just opened for a request still on its way."""
         for connection in list(self.connections):
-            if connection.is_idle() and (connection.used or not used):
+            if connection.is_idle() and (connection.has_served or not only_used):
                 connection.close()
 
-    def stop(self, take: bool = True) -> None:
+    def stop_listening(self, accept_pending: bool = True) -> None:
         """Listen no more; with `take`, not before all that waits is taken.
 
         An inherited socket is closed here and never shut down: it goes on at others that hold it.
         """
         if self._sock.fileno() >= 0:
-            while take and self._accept():
+            while accept_pending and self._accept_waiting():
                 pass
             if self._accepting:
-                self._pause()
+                self._stop_accepting()
             self._sock.close()
 
     def is_empty(self) -> bool:
-        return not self.connections and not self._starting
+        return not self.connections and not self._open_tasks
 
     async def close(self, within_s: float) -> None:
         """End all connections, each with its answer on the wire first; none lasts longer than `within_s`."""
-        if self._letting_go is not None:
-            self._letting_go.cancel()
+        if self._idle_close_timer is not None:
+            self._idle_close_timer.cancel()
         loop = asyncio.get_running_loop()
         until = loop.time() + within_s
         for connection in list(self.connections):
-            connection.finish()
+            connection.close_gracefully()
         while not self.is_empty() and loop.time() < until:
-            await asyncio.sleep(_FLUSH_STEP_S)
-        for begun in (starting := list(self._starting)):
-            begun.cancel()
-        await asyncio.gather(*starting, return_exceptions=True)
+            await asyncio.sleep(_FLUSH_POLL_S)
+        for task in (open_tasks := list(self._open_tasks)):
+            task.cancel()
+        await asyncio.gather(*open_tasks, return_exceptions=True)
         for connection in list(self.connections):
             connection.abort()
         await asyncio.sleep(0)  # their ends are told in the next turn
--- a/sidecar_balancer/runtime/engine.py
+++ b/sidecar_balancer/runtime/engine.py
@@ -17,7 +17,7 @@
 
 log = logging.getLogger(__name__)
 
-_AFTER_DEFECT_S = 0.05  # when the module is woken after it failed on an event
+_RETRY_AFTER_DEFECT_S = 0.05  # when the module is woken after it failed on an event
 
 
 class Engine:
@@ -31,7 +31,7 @@
         self.clock = Clock()
         self.balancer = Balancer(settings, seed)
         self.executors: dict[type[Any], Callable[[Any], None]] = {SetTimer: self._set_timer}
-        self.give_up: Callable[[int | None], None] = lambda _: None
+        self.on_defect: Callable[[int | None], None] = lambda _: None
         self._timers = timers
         self._events: deque[Event] = deque()
         self._handling = False
@@ -42,7 +42,7 @@
         self._handle_queued()
 
     @contextlib.contextmanager
-    def event_first(self, event: Event) -> Iterator[None]:
+    def handle_first(self, event: Event) -> Iterator[None]:
         """Have the module hear an event before those of what ends within the block that goes with it."""
         handling, self._handling = self._handling, True
         self._events.append(event)
@@ -70,9 +70,9 @@
             log.exception("the balancer failed on %.200r", event)
             # What it had decided by then it counts on; what else was due must not wait for another event.
             actions = self.balancer.actions if self.balancer.actions is not before else []
-            self._timers.later(_AFTER_DEFECT_S, self.handle, TimerFired("agenda"))
+            self._timers.later(_RETRY_AFTER_DEFECT_S, self.handle, TimerFired("agenda"))
             self.execute(actions)
-            self.give_up(getattr(event, "request", None))
+            self.on_defect(getattr(event, "request", None))
         else:
             self.execute(actions)
 
@@ -82,7 +82,7 @@
                 self.executors[type(action)](action)
             except Exception:
                 log.exception("could not carry out %.200r", action)
-                self.give_up(getattr(action, "request", None))
+                self.on_defect(getattr(action, "request", None))
 
     def _set_timer(self, action: SetTimer) -> None:
         self._timers.later(action.in_us / 1e6, self.handle, TimerFired(action.token))
--- a/sidecar_balancer/runtime/sidecar.py
+++ b/sidecar_balancer/runtime/sidecar.py
@@ -16,7 +16,7 @@
 from sidecar_balancer.config.sidecar import Config
 from sidecar_balancer.discovery.client import Discovery
 from sidecar_balancer.discovery.endpoint_list import EndpointList, ListUpdate, parse_list
-from sidecar_balancer.downstream.frontend import Frontend, Hooks
+from sidecar_balancer.downstream.frontend import Frontend, RequestHandler
 from sidecar_balancer.policy.actions import (
     CloseIdleConnections,
     FetchEndpoints,
@@ -29,9 +29,9 @@
 from sidecar_balancer.policy.settings import DiscoveryMode, Settings
 from sidecar_balancer.policy.types import ListKind
 from sidecar_balancer.runtime.engine import Engine
-from sidecar_balancer.runtime.proxy import Proxy, by_status
+from sidecar_balancer.runtime.proxy import Proxy, count_by_status
 from sidecar_balancer.runtime.queueing import running_poll_times
-from sidecar_balancer.runtime.streams import Budget
+from sidecar_balancer.runtime.streams import BodyMemory
 from sidecar_balancer.runtime.timers import Timers
 from sidecar_balancer.upstream import connection as upstream
 
@@ -42,20 +42,26 @@
 
 log = logging.getLogger(__name__)
 
-_ACCEPT_S = 0.5  # after SIGTERM, how long connections are still taken: they come for 0.4 s
-_LINGER_S = 0.65  # when those just opened are closed too, whose request did not come
-_LAST_S = 0.62  # how much longer than the longest deadline all may last: the platform's kill comes after 0.7
-_FLUSH_S = 0.05  # and what the last answers may take from there onto the wire
-_DEADLINE_MOST_S = 3.0  # the platform waits for no longer deadline than this
-_DRAIN_STEP_S = 0.02  # how often a drain looks at what is left
-_LISTED_S = 2.0  # beside a process that serves, how long a start waits for the list; it is ready within 6 s
-_ORDERS_EVERY_S = 0.1  # how often the orders are read that another process may have taken
-_LAG_EVERY_S = 0.25  # how often the event loop's lag is looked at
-_LAG_TOLD_S = 0.05  # and from when on it is logged
-_STATE_EVERY_S = 1.0  # how often the log is told how things stand
-_UNHEARD_SPANS = 2.5  # of the time without asking, after which a watch that ended is begun again by itself
-_PUSHED_AGAIN_S = 0.5  # before a failed call to the agent that holds pushed lists is made again
-_FDS_KEPT = 64  # descriptors left for discovery, logs and the runtime
+_ACCEPT_WHILE_DRAINING_S = 0.5  # after SIGTERM, how long connections are still taken: they come for 0.4 s
+_UNUSED_CONNECTION_GRACE_S = 0.65  # when those just opened are closed too, whose request did not come
+_DRAIN_MARGIN_S = (
+    0.62  # how much longer than the longest deadline all may last: the platform's kill comes after 0.7
+)
+_FLUSH_TIMEOUT_S = 0.05  # and what the last answers may take from there onto the wire
+_MAX_DRAIN_DEADLINE_S = 3.0  # the platform waits for no longer deadline than this
+_DRAIN_POLL_S = 0.02  # how often a drain looks at what is left
+_TAKEOVER_LIST_TIMEOUT_S = (
+    2.0  # beside a process that serves, how long a start waits for the list; it is ready within 6 s
+)
+_OVERRIDES_POLL_INTERVAL_S = 0.1  # how often the orders are read that another process may have taken
+_LAG_CHECK_INTERVAL_S = 0.25  # how often the event loop's lag is looked at
+_LAG_WARNING_S = 0.05  # and from when on it is logged
+_STATE_LOG_INTERVAL_S = 1.0  # how often the log is told how things stand
+_WATCH_RESTART_RATIO = (
+    2.5  # of the time without asking, after which a watch that ended is begun again by itself
+)
+_PUSH_RETRY_DELAY_S = 0.5  # before a failed call to the agent that holds pushed lists is made again
+_RESERVED_DESCRIPTORS = 64  # descriptors left for discovery, logs and the runtime
 
 
 class Sidecar:
@@ -66,36 +72,47 @@
         self._longest_s = max(each.deadline_us for each in settings.classes) / 1e6
         self._timers = Timers()
         self._engine = Engine(settings, config.seed, self._timers)
-        budget = Budget(config.memory_mb)
-        connections_most = max((config.sockets - _FDS_KEPT) // 2, 1)  # on either side
+        body_memory = BodyMemory(config.memory_mb)
+        max_connections = max((config.sockets - _RESERVED_DESCRIPTORS) // 2, 1)  # on either side
         poll_times = running_poll_times()
-        self._upstream = _upstream(settings, connections_most, budget)
-        again_s = _UNHEARD_SPANS * settings.rules.poll_interval_us / 1e6
+        self._endpoint_pool = _create_endpoint_pool(settings, max_connections, body_memory)
+        watch_restart_s = _WATCH_RESTART_RATIO * settings.rules.poll_interval_us / 1e6
         self._discovery = Discovery(
-            config.sources(), config.known.version, self._told, again_s, poll_times=poll_times
+            config.sources(),
+            config.known.version,
+            self._endpoints_received,
+            watch_restart_s,
+            poll_times=poll_times,
         )
         latencies = _latencies(config)
-        self.proxy = Proxy(settings, self._engine, self._upstream, latencies)
-        hooks = Hooks(self.proxy.taken, self.proxy.gone, self._is_ready, self.proxy.body_ended)
+        self.proxy = Proxy(settings, self._engine, self._endpoint_pool, latencies)
+        hooks = RequestHandler(
+            self.proxy.request_received,
+            self.proxy.client_disconnected,
+            self._is_ready,
+            self.proxy.body_completed,
+        )
         self.frontend = Frontend(
-            config.listen, connections_most, hooks, settings, config.accept_fd, budget, poll_times
+            config.listen, max_connections, hooks, settings, config.accept_fd, body_memory, poll_times
         )
-        self._takes_over = config.accept_fd is not None
-        self._known = config.known
-        self._listed = asyncio.Event()  # discovery has answered
-        self._answers_told: Counter[int] = Counter()  # of the answers, those that the log was told of
-        self._cpu_told_s = 0.0
-        self._link = self._linked(config)
-        self._keeper = self._open_state(config)
-        self._kept: Kept | None = None
+        self._is_takeover = config.accept_fd is not None
+        self._known_endpoints = config.known
+        self._endpoints_known = asyncio.Event()  # discovery has answered
+        self._logged_response_counts: Counter[int] = (
+            Counter()
+        )  # of the answers, those that the log was told of
+        self._logged_cpu_s = 0.0
+        self._link = self._create_membership(config)
+        self._keeper = self._create_persister(config)
+        self._restored: Kept | None = None
         self._endpoint_list = EndpointList()  # as it is now, for the state
-        self._keep_every_s = config.state.every_ms / 1000 if config.state is not None else 0.0
-        self._warm_s = config.state.warm_ms / 1000 if config.state is not None else 0.0
+        self._persist_interval_s = config.state.every_ms / 1000 if config.state is not None else 0.0
+        self._peer_warm_up_s = config.state.warm_ms / 1000 if config.state is not None else 0.0
         self.operations = Operations(
             self._engine,
             self.proxy,
             self.frontend,
-            self._upstream,
+            self._endpoint_pool,
             self._discovery,
             Orders(config.orders),
             self._link,
@@ -103,18 +120,18 @@
         )
         self.door = Door(config.mgmt, self.operations.calls()) if config.mgmt is not None else None
         executors: dict[type[Any], Callable[[Any], None]] = {
-            CloseIdleConnections: lambda action: self._upstream.close_idle(action.server),
+            CloseIdleConnections: lambda action: self._endpoint_pool.close_idle(action.server),
             WatchEndpoints: lambda action: self._discovery.follow(action.enabled),
             FetchEndpoints: lambda _: self._discovery.fetch(),
             PublishServerVerdict: self._publish_server_verdict,
             PublishZoneVerdict: self._publish_zone_verdict,
-            LogEvent: self._log,
+            LogEvent: self._log_event,
         }
         self._engine.executors |= executors
 
     async def run(self, stop: asyncio.Event) -> None:
         """Serve until `stop`, then answer all that is held and return, with nothing left behind."""
-        lag = asyncio.get_running_loop().create_task(self._watch_lag())
+        lag = asyncio.get_running_loop().create_task(self._monitor_lag())
         try:
             await self._start(stop)
             await stop.wait()
@@ -127,30 +144,30 @@
     async def _start(self, stop: asyncio.Event) -> None:
         if self.door is not None:
             # Before the first request: a ban outlasts the process that took it.
-            self._timers.every(_ORDERS_EVERY_S, self.operations.read_orders)
+            self._timers.every(_OVERRIDES_POLL_INTERVAL_S, self.operations.read_orders)
             self.door.start()
-        self._restore()
+        self._restore_state()
         if self._link is not None:
-            await self._link.start(self._plane_bound)
-        if not self._listed.is_set():  # else discovery has answered meanwhile, after a reload
-            self._list(ListKind.CACHED, self._known)
-        await self._learn(stop)
+            await self._link.start(self._membership_bound)
+        if not self._endpoints_known.is_set():  # else discovery has answered meanwhile, after a reload
+            self._apply_endpoint_list(ListKind.CACHED, self._known_endpoints)
+        await self._recall_servers(stop)
         if self._keeper is not None:
-            self._timers.every(self._keep_every_s, self._keep_state)
+            self._timers.every(self._persist_interval_s, self._persist_state)
         if self._settings.discovery is DiscoveryMode.PUSH:
             self._discovery.follow(True)
-        if self._takes_over:
-            await self._first_of(stop, self._listed, _LISTED_S)
+        if self._is_takeover:
+            await self._first_of(stop, self._endpoints_known, _TAKEOVER_LIST_TIMEOUT_S)
         if not stop.is_set():
             self.frontend.start()
             self.operations.takes_clients = True
 
     async def _end(self) -> None:
         """Close what is open and cancel what is planned, whether or not all was answered."""
-        self.frontend.stop(take=False)
+        self.frontend.stop_listening(accept_pending=False)
         await self.frontend.close(0.0)
         await self._discovery.close()
-        await self._upstream.close()
+        await self._endpoint_pool.close()
         self._timers.close()
         if self.door is not None:
             self.door.stop()
@@ -173,63 +190,63 @@
 
     async def _drain(self) -> None:
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        log.info("draining: %d requests held", len(self.proxy.by_call))
-        if self._takes_over:  # the next process has the queue: not one more is taken out of it here
-            self.frontend.stop(take=False)
+        drain_started_at = loop.time()
+        log.info("draining: %d requests held", len(self.proxy.by_client_request))
+        if self._is_takeover:  # the next process has the queue: not one more is taken out of it here
+            self.frontend.stop_listening(accept_pending=False)
             self.frontend.drain(EVACUATION_KEPT_S)
         else:
             self.frontend.drain()
-            await asyncio.sleep(_ACCEPT_S)
-            self.frontend.stop()
-        last = began + min(self._longest_s, _DEADLINE_MOST_S) + _LAST_S
-        while not self.frontend.is_empty() and loop.time() < last:
-            await asyncio.sleep(_DRAIN_STEP_S)
-            if loop.time() >= began + _LINGER_S:
-                self.frontend.close_idle(used=False)  # those just opened too: their request did not come
+            await asyncio.sleep(_ACCEPT_WHILE_DRAINING_S)
+            self.frontend.stop_listening()
+        drain_deadline = drain_started_at + min(self._longest_s, _MAX_DRAIN_DEADLINE_S) + _DRAIN_MARGIN_S
+        while not self.frontend.is_empty() and loop.time() < drain_deadline:
+            await asyncio.sleep(_DRAIN_POLL_S)
+            if loop.time() >= drain_started_at + _UNUSED_CONNECTION_GRACE_S:
+                self.frontend.close_idle(only_used=False)  # those just opened too: their request did not come
         self.proxy.fail_all()
-        await self.frontend.close(_FLUSH_S)
+        await self.frontend.close(_FLUSH_TIMEOUT_S)
         log.info("drained")
 
-    async def _watch_lag(self) -> None:
+    async def _monitor_lag(self) -> None:
         loop = asyncio.get_running_loop()
-        told_at = loop.time()
+        logged_at = loop.time()
         while True:
-            due = loop.time() + _LAG_EVERY_S
-            await asyncio.sleep(_LAG_EVERY_S)
-            late = loop.time() - due
-            if late > _LAG_TOLD_S:
-                log.warning("the event loop was %.0f ms late", late * 1000)
-            if loop.time() >= told_at + _STATE_EVERY_S:
-                told_at = loop.time()
+            due_at = loop.time() + _LAG_CHECK_INTERVAL_S
+            await asyncio.sleep(_LAG_CHECK_INTERVAL_S)
+            lag_s = loop.time() - due_at
+            if lag_s > _LAG_WARNING_S:
+                log.warning("the event loop was %.0f ms late", lag_s * 1000)
+            if loop.time() >= logged_at + _STATE_LOG_INTERVAL_S:
+                logged_at = loop.time()
                 self._log_state()
 
     @staticmethod
-    def _log(action: LogEvent) -> None:
+    def _log_event(action: LogEvent) -> None:
         subject_key = "zone" if action.name.startswith("zone") else "server"
         log.info("%s", action.text, extra={"event": action.name, subject_key: action.subject})
 
     def _log_state(self) -> None:
         """Tell how things stand, where anything was answered since it was last told."""
-        self.proxy.allow_trails()
-        answered = by_status(self.proxy.answers - self._answers_told)
+        self.proxy.reset_log_quota()
+        answered = count_by_status(self.proxy.response_counts - self._logged_response_counts)
         if answered:
-            self._answers_told = self.proxy.answers.copy()
+            self._logged_response_counts = self.proxy.response_counts.copy()
             counts = ", ".join(f"{count} x {status}" for status, count in answered.items())
             clients = len(self.frontend.connections)
-            held, state = len(self.proxy.by_call), state_line(self._engine.balancer)
-            cpu_s = time.process_time() - self._cpu_told_s
-            self._cpu_told_s += cpu_s
+            held, state = len(self.proxy.by_client_request), state_line(self._engine.balancer)
+            cpu_s = time.process_time() - self._logged_cpu_s
+            self._logged_cpu_s += cpu_s
             told = "answered %s; %d clients, %d held, %d connections to servers, %.2f s of CPU; %s"
             about = {"event": "state", "answered": answered}
-            log.info(told, counts, clients, held, self._upstream.open_count, cpu_s, state, extra=about)
+            log.info(told, counts, clients, held, self._endpoint_pool.open_count, cpu_s, state, extra=about)
 
     def _is_ready(self) -> bool:
         return not self.frontend.draining
 
     # -- The peer plane ------------------------------------------------------------------------------------
 
-    def _linked(self, config: Config) -> PeerLink | None:
+    def _create_membership(self, config: Config) -> PeerLink | None:
         if config.peer_plane is None or config.peer_listen is None:
             return None
         from sidecar_balancer.membership.bridge import PeerLink
@@ -244,12 +261,12 @@
             plane,
             classes,
             self._engine.handle,
-            self._asked,
-            self._paces,
+            self._request_rates,
+            self._server_paces,
             settings.locality.health_check_interval_us,
         )
 
-    def _paces(self) -> dict[str, float]:
+    def _server_paces(self) -> dict[str, float]:
         """What peers that start may take: of servers that answered and are held nothing against."""
         sound = (
             each
@@ -258,17 +275,17 @@
         )
         return {each.name: each.relative_latency for each in sound if each.ejected_until is None}
 
-    def _asked(self) -> dict[str, float]:
+    def _request_rates(self) -> dict[str, float]:
         return asked_per_s(self._engine.balancer, self._engine.clock.now())
 
-    def _plane_bound(self) -> None:
+    def _membership_bound(self) -> None:
         assert self._link is not None
-        if self._kept is not None:
+        if self._restored is not None:
             from sidecar_balancer.persistence.persister import resume_plane
 
-            resume_plane(self._link.plane, self._kept)
+            resume_plane(self._link.plane, self._restored)
         self._link.ban(self.operations.ordered)
-        self._timers.every(_ORDERS_EVERY_S, self.operations.hear_exclusions)
+        self._timers.every(_OVERRIDES_POLL_INTERVAL_S, self.operations.hear_exclusions)
 
     def _publish_server_verdict(self, action: PublishServerVerdict) -> None:
         if self._link is not None:
@@ -280,7 +297,7 @@
 
     # -- What outlasts a crash -----------------------------------------------------------------------------
 
-    def _open_state(self, config: Config) -> Keeper | None:
+    def _create_persister(self, config: Config) -> Keeper | None:
         if config.state is None:
             return None
         from sidecar_balancer.persistence.persister import Keeper
@@ -288,11 +305,11 @@
 
         return Keeper(Store(config.state.folder, config.state.most_bytes), config.state.tier_folder)
 
-    def _restore(self) -> None:
+    def _restore_state(self) -> None:
         """Begin with what an earlier life kept: the list where it is newer, then what was learned."""
         if self._keeper is None:
             return
-        self._kept = kept = self._keeper.open()
+        self._restored = kept = self._keeper.open()
         if kept.listed is None or kept.listed[0] != self._discovery.place():
             return
         try:
@@ -300,19 +317,19 @@
         except ValueError as bad:
             log.warning("state: the list kept is not taken: %s", bad)
             return
-        if told.version > self._known.version and told.entries:
-            self._known = told
+        if told.version > self._known_endpoints.version and told.entries:
+            self._known_endpoints = told
             self._discovery.begin(told.version)
 
-    async def _learn(self, stop: asyncio.Event) -> None:
+    async def _recall_servers(self, stop: asyncio.Event) -> None:
         """Take up what was kept; with nothing kept, ask the peers, for a bounded time."""
-        if self._kept is not None and self._kept.recalled.servers:
-            self._engine.handle(self._kept.recalled)
-        elif self._link is not None and self._warm_s > 0.0:
-            recalled = await self._link.warm(stop, self._warm_s)
+        if self._restored is not None and self._restored.recalled.servers:
+            self._engine.handle(self._restored.recalled)
+        elif self._link is not None and self._peer_warm_up_s > 0.0:
+            recalled = await self._link.warm(stop, self._peer_warm_up_s)
             self._engine.handle(recalled)
 
-    def _keep_state(self) -> None:
+    def _persist_state(self) -> None:
         """Gather and write what is known, each second; it serves on where the disk says no."""
         assert self._keeper is not None
         plane = self._link.plane if self._link is not None else None
@@ -323,37 +340,41 @@
 
     # -- The list of servers -------------------------------------------------------------------------------
 
-    def _told(self, told: ListUpdate | None, silent: bool = False) -> None:
+    def _endpoints_received(self, told: ListUpdate | None, silent: bool = False) -> None:
         if told is not None:
-            self._listed.set()
-            self._list(ListKind.SNAPSHOT if told.complete else ListKind.DELTA, told)
+            self._endpoints_known.set()
+            self._apply_endpoint_list(ListKind.SNAPSHOT if told.complete else ListKind.DELTA, told)
             return
         self._engine.handle(EndpointListReceived(ListKind.TIMED_OUT if silent else ListKind.FAILED))
         if self._settings.discovery is DiscoveryMode.PUSH:
-            wait_s = 0.0 if silent else _PUSHED_AGAIN_S  # silence took its time already
+            wait_s = 0.0 if silent else _PUSH_RETRY_DELAY_S  # silence took its time already
             self._timers.later(wait_s, self._discovery.follow, True)
 
-    def _list(self, kind: ListKind, told: ListUpdate) -> None:
+    def _apply_endpoint_list(self, kind: ListKind, told: ListUpdate) -> None:
         """Note the addresses first: the balancer may send on hearing of a server.
 
         What that ends, a dial to a server that leaves, is heard after the list: else it would be sent again
         by a list that holds no more.
         """
         servers = [entry.server for entry in told.entries]
-        with self._engine.event_first(EndpointListReceived(kind, servers, told.version)):
+        with self._engine.handle_first(EndpointListReceived(kind, servers, told.version)):
             if kind is not ListKind.DELTA:
-                self._upstream.retain({server.server for server in servers})
+                self._endpoint_pool.retain({server.server for server in servers})
             if self._keeper is not None:
                 self._endpoint_list.apply(told)
             for entry in told.entries:
                 server = entry.server
-                self._upstream.update(server.server, entry.address, server.started_at, server.state)
-        self._upstream.forget_gone()
+                self._endpoint_pool.update(server.server, entry.address, server.started_at, server.state)
+        self._endpoint_pool.forget_removed()
 
 
-def _upstream(settings: Settings, most: int, budget: Budget) -> upstream.Upstream:
+def _create_endpoint_pool(
+    settings: Settings, max_connections: int, body_memory: BodyMemory
+) -> upstream.EndpointPool:
     limits = settings.limits
-    return upstream.Upstream(limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6, most, budget)
+    return upstream.EndpointPool(
+        limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6, max_connections, body_memory
+    )
 
 
 def _latencies(config: Config) -> Latencies | None:
--- a/tests/admin/test_operators.py
+++ b/tests/admin/test_operators.py
@@ -255,7 +255,7 @@
 def test_a_connection_that_comes_to_rest_during_a_drain_is_closed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(frontend, "_LET_GO_EVERY_S", 0.001)
+    monkeypatch.setattr(frontend, "_IDLE_CLOSE_INTERVAL_S", 0.001)
 
     async def scene() -> None:
         async with world(served, orders=tmp_path) as w:
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -64,15 +64,15 @@
         async with world(served, served) as w:
             first, second = w.servers
             w.discovery.say(42, [first.entry(), {**first.entry(), "name": "s-9"}], snapshot=True)
-            await until(lambda: set(w.sidecar._upstream._endpoints) == {"s-0", "s-9"})
+            await until(lambda: set(w.sidecar._endpoint_pool._endpoints) == {"s-0", "s-9"})
             assert (await w.ask())[0] == 200
             w.discovery.say(
                 43, [first.entry(status="left"), {**first.entry(), "name": "s-9", "status": "left"}]
             )
-            await until(lambda: not w.sidecar._upstream._endpoints)
+            await until(lambda: not w.sidecar._endpoint_pool._endpoints)
             assert not w.sidecar._engine.balancer.servers
             w.discovery.say(44, [second.entry()])
-            await until(lambda: len(w.sidecar._upstream._endpoints) == 1)
+            await until(lambda: len(w.sidecar._endpoint_pool._endpoints) == 1)
             assert (await w.ask())[0] == 200
 
     play(scene())
--- a/tests/downstream/test_frontend.py
+++ b/tests/downstream/test_frontend.py
@@ -6,6 +6,7 @@
 import contextlib
 import errno
 import inspect
+import re
 import socket
 from typing import get_args
 
@@ -14,11 +15,11 @@
 from helpers import settings
 from loopback import PATIENCE_S, answer, ask, is_closed, play, read_answer, request, until, world
 from sidecar_balancer.downstream import frontend
-from sidecar_balancer.downstream.frontend import ClientConnection, Frontend, Hooks
+from sidecar_balancer.downstream.frontend import ClientConnection, Frontend, RequestHandler
 from sidecar_balancer.policy import balancer
 from sidecar_balancer.policy.actions import Action, Reject
 from sidecar_balancer.policy.events import ClientDisconnected, Event, RequestReceived
-from sidecar_balancer.runtime.streams import LONGEST
+from sidecar_balancer.runtime.streams import MAX_REQUEST_BODY_BYTES
 from sidecar_balancer.upstream import connection as upstream
 
 
@@ -45,7 +46,7 @@
         (request(budget="-1"), 400),
         (request(X_Call_Cost="much"), 400),
         (request("amend", body=b"x", Idempotency_Key=None), 400),
-        (request("pay", Content_Length=str(LONGEST + 1)), 413),
+        (request("pay", Content_Length=str(MAX_REQUEST_BODY_BYTES + 1)), 413),
         (request(path="/elsewhere"), 404),
         (request(path="/apix/1"), 404),
     ],
@@ -92,7 +93,7 @@
     [
         (request(X_Call_Id=None), True),
         (b"nonsense\r\n\r\n", False),
-        (request("pay", Content_Length=str(LONGEST + 1)), False),
+        (request("pay", Content_Length=str(MAX_REQUEST_BODY_BYTES + 1)), False),
     ],
 )
 def test_a_connection_goes_on_only_where_its_framing_holds(data: bytes, goes_on: bool) -> None:
@@ -232,7 +233,7 @@
 def test_a_defect_in_carrying_out_fails_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene() -> None:
         async with world(served) as w:
-            monkeypatch.setattr(w.sidecar._upstream, "send", None)
+            monkeypatch.setattr(w.sidecar._endpoint_pool, "send", None)
             assert (await w.ask(kind="pay", body=b"x"))[0] == 500
             monkeypatch.undo()
             assert (await w.ask())[0] == 200
@@ -253,9 +254,8 @@
 def test_every_action_that_the_module_knows_is_carried_out() -> None:
     async def scene() -> None:
         async with world() as w:
-            emitted = {
-                kind for kind in get_args(Action) if f"api.{kind.__name__}(" in inspect.getsource(balancer)
-            }
+            source = inspect.getsource(balancer)
+            emitted = {kind for kind in get_args(Action) if re.search(rf"\b{kind.__name__}\(", source)}
             assert len(emitted) > 5 and emitted <= set(w.sidecar._engine.executors)
 
     play(scene())
@@ -280,8 +280,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # herd+crowd: each connection accepted at the bound looked at all others, a system call each.
-    monkeypatch.setattr(frontend, "_WHOLE_S", 60.0)  # none is given up for its silence meanwhile
-    looks, real = 0, upstream.is_quiet
+    monkeypatch.setattr(frontend, "_REQUEST_TIMEOUT_S", 60.0)  # none is given up for its silence meanwhile
+    looks, real = 0, upstream.has_no_unread_input
 
     def counted(sock: socket.socket) -> bool:
         nonlocal looks
@@ -294,12 +294,12 @@
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(request())
             assert (await read_answer(reader))[0] == 200
-            monkeypatch.setattr(frontend, "is_quiet", counted)
+            monkeypatch.setattr(frontend, "has_no_unread_input", counted)
             with contextlib.ExitStack() as clients:
                 for _ in range(flood):
                     clients.enter_context(socket.create_connection(w.sidecar.frontend.address))
                     await asyncio.sleep(0)
-                await until(lambda: not w.sidecar.frontend._starting)
+                await until(lambda: not w.sidecar.frontend._open_tasks)
                 assert len(w.sidecar.frontend.connections) == most
                 assert looks <= 2 * flood
             writer.close()
@@ -315,7 +315,7 @@
     sent: bytes, used: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Guards the descriptors.  A used connection that sends nothing is at rest, and may stay.
-    monkeypatch.setattr(frontend, "_WHOLE_S", 0.2)
+    monkeypatch.setattr(frontend, "_REQUEST_TIMEOUT_S", 0.2)
 
     async def scene() -> None:
         async with world(served) as w:
@@ -339,7 +339,7 @@
 
 def test_a_client_that_leaves_its_answer_unread_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards the descriptors: its connection would never be at rest.
-    monkeypatch.setattr(frontend, "STALLED_S", 0.1)
+    monkeypatch.setattr(frontend, "STALL_TIMEOUT_S", 0.1)
 
     async def scene() -> None:
         async with world(lambda *_: answer(200, bytes(60_000))) as w:
@@ -369,7 +369,7 @@
 
 
 def test_a_held_request_is_not_given_up_as_slow(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontend, "_WHOLE_S", 0.05)
+    monkeypatch.setattr(frontend, "_REQUEST_TIMEOUT_S", 0.05)
 
     async def scene() -> None:
         async with world(lambda *_: None) as w:
@@ -401,14 +401,14 @@
             self.real.setblocking(flag)
 
     async def scene() -> None:
-        hooks = Hooks(lambda call: call.answer(200, [], b"taken"), lambda call: None, lambda: True)
+        hooks = RequestHandler(lambda call: call.respond(200, [], b"taken"), lambda call: None, lambda: True)
         frontend = Frontend(("127.0.0.1", 0), 5, hooks, settings())
         real = frontend._sock
         frontend._sock = Lacking(real)  # type: ignore[assignment]
         frontend.start()
         assert (await ask(frontend.address, request()))[2] == b"taken"
         frontend._sock = real
-        frontend.stop()
+        frontend.stop_listening()
         await until(frontend.is_empty)
 
     play(scene())
@@ -437,7 +437,7 @@
     async def scene() -> None:
         async with world(served) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
-            writer.write(request("pay", body=BIG * 64, Content_Length=str(LONGEST + 1)))
+            writer.write(request("pay", body=BIG * 64, Content_Length=str(MAX_REQUEST_BODY_BYTES + 1)))
             with contextlib.suppress(ConnectionError):
                 await writer.drain()
             assert (await read_answer(reader))[0] == 413
@@ -450,7 +450,7 @@
 def test_a_defect_in_taking_a_request_fails_it(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene() -> None:
         async with world(served) as w:
-            monkeypatch.setattr(w.sidecar.frontend.hooks, "taken", None)
+            monkeypatch.setattr(w.sidecar.frontend.handler, "request_received", None)
             assert (await w.ask())[0] == 500
             monkeypatch.undo()
             assert (await w.ask())[0] == 200
--- a/tests/runtime/test_close_range.py
+++ b/tests/runtime/test_close_range.py
@@ -43,7 +43,7 @@
     TimerFired,
 )
 from sidecar_balancer.policy.types import Outcome, ServerState
-from sidecar_balancer.runtime.streams import STALLED_S
+from sidecar_balancer.runtime.streams import STALL_TIMEOUT_S
 from sidecar_balancer.upstream import connection as upstream
 from virtual import play_on_clock, stall
 
@@ -247,13 +247,13 @@
         limits = {"max_attempts": 3, "may_cancel": False, "dial_timeout_us": 600_000_000}
         with deaf() as address:
             async with world(served, drained=True, limits=limits) as w:
-                w.sidecar._upstream.update("s-0", address, None, ServerState.READY)
+                w.sidecar._endpoint_pool.update("s-0", address, None, ServerState.READY)
                 client = Client(w)
                 client.send(request("pay", body=b"x", budget="1.9"))
-                await until(lambda: w.sidecar._upstream.open_count == 1)
+                await until(lambda: w.sidecar._endpoint_pool.open_count == 1)
                 client.leave(how)
                 await over_soon(w)
-                assert w.sidecar._upstream.open_count == 0
+                assert w.sidecar._endpoint_pool.open_count == 0
                 client.sock.close()
 
     on_clock(scene())
@@ -275,7 +275,7 @@
             monkeypatch.setattr(upstream, "connect", late)
             client = Client(w)
             client.send(request())
-            await until(lambda: w.sidecar._upstream.open_count == 1)
+            await until(lambda: w.sidecar._endpoint_pool.open_count == 1)
             (connection,) = w.sidecar.frontend.connections
             assert connection._transport is not None
             connection._transport.pause_reading()  # nothing but the dial's end can see it leave
@@ -325,7 +325,7 @@
             await asyncio.sleep(0.25)
             client.leave(how)
             began = asyncio.get_running_loop().time()
-            await until(lambda: not w.sidecar.proxy.by_call)
+            await until(lambda: not w.sidecar.proxy.by_client_request)
             assert asyncio.get_running_loop().time() - began < LEAVES_S
             (there,) = [each for each in w.servers if each.requests]
             if may_cancel:
@@ -361,7 +361,7 @@
             client.send(request("pay", Content_Length="30000000"))
             await until(lambda: w.sidecar.frontend.connections)
             connection = next(iter(w.sidecar.frontend.connections))
-            while not connection._paused:
+            while not connection._reading_paused:
                 client.send_some(bytes(65_536))
                 await asyncio.sleep(0)
             client.send_some(bytes(behind))
@@ -381,7 +381,7 @@
         async with unread_world() as (w, server):
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(request("pay", Content_Length=str(size)) + bytes(size))
-            await until(lambda: any(each._paused for each in w.sidecar.frontend.connections))
+            await until(lambda: any(each._reading_paused for each in w.sidecar.frontend.connections))
             writer.close()  # once all is with the kernel
             server.go_on.set()
             await until(lambda: server.ended)
@@ -419,7 +419,7 @@
             client = Client(w)
             client.send(request() + AHEAD)
             await until(w.sent)
-            await until(lambda: any(each._dropped for each in w.sidecar.frontend.connections))
+            await until(lambda: any(each._discarded_bytes for each in w.sidecar.frontend.connections))
             w.servers[0].writers[-1].write(answer(200, b"served"))
             await until(is_over(w))
             client.sock.shutdown(socket.SHUT_WR)
@@ -456,11 +456,11 @@
             with deaf() as address:
                 places = [w.servers[0].entry(address=f"127.0.0.1:{address[1]}"), w.servers[1].entry()]
                 w.discovery.say(42, places, snapshot=True)
-                await until(lambda: w.sidecar._upstream._endpoints["s-0"].address == address)
+                await until(lambda: w.sidecar._endpoint_pool._endpoints["s-0"].address == address)
                 w.discovery.say(43, [w.servers[1].entry(status="leaving")])
                 await until(lambda: len(w.sidecar._engine.balancer.ready_servers) == 1)
                 asking = asyncio.create_task(w.ask(kind="pay", body=b"x"))
-                await until(lambda: w.sidecar._upstream._dials)
+                await until(lambda: w.sidecar._endpoint_pool._dial_tasks)
                 heard = w.hear()
                 where = {"since_ms": 7} if change == "restarts" else {}
                 place = f"127.0.0.1:{address[1]}" if change == "restarts" else None
@@ -484,11 +484,13 @@
                     assert (await w.ask())[0] == 200  # connections to all of them are open
                 before = len(w.sent())
                 for server in w.servers:
-                    w.sidecar._upstream.close_idle(server.name)
-                    w.sidecar._upstream._endpoints[server.name].address = address
+                    w.sidecar._endpoint_pool.close_idle(server.name)
+                    w.sidecar._endpoint_pool._endpoints[server.name].address = address
                 asking = asyncio.create_task(w.ask())
-                await until(lambda: w.sidecar._upstream._dials)
-                for endpoint, server in zip(w.sidecar._upstream._endpoints.values(), w.servers, strict=True):
+                await until(lambda: w.sidecar._endpoint_pool._dial_tasks)
+                for endpoint, server in zip(
+                    w.sidecar._endpoint_pool._endpoints.values(), w.servers, strict=True
+                ):
                     endpoint.address = server.address
                 w.discovery.say(42, [each.entry(status="leaving") for each in w.servers])
                 assert (await asking)[0] == 503
@@ -504,18 +506,20 @@
     async def scene() -> None:
         async with world(served, served, drained=True) as w:
             heard = w.hear()
-            real = w.sidecar._upstream.send
+            real = w.sidecar._endpoint_pool.send
 
             def late(name: str, *given: Any) -> upstream.Exchange:
-                w.sidecar._upstream._endpoints.pop("s-0", None)  # it went between the decision and its send
+                w.sidecar._endpoint_pool._endpoints.pop(
+                    "s-0", None
+                )  # it went between the decision and its send
                 return real(name, *given)
 
-            monkeypatch.setattr(w.sidecar._upstream, "send", late)
+            monkeypatch.setattr(w.sidecar._endpoint_pool, "send", late)
             for _ in range(8):
                 assert (await w.ask(kind="pay", body=b"x"))[0] == 200
             ended = [each.outcome for each in heard if isinstance(each, AttemptEnded)]
             assert set(ended) == {Outcome.UNSENT, Outcome.DELIVERED}
-            w.sidecar.proxy.probe(HealthCheck("s-0"))
+            w.sidecar.proxy.check_health(HealthCheck("s-0"))
             assert isinstance(heard[-1], HealthCheckEnded) and heard[-1].outcome is Outcome.UNSENT
 
     on_clock(scene())
@@ -561,7 +565,7 @@
             await until(lambda: not w.sidecar._engine.balancer.ready_servers)
             server.writers[0].write(answer(200, b"served"))
             assert (await asking)[2] == b"served"
-            await until(lambda: w.sidecar._upstream.open_count == 0)  # it is not kept for another
+            await until(lambda: w.sidecar._endpoint_pool.open_count == 0)  # it is not kept for another
             assert (await w.ask())[0] == 503
 
     on_clock(scene())
@@ -572,9 +576,11 @@
     async def scene() -> None:
         server = FakeServer("s", hung)
         await server.start()
-        pool = upstream.Upstream(1.0, 60.0, 10)
+        pool = upstream.EndpointPool(1.0, 60.0, 10)
         pool.update("s", server.address, None, ServerState.READY)
-        order = upstream.Order(lambda _: h11.Request(method="GET", target="/", headers=[("Host", "x")]))
+        order = upstream.UpstreamRequest(
+            lambda _: h11.Request(method="GET", target="/", headers=[("Host", "x")])
+        )
         outcomes: list[Outcome] = []
         until_s = asyncio.get_running_loop().time() + 30
         exchange = pool.send("s", order, until_s, lambda outcome, _: outcomes.append(outcome))
@@ -583,7 +589,7 @@
         assert pool.open_count == 1
         pool.cancel(exchange)
         await until(lambda: pool.open_count == 0)
-        assert outcomes == [Outcome.CANCELLED] and not pool._dials and not pool._open
+        assert outcomes == [Outcome.CANCELLED] and not pool._dial_tasks and not pool._open
         await pool.close()
         await server.end()
 
@@ -594,9 +600,11 @@
     async def scene() -> None:
         server = FakeServer("s", hung)
         await server.start()
-        pool = upstream.Upstream(1.0, 60.0, 10)
+        pool = upstream.EndpointPool(1.0, 60.0, 10)
         pool.update("s", server.address, None, ServerState.READY)
-        order = upstream.Order(lambda _: h11.Request(method="GET", target="/", headers=[("Host", "x\n")]))
+        order = upstream.UpstreamRequest(
+            lambda _: h11.Request(method="GET", target="/", headers=[("Host", "x\n")])
+        )
         outcomes: list[Outcome] = []
         until_s = asyncio.get_running_loop().time() + 30
         pool.send("s", order, until_s, lambda outcome, _: outcomes.append(outcome))
@@ -612,7 +620,7 @@
     on_clock: Play, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
-        async def connect(*_: object) -> upstream.Connection:
+        async def connect(*_: object) -> upstream.ServerConnection:
             raise UnicodeError("label too long")  # as looking up a name of 70 letters does, in a thread
 
         async with world(served, drained=True) as w:
@@ -620,19 +628,19 @@
             began = asyncio.get_running_loop().time()
             assert (await w.ask())[0] == 503
             assert asyncio.get_running_loop().time() - began < 0.1
-            assert w.sidecar._upstream.open_count == 0
+            assert w.sidecar._endpoint_pool.open_count == 0
 
     on_clock(scene())
 
 
 def test_connections_at_rest_that_their_server_closed_give_no_room(on_clock: Play) -> None:
-    order = upstream.Order(lambda _: h11.Request(method="GET", target="/", headers=[("Host", "x")]))
+    order = upstream.UpstreamRequest(lambda _: h11.Request(method="GET", target="/", headers=[("Host", "x")]))
 
     async def scene() -> None:
         closing, other = FakeServer("closing", served), FakeServer("other", hung)
         await closing.start()
         await other.start()
-        pool = upstream.Upstream(1.0, 60.0, 2)
+        pool = upstream.EndpointPool(1.0, 60.0, 2)
         for server in (closing, other):
             pool.update(server.name, server.address, None, ServerState.READY)
         outcomes: list[Outcome] = []
@@ -709,7 +717,7 @@
             await until(w.sent)
             (there,), (live,) = w.servers[0].writers, w.sidecar.proxy.in_flight.values()
             there.write(head + piece * 20)
-            await until(lambda: live.streamed is not None)
+            await until(lambda: live.streamed_attempt is not None)
             client.leave("reset")
             await until(lambda: not w.sidecar.frontend.connections)
             began = asyncio.get_running_loop().time()
@@ -724,7 +732,7 @@
                 if not (ends or there.is_closing()):
                     there.write(piece)
             assert is_over(w)() and asyncio.get_running_loop().time() - began < (3.5 if ends else 4.5)
-            assert w.sidecar._upstream.open_count == int(ends)  # whole, it is used again
+            assert w.sidecar._endpoint_pool.open_count == int(ends)  # whole, it is used again
             client.sock.close()
 
     on_clock(scene())
@@ -776,14 +784,14 @@
             pieces = b"".join(b"2\r\n%b\r\n" % body[at : at + 2] for at in range(0, len(body), 2))
             head = b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n"
             w.servers[0].writers[0].write(head + pieces + b"0\r\n\r\n")
-            await until(lambda: connection._stuck)
+            await until(lambda: connection._write_blocked)
             got, began = b"", asyncio.get_running_loop().time()
             while not got.endswith(b"\r\n0\r\n\r\n"):
                 with contextlib.suppress(BlockingIOError):
                     got += (data := sock.recv(2_500))
                     assert data, "cut off"
                 await asyncio.sleep(2.0)
-            assert asyncio.get_running_loop().time() - began > 3 * STALLED_S
+            assert asyncio.get_running_loop().time() - began > 3 * STALL_TIMEOUT_S
             reader = asyncio.StreamReader()
             reader.feed_data(got)
             await reader.readuntil(b"\r\n\r\n")
@@ -806,8 +814,10 @@
         async with world(hung, hung, drained=True, limits=limits) as w:
             with deaf() as address:
                 if first == "dialling":  # whichever is drawn first, its connection does not come up
-                    places = {name: each.address for name, each in w.sidecar._upstream._endpoints.items()}
-                    for each in w.sidecar._upstream._endpoints.values():
+                    places = {
+                        name: each.address for name, each in w.sidecar._endpoint_pool._endpoints.items()
+                    }
+                    for each in w.sidecar._endpoint_pool._endpoints.values():
                         each.address = address
                 client = Client(w)
                 client.send(request(budget="5.0"))
@@ -815,7 +825,7 @@
                 (live,), balancer = w.sidecar.proxy.in_flight.values(), w.sidecar._engine.balancer
                 (asked,) = balancer.open_requests.values()
                 if first == "dialling":
-                    for name, each in w.sidecar._upstream._endpoints.items():
+                    for name, each in w.sidecar._endpoint_pool._endpoints.items():
                         each.address = places[name]
                 else:
                     await until(w.sent)
@@ -826,9 +836,9 @@
                 name = asked.attempts[1].server.name
                 (there,) = [each for each in w.servers if each.name == name]
                 there.writers[-1].write(answer(200, body)[: -len(body) // 2])
-                await until(lambda: live.streamed == 1)
+                await until(lambda: live.streamed_attempt == 1)
                 await asyncio.sleep(0.1)
-                assert live.out.keys() == ({1} if may_cancel or first == "dialling" else {0, 1})
+                assert live.attempts.keys() == ({1} if may_cancel or first == "dialling" else {0, 1})
                 assert there.closed == 0
                 there.writers[-1].write(body[-len(body) // 2 :])
                 reader, writer = await asyncio.open_connection(sock=client.sock)
@@ -995,7 +1005,7 @@
         async with world(hung, drained=True, limits=limits) as w:
             asking = asyncio.create_task(w.ask(kind="pay", body=b"x", budget="1.5"))
             await until(w.sent)
-            w.sidecar.proxy.give_up(next(iter(w.sidecar.proxy.in_flight)))
+            w.sidecar.proxy.abandon(next(iter(w.sidecar.proxy.in_flight)))
             assert (await asking)[0] == 500
             if not may_cancel:  # what is whole at a server is not called off there: it ends at its time
                 await asyncio.sleep(1.0)
@@ -1012,12 +1022,12 @@
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(request())
             await until(w.sent)
-            (call,) = w.sidecar.proxy.by_call
-            call.answer(200, [(b"X-Bad", b"\n")], b"")
+            (call,) = w.sidecar.proxy.by_client_request
+            call.respond(200, [(b"X-Bad", b"\n")], b"")
             with contextlib.suppress(ConnectionError):
                 assert await reader.read() == b""
             await until(lambda: not w.sidecar.frontend.connections)
-            w.sidecar.proxy.give_up(next(iter(w.sidecar.proxy.in_flight)))
+            w.sidecar.proxy.abandon(next(iter(w.sidecar.proxy.in_flight)))
             writer.close()
 
     on_clock(scene())
@@ -1038,7 +1048,7 @@
         async with world(served, drained=True, discovery=mode) as w:
             await until(lambda: w.discovery.targets)
             whose: object = w.sidecar._discovery if where == "reading" else w.sidecar
-            what = "_read" if where == "reading" else "_list"
+            what = "_read" if where == "reading" else "_apply_endpoint_list"
             real = getattr(whose, what)
             monkeypatch.setattr(whose, what, fails)
             for _ in range(1 + (where == "reading")):  # the call under way reads as it was begun
@@ -1201,7 +1211,7 @@
             await until(w.sent)
             (live,), (there,) = w.sidecar.proxy.in_flight.values(), w.servers[0].writers
             there.write(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n")
-            await until(lambda: live.streamed is not None)
+            await until(lambda: live.streamed_attempt is not None)
             await asyncio.sleep(0.1)
             w.stop.set()
             await until(lambda: w.sidecar._timers._is_closed)
@@ -1231,8 +1241,8 @@
             (connection,), (there,) = w.sidecar.frontend.connections, w.servers[0].writers
             connection._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
             there.write(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n" + piece * 20)
-            await until(lambda: connection._stuck)
-            await asyncio.sleep(STALLED_S)  # it reads nothing
+            await until(lambda: connection._write_blocked)
+            await asyncio.sleep(STALL_TIMEOUT_S)  # it reads nothing
             await until(lambda: not w.sidecar.frontend.connections)
             sock.setblocking(True)
             with pytest.raises(ConnectionResetError):
@@ -1267,9 +1277,9 @@
         async with world(hung if at == "answering" else served, drained=True) as w:
             with deaf() as address:
                 if at == "dialling":
-                    w.sidecar._upstream.update("s-0", address, None, ServerState.READY)
+                    w.sidecar._endpoint_pool.update("s-0", address, None, ServerState.READY)
                 if at == "unaccepted":
-                    w.sidecar.frontend._pause()
+                    w.sidecar.frontend._stop_accepting()
                 client = Client(w)
                 if at not in ("unaccepted", "unbegun"):
                     await until(lambda: w.sidecar.frontend.connections)
@@ -1278,7 +1288,7 @@
                     await asyncio.sleep(0.64)  # one step before those just opened are closed
                 client.send(request())
                 if at == "dialling":
-                    await until(lambda: w.sidecar._upstream._dials)
+                    await until(lambda: w.sidecar._endpoint_pool._dial_tasks)
                 if at == "answering":
                     await until(w.sent)
                 w.stop.set()
@@ -1333,7 +1343,7 @@
             with deaf() as address:
                 if at == "dial":
                     for name in ("s-0", "s-1"):
-                        w.sidecar._upstream.update(name, address, None, ServerState.READY)
+                        w.sidecar._endpoint_pool.update(name, address, None, ServerState.READY)
                 loop = asyncio.get_running_loop()
                 began, real = loop.time(), w.sidecar._engine.balancer.handle
                 asking = asyncio.create_task(w.ask(kind="pay", body=b"x", budget="1.0"))
@@ -1353,7 +1363,9 @@
                         w.sidecar._engine.handle(
                             AttemptEnded(number, 0, w.servers[0].name, Outcome.TIMED_OUT, 1, True)
                         )
-                await until(lambda: w.sidecar._upstream.open_count == 0 and not w.sidecar.proxy.in_flight)
+                await until(
+                    lambda: w.sidecar._endpoint_pool.open_count == 0 and not w.sidecar.proxy.in_flight
+                )
 
     on_clock(scene())
 
--- a/tests/runtime/test_streams.py
+++ b/tests/runtime/test_streams.py
@@ -16,7 +16,7 @@
 from sidecar_balancer.policy.events import AttemptEnded, RequestReceived, ResponseStarted
 from sidecar_balancer.policy.types import Outcome
 from sidecar_balancer.runtime import streams
-from sidecar_balancer.runtime.streams import HELD_WHOLE, Budget
+from sidecar_balancer.runtime.streams import MAX_BUFFERED_BODY_BYTES, BodyMemory
 from sidecar_balancer.upstream import connection as upstream
 
 LONG = bytes(range(251)) * 4_000  # about 1 MB, so that misplaced pieces show
@@ -46,7 +46,7 @@
     server = RawServer(script)
     await server.start()
     async with world(lambda *_: None, **changes) as w:  # type: ignore[arg-type]
-        endpoint = w.sidecar._upstream._endpoints["s-0"]
+        endpoint = w.sidecar._endpoint_pool._endpoints["s-0"]
         endpoint.address = server.address
         yield w, server
     server.stop()
@@ -99,9 +99,9 @@
             assert f"content-length: {len(LONG)}" in await read_head(reader)
             got = await reader.readexactly(300_000)
             live = next(iter(w.sidecar.proxy.in_flight.values()))
-            attempt = live.out[0]
+            attempt = live.attempts[0]
             assert attempt is not None and not attempt.timers  # nothing would end it any more
-            assert live.backstop is not None and live.backstop.cancelled()
+            assert live.failsafe_timer is not None and live.failsafe_timer.cancelled()
             more.set()
             got += await asyncio.wait_for(reader.readexactly(len(LONG) - 300_000), PATIENCE_S)
             assert got == LONG
@@ -184,9 +184,9 @@
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address, limit=1_000)
             writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65_536)
             writer.write(request())
-            await until(lambda: w.sidecar._upstream._budget.streams == 1)
+            await until(lambda: w.sidecar._endpoint_pool._body_memory.active_streams == 1)
             server_side = next(iter(w.sidecar.frontend.connections))
-            await until(lambda: server_side._stuck)
+            await until(lambda: server_side._write_blocked)
             assert server_side._transport is not None
             assert server_side._transport.get_write_buffer_size() <= 2 * 64 * 1024
             assert sent < HUGE  # the rest stays where it is
@@ -195,7 +195,7 @@
             async with asyncio.timeout(PATIENCE_S):
                 while got < HUGE:
                     got += len(await reader.read(1_000_000))
-            await until(lambda: w.sidecar._upstream._budget.streams == 0)
+            await until(lambda: w.sidecar._endpoint_pool._body_memory.active_streams == 0)
             writer.close()
 
     play(scene())
@@ -274,9 +274,10 @@
             await read_head(reader)
             writer.close()
             await asyncio.wait_for(ended.wait(), PATIENCE_S)
-            await until(lambda: not w.sidecar.proxy.in_flight and not w.sidecar.proxy.by_call)
+            await until(lambda: not w.sidecar.proxy.in_flight and not w.sidecar.proxy.by_client_request)
             assert (
-                w.sidecar._engine.balancer.pending_attempts == 0 and w.sidecar._upstream._budget.streams == 0
+                w.sidecar._engine.balancer.pending_attempts == 0
+                and w.sidecar._endpoint_pool._body_memory.active_streams == 0
             )
 
     play(scene())
@@ -285,7 +286,7 @@
 def test_the_beginning_of_a_slow_answer_of_unknown_length_is_not_kept_back(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(upstream, "_HELD_LONG_S", 0.05)
+    monkeypatch.setattr(upstream, "_MAX_RESPONSE_BUFFERING_S", 0.05)
     more = asyncio.Event()
 
     async def script(reader: Reader, writer: Writer) -> None:
@@ -308,7 +309,7 @@
 
 
 def test_a_server_that_stops_within_a_long_answer_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream, "STALLED_S", 0.05)
+    monkeypatch.setattr(upstream, "STALL_TIMEOUT_S", 0.05)
 
     async def script(reader: Reader, writer: Writer) -> None:
         await read_head(reader)
@@ -374,16 +375,17 @@
             writer.write(data[:-1])
             await until(
                 lambda: (
-                    w.sidecar.proxy.in_flight and next(iter(w.sidecar.proxy.in_flight.values())).out.get(0)
+                    w.sidecar.proxy.in_flight
+                    and next(iter(w.sidecar.proxy.in_flight.values())).attempts.get(0)
                 )
             )
             live = next(iter(w.sidecar.proxy.in_flight.values()))
-            attempt = live.out[0]
-            assert attempt is not None and attempt.until == math.inf
-            assert live.answer_by is None and live.backstop is None
+            attempt = live.attempts[0]
+            assert attempt is not None and attempt.deadline == math.inf
+            assert live.deadline is None and live.failsafe_timer is None
             writer.write(data[-1:])
             assert "200 ok" in await read_head(reader)
-            assert live.answer_by is not None and attempt.until < math.inf
+            assert live.deadline is not None and attempt.deadline < math.inf
             writer.close()
 
     play(scene())
@@ -409,9 +411,11 @@
             sending = asyncio.create_task(send(writer, HUGE))
             await until(lambda: w.sidecar.frontend.connections)
             connection = next(iter(w.sidecar.frontend.connections))
-            await until(lambda: connection._paused)
+            await until(lambda: connection._reading_paused)
             assert connection._upload is not None
-            assert len(connection._upload._held) <= HELD_WHOLE + 64 * 1024 and not sending.done()
+            assert (
+                len(connection._upload._buffer) <= MAX_BUFFERED_BODY_BYTES + 64 * 1024 and not sending.done()
+            )
             go_on.set()
             assert "200 ok" in await read_head(reader)
             await sending
@@ -473,16 +477,20 @@
         async with streaming(script) as (w, _):
             _, writer = await dial(w)
             writer.write(request("pay", body=LONG)[:-1])
-            await until(lambda: w.sidecar._upstream._budget.streams == 1)
+            await until(lambda: w.sidecar._endpoint_pool._body_memory.active_streams == 1)
             writer.close()
             await until(lambda: not w.sidecar.proxy.in_flight)
-            assert w.sidecar._upstream._budget.streams == w.sidecar._upstream._budget.held == 0
+            assert (
+                w.sidecar._endpoint_pool._body_memory.active_streams
+                == w.sidecar._endpoint_pool._body_memory.buffered_bytes
+                == 0
+            )
 
     play(scene())
 
 
 def test_a_chunked_body_longer_than_any_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontend, "LONGEST", 500_000)
+    monkeypatch.setattr(frontend, "MAX_REQUEST_BODY_BYTES", 500_000)
 
     async def scene() -> None:
         async with streaming(served_upload) as (w, _):
@@ -507,30 +515,34 @@
             connection: ClientConnection = next(iter(w.sidecar.frontend.connections))
             writer.write(request("pay", body=LONG)[:-1])
             await until(lambda: connection._head is not None)
-            connection._began = 100.0
+            connection._awaited_since = 100.0
             for head_at, came, came_at, due in (
                 (100.0, 0, 100.0, 102.5),  # a head and nothing behind it
                 (102.0, 0, 102.0, 103.5),  # a slow head
                 (102.0, 64_000, 103.0, 105.5),  # the slowest that is owed service, with as much to spare
                 (102.0, 32_000_000, 103.0, 113.0),  # what came fast buys no long silence
             ):
-                connection._body_from, connection._body_came, connection._came_at = head_at, came, came_at
-                assert connection._due_at() == due
+                connection._body_counted_since, connection._body_bytes, connection._last_input_at = (
+                    head_at,
+                    came,
+                    came_at,
+                )
+                assert connection._request_deadline() == due
             writer.close()
 
     play(scene())
 
 
 def test_pieces_shrink_with_the_number_of_streams_and_what_is_held_whole_is_bounded() -> None:
-    budget = Budget(memory_mb=32)
+    budget = BodyMemory(memory_mb=32)
     pieces = []
     for number in (1, 16, 64, 256, 10_000):
-        budget.streams = number
-        pieces.append(budget.piece())
+        budget.active_streams = number
+        pieces.append(budget.read_size())
     assert pieces == sorted(pieces, reverse=True) and pieces[0] == 65_536 and pieces[-1] == 4_096
-    budget.streams = 256
-    assert 256 * 4 * budget.piece() <= 32 * 1024 * 1024 // 8
-    assert budget.may_hold(HELD_WHOLE) and not budget.may_hold(HELD_WHOLE + 1)
-    budget.held = 5 * 1024 * 1024
-    assert not budget.may_hold(10)
-    assert streams.HELD_WHOLE == 65_536
+    budget.active_streams = 256
+    assert 256 * 4 * budget.read_size() <= 32 * 1024 * 1024 // 8
+    assert budget.may_buffer(MAX_BUFFERED_BODY_BYTES) and not budget.may_buffer(MAX_BUFFERED_BODY_BYTES + 1)
+    budget.buffered_bytes = 5 * 1024 * 1024
+    assert not budget.may_buffer(10)
+    assert streams.MAX_BUFFERED_BODY_BYTES == 65_536
--- a/tests/upstream/test_attempts.py
+++ b/tests/upstream/test_attempts.py
@@ -25,13 +25,13 @@
 from sidecar_balancer.policy.types import Outcome, ServerState
 from sidecar_balancer.upstream import connection as upstream
 from sidecar_balancer.upstream.connection import (
+    EndpointPool,
     Exchange,
-    Order,
     Response,
-    Upstream,
+    UpstreamRequest,
+    classify_outcome,
     connect,
-    judge,
-    parse_report,
+    parse_load_report,
 )
 from virtual import play_on_clock
 
@@ -197,7 +197,7 @@
         async with world(served) as w:
             for _ in range(5):
                 assert (await w.ask())[0] == 200
-                await asyncio.sleep(upstream._REST_S)
+                await asyncio.sleep(upstream._REUSE_DELAY_S)
             assert len(w.servers[0].writers) == 1
 
     play_on_clock(scene(), monkeypatch)
@@ -209,7 +209,7 @@
     async def scene() -> None:
         async with world(served) as w:
             assert (await w.ask(kind="pay", body=b"x"))[0] == 200
-            (connection,) = w.sidecar._upstream._endpoints["s-0"].idle
+            (connection,) = w.sidecar._endpoint_pool._endpoints["s-0"].idle
             writer = w.servers[0].writers[0]
             if how == "end":
                 raw = writer.get_extra_info("socket")
@@ -233,7 +233,7 @@
         async with world(served, limits=limits) as w:
             assert (await w.ask())[0] == 200
             loop = asyncio.get_running_loop()
-            (timer,) = w.sidecar._upstream._endpoints["s-0"].idle.values()
+            (timer,) = w.sidecar._endpoint_pool._endpoints["s-0"].idle.values()
             assert timer.when() - loop.time() < 0.95
             await until(lambda: w.servers[0].closed == 1)
 
@@ -242,11 +242,11 @@
 
 def test_junk_load_reports_are_skipped() -> None:
     columns = ("util", "qps")
-    assert parse_report("TEXT util=0.5, qps=7, other=1", columns) == {"util": 0.5, "qps": 7.0}
+    assert parse_load_report("TEXT util=0.5, qps=7, other=1", columns) == {"util": 0.5, "qps": 7.0}
     for junk in ("TEXT util=nan", "TEXT util", "BIN xyz", "", "TEXT "):
-        assert parse_report(junk, columns) is None
-    assert parse_report("TEXT util=inf, qps=3", columns) == {"qps": 3.0}
-    assert parse_report("TEXT util=0.5", ()) is None
+        assert parse_load_report(junk, columns) is None
+    assert parse_load_report("TEXT util=inf, qps=3", columns) == {"qps": 3.0}
+    assert parse_load_report("TEXT util=0.5", ()) is None
 
     async def scene() -> None:
         report = {"source": "answers", "columns": ["util"]}
@@ -259,7 +259,7 @@
 # -- The connections themselves
 
 
-async def outcome_of(upstream: Upstream, seconds: float = 5.0, body: bytes = b"") -> Outcome:
+async def outcome_of(upstream: EndpointPool, seconds: float = 5.0, body: bytes = b"") -> Outcome:
     loop = asyncio.get_running_loop()
     ended: asyncio.Future[Outcome] = loop.create_future()
 
@@ -270,8 +270,8 @@
     return await asyncio.wait_for(ended, PATIENCE_S)
 
 
-def order(body: bytes = b"") -> Order:
-    return Order(lambda _: head(body), body)
+def order(body: bytes = b"") -> UpstreamRequest:
+    return UpstreamRequest(lambda _: head(body), body)
 
 
 def head(body: bytes = b"") -> h11.Request:
@@ -290,7 +290,7 @@
         assert not connection.written
         other.close()  # with bytes unread: a reset
         assert await asyncio.wait_for(ended, PATIENCE_S) is None
-        assert judge(None, connection.written, connection.heard) is Outcome.CONNECT_FAILED
+        assert classify_outcome(None, connection.written, connection.response_began) is Outcome.CONNECT_FAILED
         listener.close()
 
     play(scene())
@@ -311,7 +311,9 @@
         await until(lambda: connection.written)
         reset(writer)
         assert await asyncio.wait_for(ended, PATIENCE_S) is None
-        assert judge(None, connection.written, connection.heard) is Outcome.CONNECTION_LOST
+        assert (
+            classify_outcome(None, connection.written, connection.response_began) is Outcome.CONNECTION_LOST
+        )
         listener.close()
 
     play(scene())
@@ -323,7 +325,7 @@
 ) -> None:
     async def scene() -> None:
         with deaf() as address:
-            upstream = Upstream(dial_limit, 60.0, 10)
+            upstream = EndpointPool(dial_limit, 60.0, 10)
             upstream.update("s", address, None, ServerState.READY)
             assert await outcome_of(upstream, seconds) is Outcome.CONNECT_FAILED
             await until(lambda: upstream.open_count == 0)
@@ -336,7 +338,7 @@
     # Guards rule 3: a slow dial would write its request after the grace.
     async def scene() -> None:
         with deaf() as address:
-            upstream = Upstream(30.0, 60.0, 10)
+            upstream = EndpointPool(30.0, 60.0, 10)
             upstream.update("s", address, None, ServerState.READY)
             sending = asyncio.create_task(outcome_of(upstream))
             await until(lambda: upstream.open_count == 1)
@@ -349,7 +351,7 @@
 
 def test_an_attempt_whose_time_is_up_is_never_sent() -> None:
     async def scene() -> None:
-        upstream = Upstream(1.0, 60.0, 10)
+        upstream = EndpointPool(1.0, 60.0, 10)
         upstream.update("s", ("127.0.0.1", 1), None, ServerState.READY)
         assert await outcome_of(upstream, -1.0) is Outcome.UNSENT
 
@@ -360,7 +362,7 @@
     async def scene() -> None:
         server = FakeServer("s", hung)
         await server.start()
-        upstream = Upstream(1.0, 60.0, 10)
+        upstream = EndpointPool(1.0, 60.0, 10)
         upstream.update("s", server.address, None, ServerState.READY)
         outcomes: list[Outcome] = []
         loop = asyncio.get_running_loop()
@@ -379,7 +381,7 @@
     async def scene() -> None:
         server = FakeServer("s", served)
         await server.start()
-        upstream = Upstream(1.0, 60.0, 10)
+        upstream = EndpointPool(1.0, 60.0, 10)
         upstream.update("s", server.address, None, ServerState.READY)
         assert await outcome_of(upstream) is Outcome.DELIVERED
         upstream.update("s", server.address, 5, ServerState.READY)
@@ -401,7 +403,7 @@
     # Guards the descriptors: an idle connection elsewhere makes room, one in use does not.
     async def scene() -> None:
         servers = [FakeServer("a", served), FakeServer("s", hung)]
-        upstream = Upstream(1.0, 60.0, 1)
+        upstream = EndpointPool(1.0, 60.0, 1)
         for each in servers:
             await each.start()
             upstream.update(each.name, each.address, None, ServerState.READY)
@@ -449,11 +451,11 @@
         limits = {"max_attempts": 3, "may_cancel": False, "dial_timeout_us": 600 * S}
         with deaf() as address:
             async with world(served, limits=limits) as w:
-                w.sidecar._upstream.update("s-0", address, None, ServerState.READY)
+                w.sidecar._endpoint_pool.update("s-0", address, None, ServerState.READY)
                 _, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
                 writer.write(request("pay", body=b"x", budget="600"))
-                await until(lambda: w.sidecar._upstream.open_count == 1)
+                await until(lambda: w.sidecar._endpoint_pool.open_count == 1)
                 writer.close()
-                await until(lambda: not w.sidecar.proxy.in_flight and not w.sidecar._upstream.open_count)
+                await until(lambda: not w.sidecar.proxy.in_flight and not w.sidecar._endpoint_pool.open_count)
 
     play(scene())
