--- a/sidecar_balancer/runtime/proxy.py
+++ b/sidecar_balancer/runtime/proxy.py
@@ -32,13 +32,12 @@
 from sidecar_balancer.upstream.connection import Exchange, Headers, Response
 
 if TYPE_CHECKING:
-    from sidecar_balancer.observability.latency import Latencies
+    from sidecar_balancer.observability.latency import LatencyHistograms
 
 log = logging.getLogger(__name__)
 
-_MAX_LOGGED_FAILURES = (
-    20  # requests that ended badly, at most, that are logged until the log is told how things stand
-)
+# requests that ended badly, at most, that are logged until the log is told how things stand
+_MAX_LOGGED_FAILURES = 20
 _CONTENT_HEADERS = (b"content-type", b"content-encoding")  # of a server's headers, these go to the client
 
 
@@ -67,7 +66,7 @@
         settings: Settings,
         engine: Engine,
         endpoint_pool: upstream.EndpointPool,
-        latencies: Latencies | None,
+        latencies: LatencyHistograms | None,
     ) -> None:
         self._settings = settings
         self._engine = engine
@@ -160,7 +159,7 @@
             self._log_failure(request, str(status))
         self.response_counts[status] += 1
         if status == 200 and self._latencies is not None:
-            self._latencies.answered(request.call.service_class, elapsed_us)
+            self._latencies.record_response(request.call.service_class, elapsed_us)
         self._mark_answered(request)
         request.call.respond(status, headers, body)
 
@@ -305,7 +304,7 @@
             elapsed = request.first_byte_us
         elif outcome is Outcome.DELIVERED and response is not None:
             if self._latencies is not None:
-                self._latencies.served(server, elapsed)
+                self._latencies.record_attempt(server, elapsed)
             self.respond(request, 200, _content_headers(response.headers), response.body)
         report = self._report(response)
         self._forget_if_over(request)
--- a/sidecar_balancer/runtime/sidecar.py
+++ b/sidecar_balancer/runtime/sidecar.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from sidecar_balancer.admin.handlers import EVACUATION_KEPT_S, Operations
-from sidecar_balancer.admin.overrides import Orders
-from sidecar_balancer.admin.server import Door
-from sidecar_balancer.admin.views import asked_per_s, state_line
-from sidecar_balancer.config.sidecar import Config
+from sidecar_balancer.admin.handlers import EVACUATION_KEPT_S, AdminHandlers
+from sidecar_balancer.admin.overrides import OperatorOverrides
+from sidecar_balancer.admin.server import AdminServer
+from sidecar_balancer.admin.views import request_rates_per_s, state_summary
+from sidecar_balancer.config.sidecar import SidecarConfig
 from sidecar_balancer.discovery.client import Discovery
 from sidecar_balancer.discovery.endpoint_list import EndpointList, ListUpdate, parse_list
 from sidecar_balancer.downstream.frontend import Frontend, RequestHandler
@@ -37,29 +37,26 @@
 
 if TYPE_CHECKING:  # loaded where the plane is on: a start without it costs no more CPU
     from sidecar_balancer.membership.bridge import PeerLink
-    from sidecar_balancer.observability.latency import Latencies
-    from sidecar_balancer.persistence.persister import Keeper, Kept
+    from sidecar_balancer.observability.latency import LatencyHistograms
+    from sidecar_balancer.persistence.persister import RestoredState, StatePersister
 
 log = logging.getLogger(__name__)
 
 _ACCEPT_WHILE_DRAINING_S = 0.5  # after SIGTERM, how long connections are still taken: they come for 0.4 s
 _UNUSED_CONNECTION_GRACE_S = 0.65  # when those just opened are closed too, whose request did not come
-_DRAIN_MARGIN_S = (
-    0.62  # how much longer than the longest deadline all may last: the platform's kill comes after 0.7
-)
+# how much longer than the longest deadline all may last: the platform's kill comes after 0.7
+_DRAIN_MARGIN_S = 0.62
 _FLUSH_TIMEOUT_S = 0.05  # and what the last answers may take from there onto the wire
 _MAX_DRAIN_DEADLINE_S = 3.0  # the platform waits for no longer deadline than this
 _DRAIN_POLL_S = 0.02  # how often a drain looks at what is left
-_TAKEOVER_LIST_TIMEOUT_S = (
-    2.0  # beside a process that serves, how long a start waits for the list; it is ready within 6 s
-)
+# beside a process that serves, how long a start waits for the list; it is ready within 6 s
+_TAKEOVER_LIST_TIMEOUT_S = 2.0
 _OVERRIDES_POLL_INTERVAL_S = 0.1  # how often the orders are read that another process may have taken
 _LAG_CHECK_INTERVAL_S = 0.25  # how often the event loop's lag is looked at
 _LAG_WARNING_S = 0.05  # and from when on it is logged
 _STATE_LOG_INTERVAL_S = 1.0  # how often the log is told how things stand
-_WATCH_RESTART_RATIO = (
-    2.5  # of the time without asking, after which a watch that ended is begun again by itself
-)
+# of the time without asking, after which a watch that ended is begun again by itself
+_WATCH_RESTART_RATIO = 2.5
 _PUSH_RETRY_DELAY_S = 0.5  # before a failed call to the agent that holds pushed lists is made again
 _RESERVED_DESCRIPTORS = 64  # descriptors left for discovery, logs and the runtime
 
@@ -67,19 +64,19 @@
 class Sidecar:
     """One sidecar: a balancer and the sockets round it."""
 
-    def __init__(self, config: Config) -> None:
+    def __init__(self, config: SidecarConfig) -> None:
         self._settings = settings = config.settings
         self._longest_s = max(each.deadline_us for each in settings.classes) / 1e6
         self._timers = Timers()
         self._engine = Engine(settings, config.seed, self._timers)
         body_memory = BodyMemory(config.memory_mb)
-        max_connections = max((config.sockets - _RESERVED_DESCRIPTORS) // 2, 1)  # on either side
+        max_connections = max((config.max_sockets - _RESERVED_DESCRIPTORS) // 2, 1)  # on either side
         poll_times = running_poll_times()
         self._endpoint_pool = _create_endpoint_pool(settings, max_connections, body_memory)
         watch_restart_s = _WATCH_RESTART_RATIO * settings.rules.poll_interval_us / 1e6
         self._discovery = Discovery(
-            config.sources(),
-            config.known.version,
+            config.discovery_addresses(),
+            config.initial_endpoints.version,
             self._endpoints_received,
             watch_restart_s,
             poll_times=poll_times,
@@ -93,32 +90,41 @@
             self.proxy.body_completed,
         )
         self.frontend = Frontend(
-            config.listen, max_connections, hooks, settings, config.accept_fd, body_memory, poll_times
+            config.listen,
+            max_connections,
+            hooks,
+            settings,
+            config.inherited_listener_fd,
+            body_memory,
+            poll_times,
         )
-        self._is_takeover = config.accept_fd is not None
-        self._known_endpoints = config.known
+        self._is_takeover = config.inherited_listener_fd is not None
+        self._known_endpoints = config.initial_endpoints
         self._endpoints_known = asyncio.Event()  # discovery has answered
-        self._logged_response_counts: Counter[int] = (
-            Counter()
-        )  # of the answers, those that the log was told of
+        # of the answers, those that the log was told of
+        self._logged_response_counts: Counter[int] = Counter()
         self._logged_cpu_s = 0.0
         self._link = self._create_membership(config)
         self._keeper = self._create_persister(config)
-        self._restored: Kept | None = None
+        self._restored: RestoredState | None = None
         self._endpoint_list = EndpointList()  # as it is now, for the state
-        self._persist_interval_s = config.state.every_ms / 1000 if config.state is not None else 0.0
-        self._peer_warm_up_s = config.state.warm_ms / 1000 if config.state is not None else 0.0
-        self.operations = Operations(
+        self._persist_interval_s = config.state.interval_ms / 1000 if config.state is not None else 0.0
+        self._peer_warm_up_s = config.state.warm_start_timeout_ms / 1000 if config.state is not None else 0.0
+        self.operations = AdminHandlers(
             self._engine,
             self.proxy,
             self.frontend,
             self._endpoint_pool,
             self._discovery,
-            Orders(config.orders),
+            OperatorOverrides(config.overrides_folder),
             self._link,
             latencies,
         )
-        self.door = Door(config.mgmt, self.operations.calls()) if config.mgmt is not None else None
+        self.door = (
+            AdminServer(config.admin_address, self.operations.routes())
+            if config.admin_address is not None
+            else None
+        )
         executors: dict[type[Any], Callable[[Any], None]] = {
             CloseIdleConnections: lambda action: self._endpoint_pool.close_idle(action.server),
             WatchEndpoints: lambda action: self._discovery.follow(action.enabled),
@@ -135,7 +141,7 @@
         try:
             await self._start(stop)
             await stop.wait()
-            self.operations.takes_clients, self.operations.is_stopping = False, True
+            self.operations.accepts_clients, self.operations.is_shutting_down = False, True
             await self._drain()
         finally:
             lag.cancel()
@@ -144,7 +150,7 @@
     async def _start(self, stop: asyncio.Event) -> None:
         if self.door is not None:
             # Before the first request: a ban outlasts the process that took it.
-            self._timers.every(_OVERRIDES_POLL_INTERVAL_S, self.operations.read_orders)
+            self._timers.every(_OVERRIDES_POLL_INTERVAL_S, self.operations.apply_stored_overrides)
             self.door.start()
         self._restore_state()
         if self._link is not None:
@@ -160,7 +166,7 @@
             await self._first_of(stop, self._endpoints_known, _TAKEOVER_LIST_TIMEOUT_S)
         if not stop.is_set():
             self.frontend.start()
-            self.operations.takes_clients = True
+            self.operations.accepts_clients = True
 
     async def _end(self) -> None:
         """Close what is open and cancel what is planned, whether or not all was answered."""
@@ -181,9 +187,9 @@
         for task in tasks:
             task.cancel()
 
-    def reload(self, config: Config) -> None:
+    def reload(self, config: SidecarConfig) -> None:
         """Take over what may change while this runs: where discovery is."""
-        sources = config.sources()
+        sources = config.discovery_addresses()
         log.info("reloaded: discovery at %s", ", ".join("{}:{}".format(*each) for each in sources)[:200])
         if self._discovery.move(sources):
             self._engine.handle(EndpointListReceived(ListKind.SOURCE_CHANGED))
@@ -234,7 +240,7 @@
             self._logged_response_counts = self.proxy.response_counts.copy()
             counts = ", ".join(f"{count} x {status}" for status, count in answered.items())
             clients = len(self.frontend.connections)
-            held, state = len(self.proxy.by_client_request), state_line(self._engine.balancer)
+            held, state = len(self.proxy.by_client_request), state_summary(self._engine.balancer)
             cpu_s = time.process_time() - self._logged_cpu_s
             self._logged_cpu_s += cpu_s
             told = "answered %s; %d clients, %d held, %d connections to servers, %.2f s of CPU; %s"
@@ -246,15 +252,20 @@
 
     # -- The peer plane ------------------------------------------------------------------------------------
 
-    def _create_membership(self, config: Config) -> PeerLink | None:
-        if config.peer_plane is None or config.peer_listen is None:
+    def _create_membership(self, config: SidecarConfig) -> PeerLink | None:
+        if config.membership is None or config.membership_address is None:
             return None
         from sidecar_balancer.membership.bridge import PeerLink
         from sidecar_balancer.membership.transport import PeerPlane
 
         me, settings = config.settings.member_index, config.settings
         plane = PeerPlane(
-            config.peer_listen, list(config.peers), me, config.seed, config.peer_plane, config.duties
+            config.membership_address,
+            list(config.member_addresses),
+            me,
+            config.seed,
+            config.membership,
+            config.leases,
         )
         classes = [each.name for each in settings.classes]
         return PeerLink(
@@ -276,16 +287,16 @@
         return {each.name: each.relative_latency for each in sound if each.ejected_until is None}
 
     def _request_rates(self) -> dict[str, float]:
-        return asked_per_s(self._engine.balancer, self._engine.clock.now())
+        return request_rates_per_s(self._engine.balancer, self._engine.clock.now())
 
     def _membership_bound(self) -> None:
         assert self._link is not None
         if self._restored is not None:
-            from sidecar_balancer.persistence.persister import resume_plane
+            from sidecar_balancer.persistence.persister import resume_membership
 
-            resume_plane(self._link.plane, self._restored)
-        self._link.ban(self.operations.ordered)
-        self._timers.every(_OVERRIDES_POLL_INTERVAL_S, self.operations.hear_exclusions)
+            resume_membership(self._link.plane, self._restored)
+        self._link.ban(self.operations.disabled_servers)
+        self._timers.every(_OVERRIDES_POLL_INTERVAL_S, self.operations.apply_disabled_servers)
 
     def _publish_server_verdict(self, action: PublishServerVerdict) -> None:
         if self._link is not None:
@@ -297,23 +308,23 @@
 
     # -- What outlasts a crash -----------------------------------------------------------------------------
 
-    def _create_persister(self, config: Config) -> Keeper | None:
+    def _create_persister(self, config: SidecarConfig) -> StatePersister | None:
         if config.state is None:
             return None
-        from sidecar_balancer.persistence.persister import Keeper
+        from sidecar_balancer.persistence.persister import StatePersister
         from sidecar_balancer.persistence.store import Store
 
-        return Keeper(Store(config.state.folder, config.state.most_bytes), config.state.tier_folder)
+        return StatePersister(Store(config.state.folder, config.state.max_bytes), config.state.tier_folder)
 
     def _restore_state(self) -> None:
         """Begin with what an earlier life kept: the list where it is newer, then what was learned."""
         if self._keeper is None:
             return
-        self._restored = kept = self._keeper.open()
-        if kept.listed is None or kept.listed[0] != self._discovery.place():
+        self._restored = kept = self._keeper.restore()
+        if kept.endpoint_list is None or kept.endpoint_list[0] != self._discovery.place():
             return
         try:
-            told = parse_list(kept.listed[1])
+            told = parse_list(kept.endpoint_list[1])
         except ValueError as bad:
             log.warning("state: the list kept is not taken: %s", bad)
             return
@@ -323,8 +334,8 @@
 
     async def _recall_servers(self, stop: asyncio.Event) -> None:
         """Take up what was kept; with nothing kept, ask the peers, for a bounded time."""
-        if self._restored is not None and self._restored.recalled.servers:
-            self._engine.handle(self._restored.recalled)
+        if self._restored is not None and self._restored.learned.servers:
+            self._engine.handle(self._restored.learned)
         elif self._link is not None and self._peer_warm_up_s > 0.0:
             recalled = await self._link.warm(stop, self._peer_warm_up_s)
             self._engine.handle(recalled)
@@ -336,7 +347,7 @@
         listed = (
             (self._discovery.place(), self._endpoint_list.text()) if self._endpoint_list.version else None
         )
-        self._keeper.keep(self._engine.balancer, self._engine.clock.now(), plane, listed)
+        self._keeper.persist(self._engine.balancer, self._engine.clock.now(), plane, listed)
 
     # -- The list of servers -------------------------------------------------------------------------------
 
@@ -377,10 +388,10 @@
     )
 
 
-def _latencies(config: Config) -> Latencies | None:
+def _latencies(config: SidecarConfig) -> LatencyHistograms | None:
     """Histograms where there is a door to show them: without one nobody would see them."""
-    if config.mgmt is None:
+    if config.admin_address is None:
         return None
-    from sidecar_balancer.observability.latency import Latencies
+    from sidecar_balancer.observability.latency import LatencyHistograms
 
-    return Latencies()
+    return LatencyHistograms()
