--- a/sidecar_balancer/admin/handlers.py
+++ b/sidecar_balancer/admin/handlers.py
@@ -25,7 +25,7 @@
 from sidecar_balancer.policy.types import ZoneOverride
 from sidecar_balancer.runtime.engine import Engine
 from sidecar_balancer.runtime.proxy import Proxy, count_by_status
-from sidecar_balancer.upstream.connection import EndpointPool
+from sidecar_balancer.upstream.endpoint_pool import EndpointPool
 
 if TYPE_CHECKING:
     from sidecar_balancer.membership.bridge import PeerLink
--- a/sidecar_balancer/discovery/client.py
+++ b/sidecar_balancer/discovery/client.py
@@ -19,7 +19,9 @@
 from sidecar_balancer.discovery.endpoint_list import LIST_MOST_BYTES, ListUpdate, read_list
 from sidecar_balancer.discovery.sources import STALE_S, SourceSelector
 from sidecar_balancer.runtime.queueing import PollTimes
-from sidecar_balancer.upstream.connection import Response, ServerConnection, connect
+from sidecar_balancer.upstream.dialing import connect
+from sidecar_balancer.upstream.response import Response
+from sidecar_balancer.upstream.server_connection import ServerConnection
 
 log = logging.getLogger(__name__)
 
--- a/sidecar_balancer/downstream/frontend.py
+++ b/sidecar_balancer/downstream/frontend.py
@@ -15,7 +15,9 @@
 
 from sidecar_balancer.addresses import Address
 from sidecar_balancer.policy.settings import Idempotency, Settings
+from sidecar_balancer.runtime.headers import Headers, end_to_end_headers
 from sidecar_balancer.runtime.queueing import BacklogAge, PollTimes, since_last_data_s
+from sidecar_balancer.runtime.sockets import has_no_unread_input, is_readable, peer_has_closed
 from sidecar_balancer.runtime.streams import (
     MAX_BUFFERED_BODY_BYTES,
     MAX_EVENTS_PER_TURN,
@@ -27,13 +29,6 @@
     ResponseSource,
     Upload,
 )
-from sidecar_balancer.upstream.connection import (
-    Headers,
-    end_to_end_headers,
-    has_no_unread_input,
-    is_readable,
-    peer_has_closed,
-)
 
 log = logging.getLogger(__name__)
 
--- a/sidecar_balancer/runtime/proxy.py
+++ b/sidecar_balancer/runtime/proxy.py
@@ -27,9 +27,12 @@
 from sidecar_balancer.policy.settings import ReportSource, Settings
 from sidecar_balancer.policy.types import Outcome
 from sidecar_balancer.runtime.engine import Engine
+from sidecar_balancer.runtime.headers import Headers
 from sidecar_balancer.runtime.streams import ResponseSink, ResponseSource
-from sidecar_balancer.upstream import connection as upstream
-from sidecar_balancer.upstream.connection import Exchange, Headers, Response
+from sidecar_balancer.upstream.endpoint_pool import EndpointPool
+from sidecar_balancer.upstream.exchange import Exchange, UpstreamRequest
+from sidecar_balancer.upstream.load_report import parse_health_report, parse_load_report
+from sidecar_balancer.upstream.response import Response
 
 if TYPE_CHECKING:
     from sidecar_balancer.observability.latency import LatencyHistograms
@@ -65,7 +68,7 @@
         self,
         settings: Settings,
         engine: Engine,
-        endpoint_pool: upstream.EndpointPool,
+        endpoint_pool: EndpointPool,
         latencies: LatencyHistograms | None,
     ) -> None:
         self._settings = settings
@@ -238,7 +241,7 @@
         sent_at = self._engine.clock.now()
         on_outcome = partial(self._attempt_ended, request, attempt_index, action.server, sent_at)
         start_streaming = partial(self._start_streaming, request, attempt_index, action.server, sent_at)
-        upstream_request = upstream.UpstreamRequest(
+        upstream_request = UpstreamRequest(
             partial(_head, request.call),
             request.call.body,
             request.call.upload,
@@ -325,7 +328,7 @@
     def _report(self, response: Response | None) -> dict[str, float] | None:
         if response is None:
             return None
-        return upstream.parse_load_report(response.header(b"x-load-report"), self._settings.report_columns)
+        return parse_load_report(response.header(b"x-load-report"), self._settings.report_columns)
 
     def cancel(self, action: CancelAttempt) -> None:
         request = self.in_flight.get(action.request)
@@ -343,7 +346,7 @@
     ) -> None:
         report = None
         if response is not None and outcome is Outcome.DELIVERED:
-            report = upstream.parse_health_report(response.body, self._settings.report_columns)
+            report = parse_health_report(response.body, self._settings.report_columns)
         self._engine.handle(HealthCheckEnded(server, outcome, self._engine.clock.now() - sent_at, report))
 
     def abandon(self, request_id: int | None) -> None:
--- a/sidecar_balancer/runtime/sidecar.py
+++ b/sidecar_balancer/runtime/sidecar.py
@@ -33,7 +33,7 @@
 from sidecar_balancer.runtime.queueing import running_poll_times
 from sidecar_balancer.runtime.streams import BodyMemory
 from sidecar_balancer.runtime.timers import Timers
-from sidecar_balancer.upstream import connection as upstream
+from sidecar_balancer.upstream.endpoint_pool import EndpointPool
 
 if TYPE_CHECKING:  # loaded where the plane is on: a start without it costs no more CPU
     from sidecar_balancer.membership.bridge import PeerLink
@@ -379,11 +379,9 @@
         self._endpoint_pool.forget_removed()
 
 
-def _create_endpoint_pool(
-    settings: Settings, max_connections: int, body_memory: BodyMemory
-) -> upstream.EndpointPool:
+def _create_endpoint_pool(settings: Settings, max_connections: int, body_memory: BodyMemory) -> EndpointPool:
     limits = settings.limits
-    return upstream.EndpointPool(
+    return EndpointPool(
         limits.dial_timeout_us / 1e6, limits.idle_close_us / 1e6, max_connections, body_memory
     )
 
--- /dev/null
+++ b/sidecar_balancer/runtime/sockets.py
@@ -0,0 +1,38 @@
+"""Peeks at sockets that tell, without reading, what the kernel has received for them."""
+
+from __future__ import annotations
+
+import select
+import socket
+
+
+def has_no_unread_input(sock: socket.socket) -> bool:
+    """Whether a connection holds nothing unread: no byte, no end, no error."""
+    try:
+        sock.recv(1, socket.MSG_PEEK)
+    except (BlockingIOError, InterruptedError):
+        return True
+    except OSError:
+        return False
+    return False
+
+
+def is_readable(sock: socket.socket) -> bool:
+    """Whether a socket has something to read, or a listening one a connection to accept."""
+    poller = select.poll()
+    poller.register(sock, select.POLLIN)
+    return bool(poller.poll(0))
+
+
+def peer_has_closed(sock: socket.socket) -> bool:
+    """Whether the other side has ended a connection, be it behind bytes that nobody has read yet."""
+    try:
+        if not sock.recv(1, socket.MSG_PEEK):
+            return True
+    except (BlockingIOError, InterruptedError):
+        return False
+    except OSError:
+        return True
+    poller = select.poll()
+    poller.register(sock, select.POLLRDHUP)
+    return bool(poller.poll(0))
--- /dev/null
+++ b/sidecar_balancer/upstream/dialing.py
@@ -0,0 +1,29 @@
+"""Opens connections to servers."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from functools import partial
+
+from sidecar_balancer.addresses import Address
+from sidecar_balancer.runtime.streams import BodyMemory
+from sidecar_balancer.upstream.server_connection import ServerConnection
+
+
+async def connect(
+    address: Address, max_body_bytes: int, body_memory: BodyMemory | None = None
+) -> ServerConnection:
+    """Dial; raise OSError where no connection comes up."""
+    loop = asyncio.get_running_loop()
+    sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
+    try:
+        sock.setblocking(False)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        await loop.sock_connect(sock, address)
+        made = partial(ServerConnection, sock, max_body_bytes, body_memory or BodyMemory())
+        _, connection = await loop.create_connection(made, sock=sock)
+    except BaseException:
+        sock.close()
+        raise
+    return connection
--- a/tests/downstream/test_frontend.py
+++ b/tests/downstream/test_frontend.py
@@ -19,8 +19,8 @@
 from sidecar_balancer.policy import balancer
 from sidecar_balancer.policy.actions import Action, Reject
 from sidecar_balancer.policy.events import ClientDisconnected, Event, RequestReceived
+from sidecar_balancer.runtime import sockets
 from sidecar_balancer.runtime.streams import MAX_REQUEST_BODY_BYTES
-from sidecar_balancer.upstream import connection as upstream
 
 
 def served(*_: object) -> bytes:
@@ -281,7 +281,7 @@
 ) -> None:
     # herd+crowd: each connection accepted at the bound looked at all others, a system call each.
     monkeypatch.setattr(frontend, "_REQUEST_TIMEOUT_S", 60.0)  # none is given up for its silence meanwhile
-    looks, real = 0, upstream.has_no_unread_input
+    looks, real = 0, sockets.has_no_unread_input
 
     def counted(sock: socket.socket) -> bool:
         nonlocal looks
--- a/tests/runtime/test_close_range.py
+++ b/tests/runtime/test_close_range.py
@@ -44,7 +44,10 @@
 )
 from sidecar_balancer.policy.types import Outcome, ServerState
 from sidecar_balancer.runtime.streams import STALL_TIMEOUT_S
-from sidecar_balancer.upstream import connection as upstream
+from sidecar_balancer.upstream import dialing, endpoint_pool
+from sidecar_balancer.upstream.endpoint_pool import EndpointPool
+from sidecar_balancer.upstream.exchange import Exchange, UpstreamRequest
+from sidecar_balancer.upstream.server_connection import ServerConnection
 from virtual import play_on_clock, stall
 
 GRACE_S = 0.55  # of a drain, with the slack of the rules
@@ -264,7 +267,7 @@
     on_clock: Play, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
-        up, real = asyncio.Event(), upstream.connect
+        up, real = asyncio.Event(), dialing.connect
 
         async def late(*given: Any) -> Any:
             connection = await real(*given)
@@ -272,7 +275,7 @@
             return connection
 
         async with world(served, served, drained=True) as w:
-            monkeypatch.setattr(upstream, "connect", late)
+            monkeypatch.setattr(endpoint_pool, "connect", late)
             client = Client(w)
             client.send(request())
             await until(lambda: w.sidecar._endpoint_pool.open_count == 1)
@@ -508,7 +511,7 @@
             heard = w.hear()
             real = w.sidecar._endpoint_pool.send
 
-            def late(name: str, *given: Any) -> upstream.Exchange:
+            def late(name: str, *given: Any) -> Exchange:
                 w.sidecar._endpoint_pool._endpoints.pop(
                     "s-0", None
                 )  # it went between the decision and its send
@@ -576,11 +579,9 @@
     async def scene() -> None:
         server = FakeServer("s", hung)
         await server.start()
-        pool = upstream.EndpointPool(1.0, 60.0, 10)
+        pool = EndpointPool(1.0, 60.0, 10)
         pool.update("s", server.address, None, ServerState.READY)
-        order = upstream.UpstreamRequest(
-            lambda _: h11.Request(method="GET", target="/", headers=[("Host", "x")])
-        )
+        order = UpstreamRequest(lambda _: h11.Request(method="GET", target="/", headers=[("Host", "x")]))
         outcomes: list[Outcome] = []
         until_s = asyncio.get_running_loop().time() + 30
         exchange = pool.send("s", order, until_s, lambda outcome, _: outcomes.append(outcome))
@@ -600,11 +601,9 @@
     async def scene() -> None:
         server = FakeServer("s", hung)
         await server.start()
-        pool = upstream.EndpointPool(1.0, 60.0, 10)
+        pool = EndpointPool(1.0, 60.0, 10)
         pool.update("s", server.address, None, ServerState.READY)
-        order = upstream.UpstreamRequest(
-            lambda _: h11.Request(method="GET", target="/", headers=[("Host", "x\n")])
-        )
+        order = UpstreamRequest(lambda _: h11.Request(method="GET", target="/", headers=[("Host", "x\n")]))
         outcomes: list[Outcome] = []
         until_s = asyncio.get_running_loop().time() + 30
         pool.send("s", order, until_s, lambda outcome, _: outcomes.append(outcome))
@@ -620,11 +619,11 @@
     on_clock: Play, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
-        async def connect(*_: object) -> upstream.ServerConnection:
+        async def connect(*_: object) -> ServerConnection:
             raise UnicodeError("label too long")  # as looking up a name of 70 letters does, in a thread
 
         async with world(served, drained=True) as w:
-            monkeypatch.setattr(upstream, "connect", connect)
+            monkeypatch.setattr(endpoint_pool, "connect", connect)
             began = asyncio.get_running_loop().time()
             assert (await w.ask())[0] == 503
             assert asyncio.get_running_loop().time() - began < 0.1
@@ -634,13 +633,13 @@
 
 
 def test_connections_at_rest_that_their_server_closed_give_no_room(on_clock: Play) -> None:
-    order = upstream.UpstreamRequest(lambda _: h11.Request(method="GET", target="/", headers=[("Host", "x")]))
+    order = UpstreamRequest(lambda _: h11.Request(method="GET", target="/", headers=[("Host", "x")]))
 
     async def scene() -> None:
         closing, other = FakeServer("closing", served), FakeServer("other", hung)
         await closing.start()
         await other.start()
-        pool = upstream.EndpointPool(1.0, 60.0, 2)
+        pool = EndpointPool(1.0, 60.0, 2)
         for server in (closing, other):
             pool.update(server.name, server.address, None, ServerState.READY)
         outcomes: list[Outcome] = []
--- a/tests/runtime/test_streams.py
+++ b/tests/runtime/test_streams.py
@@ -17,7 +17,7 @@
 from sidecar_balancer.policy.types import Outcome
 from sidecar_balancer.runtime import streams
 from sidecar_balancer.runtime.streams import MAX_BUFFERED_BODY_BYTES, BodyMemory
-from sidecar_balancer.upstream import connection as upstream
+from sidecar_balancer.upstream import server_connection
 
 LONG = bytes(range(251)) * 4_000  # about 1 MB, so that misplaced pieces show
 HUGE = 24 * 1024 * 1024
@@ -286,7 +286,7 @@
 def test_the_beginning_of_a_slow_answer_of_unknown_length_is_not_kept_back(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(upstream, "_MAX_RESPONSE_BUFFERING_S", 0.05)
+    monkeypatch.setattr(server_connection, "_MAX_RESPONSE_BUFFERING_S", 0.05)
     more = asyncio.Event()
 
     async def script(reader: Reader, writer: Writer) -> None:
@@ -309,7 +309,7 @@
 
 
 def test_a_server_that_stops_within_a_long_answer_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream, "STALL_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(server_connection, "STALL_TIMEOUT_S", 0.05)
 
     async def script(reader: Reader, writer: Writer) -> None:
         await read_head(reader)
--- a/tests/upstream/test_attempts.py
+++ b/tests/upstream/test_attempts.py
@@ -23,16 +23,12 @@
 )
 from sidecar_balancer.policy.events import AttemptEnded
 from sidecar_balancer.policy.types import Outcome, ServerState
-from sidecar_balancer.upstream import connection as upstream
-from sidecar_balancer.upstream.connection import (
-    EndpointPool,
-    Exchange,
-    Response,
-    UpstreamRequest,
-    classify_outcome,
-    connect,
-    parse_load_report,
-)
+from sidecar_balancer.upstream import endpoint_pool
+from sidecar_balancer.upstream.dialing import connect
+from sidecar_balancer.upstream.endpoint_pool import EndpointPool
+from sidecar_balancer.upstream.exchange import Exchange, UpstreamRequest
+from sidecar_balancer.upstream.load_report import parse_load_report
+from sidecar_balancer.upstream.response import Response, classify_outcome
 from virtual import play_on_clock
 
 
@@ -197,7 +193,7 @@
         async with world(served) as w:
             for _ in range(5):
                 assert (await w.ask())[0] == 200
-                await asyncio.sleep(upstream._REUSE_DELAY_S)
+                await asyncio.sleep(endpoint_pool._REUSE_DELAY_S)
             assert len(w.servers[0].writers) == 1
 
     play_on_clock(scene(), monkeypatch)
