--- a/sidecar_balancer/runtime/proxy.py
+++ b/sidecar_balancer/runtime/proxy.py
@@ -14,7 +14,7 @@
 
 import h11
 
-from sidecar_balancer.downstream.frontend import ClientRequest
+from sidecar_balancer.downstream.request import ClientRequest
 from sidecar_balancer.policy.actions import CancelAttempt, Fail, HealthCheck, Reject, SendAttempt
 from sidecar_balancer.policy.events import (
     AttemptEnded,
--- a/sidecar_balancer/runtime/sidecar.py
+++ b/sidecar_balancer/runtime/sidecar.py
@@ -16,7 +16,8 @@
 from sidecar_balancer.config.sidecar import SidecarConfig
 from sidecar_balancer.discovery.client import Discovery
 from sidecar_balancer.discovery.endpoint_list import EndpointList, ListUpdate, parse_list
-from sidecar_balancer.downstream.frontend import Frontend, RequestHandler
+from sidecar_balancer.downstream.frontend import Frontend
+from sidecar_balancer.downstream.request import RequestHandler
 from sidecar_balancer.policy.actions import (
     CloseIdleConnections,
     FetchEndpoints,
--- a/tests/admin/test_operators.py
+++ b/tests/admin/test_operators.py
@@ -12,7 +12,7 @@
 from sidecar_balancer.admin import server as admin
 from sidecar_balancer.admin.overrides import OperatorOverrides
 from sidecar_balancer.downstream import frontend
-from sidecar_balancer.downstream.frontend import ClientConnection
+from sidecar_balancer.downstream.client_connection import ClientConnection
 
 
 def served(*_: object) -> bytes:
--- a/tests/downstream/test_frontend.py
+++ b/tests/downstream/test_frontend.py
@@ -14,8 +14,10 @@
 
 from helpers import settings
 from loopback import PATIENCE_S, answer, ask, is_closed, play, read_answer, request, until, world
-from sidecar_balancer.downstream import frontend
-from sidecar_balancer.downstream.frontend import ClientConnection, Frontend, RequestHandler
+from sidecar_balancer.downstream import client_connection
+from sidecar_balancer.downstream.client_connection import ClientConnection
+from sidecar_balancer.downstream.frontend import Frontend
+from sidecar_balancer.downstream.request import RequestHandler
 from sidecar_balancer.policy import balancer
 from sidecar_balancer.policy.actions import Action, Reject
 from sidecar_balancer.policy.events import ClientDisconnected, Event, RequestReceived
@@ -280,7 +282,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # herd+crowd: each connection accepted at the bound looked at all others, a system call each.
-    monkeypatch.setattr(frontend, "_REQUEST_TIMEOUT_S", 60.0)  # none is given up for its silence meanwhile
+    monkeypatch.setattr(
+        client_connection, "_REQUEST_TIMEOUT_S", 60.0
+    )  # none is given up for its silence meanwhile
     looks, real = 0, sockets.has_no_unread_input
 
     def counted(sock: socket.socket) -> bool:
@@ -294,7 +298,7 @@
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(request())
             assert (await read_answer(reader))[0] == 200
-            monkeypatch.setattr(frontend, "has_no_unread_input", counted)
+            monkeypatch.setattr(client_connection, "has_no_unread_input", counted)
             with contextlib.ExitStack() as clients:
                 for _ in range(flood):
                     clients.enter_context(socket.create_connection(w.sidecar.frontend.address))
@@ -315,7 +319,7 @@
     sent: bytes, used: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Guards the descriptors.  A used connection that sends nothing is at rest, and may stay.
-    monkeypatch.setattr(frontend, "_REQUEST_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(client_connection, "_REQUEST_TIMEOUT_S", 0.2)
 
     async def scene() -> None:
         async with world(served) as w:
@@ -339,7 +343,7 @@
 
 def test_a_client_that_leaves_its_answer_unread_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards the descriptors: its connection would never be at rest.
-    monkeypatch.setattr(frontend, "STALL_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(client_connection, "STALL_TIMEOUT_S", 0.1)
 
     async def scene() -> None:
         async with world(lambda *_: answer(200, bytes(60_000))) as w:
@@ -369,7 +373,7 @@
 
 
 def test_a_held_request_is_not_given_up_as_slow(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontend, "_REQUEST_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(client_connection, "_REQUEST_TIMEOUT_S", 0.05)
 
     async def scene() -> None:
         async with world(lambda *_: None) as w:
--- a/tests/runtime/test_streams.py
+++ b/tests/runtime/test_streams.py
@@ -11,8 +11,8 @@
 import pytest
 
 from loopback import PATIENCE_S, Listening, World, answer, play, request, reset, until, world
-from sidecar_balancer.downstream import frontend
-from sidecar_balancer.downstream.frontend import ClientConnection
+from sidecar_balancer.downstream import client_connection
+from sidecar_balancer.downstream.client_connection import ClientConnection
 from sidecar_balancer.policy.events import AttemptEnded, RequestReceived, ResponseStarted
 from sidecar_balancer.policy.types import Outcome
 from sidecar_balancer.runtime import streams
@@ -490,7 +490,7 @@
 
 
 def test_a_chunked_body_longer_than_any_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontend, "MAX_REQUEST_BODY_BYTES", 500_000)
+    monkeypatch.setattr(client_connection, "MAX_REQUEST_BODY_BYTES", 500_000)
 
     async def scene() -> None:
         async with streaming(served_upload) as (w, _):
