--- a/sidecar_balancer/runtime/sidecar.py
+++ b/sidecar_balancer/runtime/sidecar.py
@@ -14,8 +14,9 @@
 from sidecar_balancer.admin.server import AdminServer
 from sidecar_balancer.admin.views import request_rates_per_s, state_summary
 from sidecar_balancer.config.sidecar import SidecarConfig
-from sidecar_balancer.discovery.client import Discovery
+from sidecar_balancer.discovery.client import DiscoveryClient
 from sidecar_balancer.discovery.endpoint_list import EndpointList, ListUpdate, parse_list
+from sidecar_balancer.discovery.watch_events import WatchEvent
 from sidecar_balancer.downstream.frontend import Frontend
 from sidecar_balancer.downstream.request import RequestHandler
 from sidecar_balancer.policy.actions import (
@@ -45,19 +46,22 @@
 
 _ACCEPT_WHILE_DRAINING_S = 0.5  # after SIGTERM, how long connections are still taken: they come for 0.4 s
 _UNUSED_CONNECTION_GRACE_S = 0.65  # when those just opened are closed too, whose request did not come
-# how much longer than the longest deadline all may last: the platform's kill comes after 0.7
-_DRAIN_MARGIN_S = 0.62
+_DRAIN_MARGIN_S = (
+    0.62  # how much longer than the longest deadline all may last: the platform's kill comes after 0.7
+)
 _FLUSH_TIMEOUT_S = 0.05  # and what the last answers may take from there onto the wire
 _MAX_DRAIN_DEADLINE_S = 3.0  # the platform waits for no longer deadline than this
 _DRAIN_POLL_S = 0.02  # how often a drain looks at what is left
-# beside a process that serves, how long a start waits for the list; it is ready within 6 s
-_TAKEOVER_LIST_TIMEOUT_S = 2.0
+_TAKEOVER_LIST_TIMEOUT_S = (
+    2.0  # beside a process that serves, how long a start waits for the list; it is ready within 6 s
+)
 _OVERRIDES_POLL_INTERVAL_S = 0.1  # how often the orders are read that another process may have taken
 _LAG_CHECK_INTERVAL_S = 0.25  # how often the event loop's lag is looked at
 _LAG_WARNING_S = 0.05  # and from when on it is logged
 _STATE_LOG_INTERVAL_S = 1.0  # how often the log is told how things stand
-# of the time without asking, after which a watch that ended is begun again by itself
-_WATCH_RESTART_RATIO = 2.5
+_WATCH_RESTART_RATIO = (
+    2.5  # of the time without asking, after which a watch that ended is begun again by itself
+)
 _PUSH_RETRY_DELAY_S = 0.5  # before a failed call to the agent that holds pushed lists is made again
 _RESERVED_DESCRIPTORS = 64  # descriptors left for discovery, logs and the runtime
 
@@ -75,10 +79,10 @@
         poll_times = running_poll_times()
         self._endpoint_pool = _create_endpoint_pool(settings, max_connections, body_memory)
         watch_restart_s = _WATCH_RESTART_RATIO * settings.rules.poll_interval_us / 1e6
-        self._discovery = Discovery(
+        self._discovery = DiscoveryClient(
             config.discovery_addresses(),
             config.initial_endpoints.version,
-            self._endpoints_received,
+            self._on_watch_event,
             watch_restart_s,
             poll_times=poll_times,
         )
@@ -102,8 +106,9 @@
         self._is_takeover = config.inherited_listener_fd is not None
         self._known_endpoints = config.initial_endpoints
         self._endpoints_known = asyncio.Event()  # discovery has answered
-        # of the answers, those that the log was told of
-        self._logged_response_counts: Counter[int] = Counter()
+        self._logged_response_counts: Counter[int] = (
+            Counter()
+        )  # of the answers, those that the log was told of
         self._logged_cpu_s = 0.0
         self._link = self._create_membership(config)
         self._keeper = self._create_persister(config)
@@ -128,7 +133,7 @@
         )
         executors: dict[type[Any], Callable[[Any], None]] = {
             CloseIdleConnections: lambda action: self._endpoint_pool.close_idle(action.server),
-            WatchEndpoints: lambda action: self._discovery.follow(action.enabled),
+            WatchEndpoints: lambda action: self._discovery.set_watching(action.enabled),
             FetchEndpoints: lambda _: self._discovery.fetch(),
             PublishServerVerdict: self._publish_server_verdict,
             PublishZoneVerdict: self._publish_zone_verdict,
@@ -162,7 +167,7 @@
         if self._keeper is not None:
             self._timers.every(self._persist_interval_s, self._persist_state)
         if self._settings.discovery is DiscoveryMode.PUSH:
-            self._discovery.follow(True)
+            self._discovery.set_watching(True)
         if self._is_takeover:
             await self._first_of(stop, self._endpoints_known, _TAKEOVER_LIST_TIMEOUT_S)
         if not stop.is_set():
@@ -192,7 +197,7 @@
         """Take over what may change while this runs: where discovery is."""
         sources = config.discovery_addresses()
         log.info("reloaded: discovery at %s", ", ".join("{}:{}".format(*each) for each in sources)[:200])
-        if self._discovery.move(sources):
+        if self._discovery.replace_sources(sources):
             self._engine.handle(EndpointListReceived(ListKind.SOURCE_CHANGED))
 
     async def _drain(self) -> None:
@@ -322,7 +327,7 @@
         if self._keeper is None:
             return
         self._restored = kept = self._keeper.restore()
-        if kept.endpoint_list is None or kept.endpoint_list[0] != self._discovery.place():
+        if kept.endpoint_list is None or kept.endpoint_list[0] != self._discovery.source_key():
             return
         try:
             told = parse_list(kept.endpoint_list[1])
@@ -331,7 +336,7 @@
             return
         if told.version > self._known_endpoints.version and told.entries:
             self._known_endpoints = told
-            self._discovery.begin(told.version)
+            self._discovery.resume_from(told.version)
 
     async def _recall_servers(self, stop: asyncio.Event) -> None:
         """Take up what was kept; with nothing kept, ask the peers, for a bounded time."""
@@ -346,21 +351,24 @@
         assert self._keeper is not None
         plane = self._link.plane if self._link is not None else None
         listed = (
-            (self._discovery.place(), self._endpoint_list.text()) if self._endpoint_list.version else None
+            (self._discovery.source_key(), self._endpoint_list.to_json())
+            if self._endpoint_list.version
+            else None
         )
         self._keeper.persist(self._engine.balancer, self._engine.clock.now(), plane, listed)
 
     # -- The list of servers -------------------------------------------------------------------------------
 
-    def _endpoints_received(self, told: ListUpdate | None, silent: bool = False) -> None:
-        if told is not None:
+    def _on_watch_event(self, event: WatchEvent) -> None:
+        if isinstance(event, ListUpdate):
             self._endpoints_known.set()
-            self._apply_endpoint_list(ListKind.SNAPSHOT if told.complete else ListKind.DELTA, told)
+            self._apply_endpoint_list(ListKind.SNAPSHOT if event.complete else ListKind.DELTA, event)
             return
-        self._engine.handle(EndpointListReceived(ListKind.TIMED_OUT if silent else ListKind.FAILED))
+        kind = ListKind.TIMED_OUT if event.timed_out else ListKind.FAILED
+        self._engine.handle(EndpointListReceived(kind))
         if self._settings.discovery is DiscoveryMode.PUSH:
-            wait_s = 0.0 if silent else _PUSH_RETRY_DELAY_S  # silence took its time already
-            self._timers.later(wait_s, self._discovery.follow, True)
+            wait_s = 0.0 if event.timed_out else _PUSH_RETRY_DELAY_S  # silence took its time already
+            self._timers.later(wait_s, self._discovery.set_watching, True)
 
     def _apply_endpoint_list(self, kind: ListKind, told: ListUpdate) -> None:
         """Note the addresses first: the balancer may send on hearing of a server.
