--- a/sidecar_balancer/runtime/errors.py
+++ b/sidecar_balancer/runtime/errors.py
@@ -4,8 +4,13 @@
 
 
 class RequestError(Exception):
-    """What can't be taken; the status tells why."""
+    """A request that is rejected.
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    Attributes:
+        status: The HTTP status of the response.
+    """
+
+    def __init__(self, status: int, reason: str) -> None:
+        """Reject with this status, for a reason that the client may read."""
+        super().__init__(reason)
         self.status = status
--- a/sidecar_balancer/runtime/headers.py
+++ b/sidecar_balancer/runtime/headers.py
@@ -1,4 +1,4 @@
-"""HTTP headers as lists of name and value, and which of them a proxy forwards."""
+"""HTTP headers as lists of names and values, and which of them a proxy forwards."""
 
 from __future__ import annotations
 
@@ -12,5 +12,10 @@
 
 
 def end_to_end_headers(headers: Iterable[tuple[bytes, bytes]], *dropped: bytes) -> Headers:
-    """What may be passed on: no header that belongs to one connection, nor those named."""
-    return [(n, v) for n, v in headers if n not in _HOP_BY_HOP and n not in dropped]
+    """Return the headers to forward: without those of one connection and without those named."""
+    return [(name, value) for name, value in headers if name not in _HOP_BY_HOP and name not in dropped]
+
+
+def content_length(headers: Iterable[tuple[bytes, bytes]]) -> int | None:
+    """Return the length of the body in bytes; None where the headers do not announce it."""
+    return next((int(value) for name, value in headers if name == b"content-length"), None)
--- a/sidecar_balancer/runtime/streams.py
+++ b/sidecar_balancer/runtime/streams.py
@@ -1,7 +1,7 @@
-"""Long bodies, passed on as they come: how much of them is held, and how they are read.
+"""Streaming of long bodies within a bounded memory, and the parsing that both sides of the proxy share.
 
-Whoever writes faster than the other side reads is not read for a while; so each stream holds a few pieces at
-most, and a piece is the smaller the more streams there are.
+A peer that sends faster than the other side reads is not read for a while.  So each stream buffers a few
+reads at most, and a read is smaller the more streams there are.
 """
 
 from __future__ import annotations
@@ -10,77 +10,119 @@
 from collections.abc import Callable
 from typing import Protocol
 
-MAX_BUFFERED_BODY_BYTES = (
-    64 * 1024
-)  # up to this a body is held whole, so that it can be sent or asked for again
-MAX_REQUEST_BODY_BYTES = 32 * 1024 * 1024  # of a request's body
-MAX_EVENTS_PER_TURN = 200  # parsed in one step of the event loop: a piece may hold thousands of tiny chunks
-STALL_TIMEOUT_S = (
-    10.0  # a peer that moves nothing of a body for so long is given up; slow ones pause for seconds
-)
+MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a body up to this size is buffered, so that its request can be retried
+MAX_REQUEST_BODY_BYTES = 32 * 1024 * 1024
+MAX_EVENTS_PER_TURN = 200  # one read may contain thousands of tiny chunks
+STALL_TIMEOUT_S = 10.0  # slow peers pause for seconds
 _MAX_READ_BYTES = 64 * 1024
 _MIN_READ_BYTES = 4 * 1024
-_BUFFERS_PER_STREAM = (
-    4  # one read, one parsed, one waiting to be written, and one for the copies between them
-)
-_BODY_MEMORY_RATIO = 0.125  # of the memory limit may go into streams, and as much into bodies held whole
-_DEFAULT_MEMORY_MB = 64  # unless the configuration tells
+_BUFFERS_PER_STREAM = 4  # one read, one parsed, one waiting to be written, and copies between them
+_BODY_MEMORY_RATIO = 0.125  # of the memory limit for streams, and as much for buffered bodies
+_DEFAULT_MEMORY_MB = 64
 
 
 class BodyMemory:
-    """The memory that the bodies of one sidecar may take."""
+    """The memory that the bodies of one sidecar may take.
+
+    Attributes:
+        active_streams: Long bodies that are being streamed.
+        buffered_bytes: Bytes of bodies that are buffered.
+    """
 
     def __init__(self, memory_mb: int = _DEFAULT_MEMORY_MB) -> None:
-        self._bytes = int(memory_mb * 1024 * 1024 * _BODY_MEMORY_RATIO)
-        self._view = memoryview(bytearray(_MAX_READ_BYTES))  # all connections are read into it, one at a time
-        self.active_streams = 0  # long bodies under way
-        self.buffered_bytes = 0  # bytes of bodies that are held whole
+        """Divide a memory limit in MiB."""
+        self._max_bytes = int(memory_mb * 1024 * 1024 * _BODY_MEMORY_RATIO)
+        self._read_view = memoryview(bytearray(_MAX_READ_BYTES))  # shared: one connection is read at a time
+        self.active_streams = 0
+        self.buffered_bytes = 0
 
     def read_size(self) -> int:
-        """How much may be read from one peer at a time."""
-        return max(
-            _MIN_READ_BYTES,
-            min(_MAX_READ_BYTES, self._bytes // (_BUFFERS_PER_STREAM * max(self.active_streams, 1))),
-        )
+        """Return how many bytes may be read from one peer at a time."""
+        fair_share = self._max_bytes // (_BUFFERS_PER_STREAM * max(self.active_streams, 1))
+        return max(_MIN_READ_BYTES, min(_MAX_READ_BYTES, fair_share))
 
     def read_buffer(self) -> memoryview:
-        return self._view[: self.read_size()]
+        """Return the buffer for the next read; its content is valid until the next one."""
+        return self._read_view[: self.read_size()]
 
     def may_buffer(self, size: int) -> bool:
-        """Whether a body that has come to this size may still be held whole."""
-        return size <= MAX_BUFFERED_BODY_BYTES and self.buffered_bytes <= self._bytes
+        """Return whether a body that has grown to this size may stay buffered."""
+        return size <= MAX_BUFFERED_BODY_BYTES and self.buffered_bytes <= self._max_bytes
 
 
 class BufferedReceiver(asyncio.BufferedProtocol):
-    """A connection that is read piece by piece, within the budget."""
+    """A connection that is read and parsed in bounded steps, with its body in the shared memory."""
 
     def __init__(self, body_memory: BodyMemory) -> None:
+        """Count the bodies of this connection in `body_memory`."""
         self.body_memory = body_memory
+        self._transport: asyncio.Transport | None = None
+        self._body = bytearray()  # of the message that is being received
+        self._parse_scheduled = False  # more events are parsed in the next turn
 
-    def get_buffer(self, sizehint: int) -> memoryview:
+    def get_buffer(self, _sizehint: int) -> memoryview:
+        """Return where asyncio writes the next bytes."""
         return self.body_memory.read_buffer()
 
     def buffer_updated(self, nbytes: int) -> None:
+        """Take the bytes that asyncio has written."""
         self.data_received(bytes(self.body_memory.read_buffer()[:nbytes]))
 
     def data_received(self, data: bytes) -> None:
+        """Handle input."""
+        raise NotImplementedError
+
+    def _handle_next_event(self) -> bool:
+        """Handle one event of the parser; return whether more may follow."""
+        raise NotImplementedError
+
+    def _continue_parsing(self) -> None:
+        """Go on in the turn after one that reached its bound."""
+        raise NotImplementedError
+
+    def _update_reading(self) -> None:
+        """Pause or resume reading as the state demands."""
         raise NotImplementedError
 
+    def _handle_events(self) -> None:
+        """Handle a bounded number of the parser's events in this turn of the event loop."""
+        for _ in range(MAX_EVENTS_PER_TURN):
+            if not self._handle_next_event():
+                return
+        self._parse_scheduled = True
+        self._update_reading()
+        asyncio.get_running_loop().call_soon(self._continue_parsing)
+
+    def _buffer_body(self, data: bytes | bytearray) -> None:
+        self._body += data
+        self.body_memory.buffered_bytes += len(data)
+
+    def _release_body(self) -> None:
+        self.body_memory.buffered_bytes -= len(self._body)
+        self._body = bytearray()
+
 
 class ResponseSource(Protocol):
-    """Where a long answer comes from."""
+    """The connection that a streamed response is read from."""
+
+    def pause(self) -> None:
+        """Stop reading: the sink is full."""
 
-    def pause(self) -> None: ...
-    def resume(self) -> None: ...
+    def resume(self) -> None:
+        """Read on."""
 
 
 class ResponseSink(Protocol):
-    """Where a long answer goes."""
+    """The connection that a streamed response is written to."""
+
+    def write_body(self, data: bytes) -> None:
+        """Write a part of the body."""
+
+    def end_response(self) -> None:
+        """End the complete response."""
 
-    def write_body(self, data: bytes) -> None: ...
-    def end_response(self) -> None: ...
     def abort_response(self) -> None:
-        """It can't be finished, and the client must be able to tell."""
+        """End a response that can't be completed, in a way that the client can tell."""
 
 
 def _ignore() -> None:
@@ -88,29 +130,40 @@
 
 
 class Upload:
-    """A request's body on its way to a server; what has been taken from it is gone."""
+    """A request's body on its way to a server; what has been read from it is gone.
+
+    Attributes:
+        length: The length in bytes; None where the client has not announced it.
+        consumed: Whether something was read, so that the request can't be retried.
+        is_complete: Whether the last byte was fed.
+        on_data: Called when there is more to read or the body is complete.
+    """
 
     def __init__(self, length: int | None, on_drained: Callable[[], None]) -> None:
-        self.length = length  # None: not told beforehand
-        self.consumed = False  # something was taken: the body is not whole any more
+        """Call `on_drained` each time that the buffer was emptied."""
+        self.length = length
+        self.consumed = False
         self.is_complete = False
         self.on_data: Callable[[], None] = _ignore
         self._on_drained = on_drained
         self._buffer = bytearray()
 
     def is_full(self) -> bool:
+        """Return whether the client must not be read for now."""
         return len(self._buffer) > MAX_BUFFERED_BODY_BYTES
 
     def feed(self, data: bytes | bytearray) -> None:
+        """Append received bytes."""
         self._buffer += data
         self.on_data()
 
     def end(self) -> None:
+        """Mark the body as complete."""
         self.is_complete = True
         self.on_data()
 
     def read(self) -> bytes:
-        """What has come and was not taken yet."""
+        """Return and remove all that is buffered."""
         data = bytes(self._buffer)
         self._buffer.clear()
         if data:
@@ -119,6 +172,6 @@
         return data
 
     def discard(self) -> None:
-        """Nobody wants the rest."""
+        """Drop what is buffered: nobody reads the rest."""
         self._buffer.clear()
         self.on_data = _ignore
--- a/sidecar_balancer/upstream/dialing.py
+++ b/sidecar_balancer/upstream/dialing.py
@@ -14,15 +14,25 @@
 async def connect(
     address: Address, max_body_bytes: int, body_memory: BodyMemory | None = None
 ) -> ServerConnection:
-    """Dial; raise OSError where no connection comes up."""
+    """Open a connection.
+
+    Args:
+        address: Where the server listens.
+        max_body_bytes: The longest response body to buffer.
+        body_memory: The memory that bodies count in; by default one of this connection alone.
+
+    Raises:
+        OSError: If no connection comes up.
+        ValueError: If the host can't be a name.
+    """
     loop = asyncio.get_running_loop()
     sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         await loop.sock_connect(sock, address)
-        made = partial(ServerConnection, sock, max_body_bytes, body_memory or BodyMemory())
-        _, connection = await loop.create_connection(made, sock=sock)
+        factory = partial(ServerConnection, sock, max_body_bytes, body_memory or BodyMemory())
+        _, connection = await loop.create_connection(factory, sock=sock)
     except BaseException:
         sock.close()
         raise
--- a/sidecar_balancer/upstream/exchange.py
+++ b/sidecar_balancer/upstream/exchange.py
@@ -14,45 +14,72 @@
 from sidecar_balancer.upstream.response import Response
 from sidecar_balancer.upstream.server_connection import ServerConnection, StartStreaming
 
+_ABORTING_OUTCOMES = (Outcome.TIMED_OUT, Outcome.CANCELLED, Outcome.CONNECT_FAILED, Outcome.UNSENT)
+
+OnOutcome = Callable[[Outcome, Response | None], None]
+"""Receives the outcome of an exchange, once, with its response where there is one."""
+
 
 @dataclass(slots=True, eq=False)
 class PooledEndpoint:
-    """Where a server listens now, and the connections to it that carry nothing."""
+    """Where a server listens, and the connections to it that are idle or being dialed.
+
+    Attributes:
+        name: The server's name.
+        address: Where it listens now.
+        started_at: When its process started, as the endpoint list says.
+        state: Its state in the endpoint list.
+        generation: Number of its process and address: connections of earlier ones are not reused.
+        idle: Idle connections, the longest idle first, each with the timer that closes it.
+        dialing: Exchanges that wait for their connection.
+    """
 
     name: str
     address: Address
     started_at: int | None
     state: ServerState
-    generation: int = 0  # of its process: older connections are not used again
-    idle: dict[ServerConnection, asyncio.TimerHandle] = field(
-        default_factory=dict
-    )  # the longest at rest first
+    generation: int = 0
+    idle: dict[ServerConnection, asyncio.TimerHandle] = field(default_factory=dict)
     dialing: set[Exchange] = field(default_factory=set)
 
     def remove_idle(self, connection: ServerConnection) -> None:
-        """Take a connection out of those at rest, with the timer that would close it; once is enough."""
+        """Remove an idle connection and its timer; a second call has no effect."""
         if (timer := self.idle.pop(connection, None)) is not None:
             timer.cancel()
 
 
 @dataclass(slots=True)
 class UpstreamRequest:
-    """A request to a server; its head is made when it is written, since it tells the time left."""
+    """A request to a server.
+
+    Attributes:
+        head: Makes the head from the seconds that remain when it is written.
+        body: The body, where it is buffered.
+        upload: The body, where it is streamed.
+        start_streaming: Returns the sink of a long response.
+        check_client: Cancels the exchange if its client has left, which may be unnoticed after a dial.
+    """
 
     head: Callable[[float], h11.Request]
     body: bytes = b""
-    upload: Upload | None = None  # in place of the body, where that is long
+    upload: Upload | None = None
     start_streaming: StartStreaming | None = None
-    check_client: Callable[[], None] = lambda: (
-        None
-    )  # whether it is still wanted; if not, this ends its exchange
-
-
-OnOutcome = Callable[[Outcome, Response | None], None]
+    check_client: Callable[[], None] | None = None
 
 
 class Exchange:
-    """One attempt or probe, from the dial to its one outcome."""
+    """One attempt or health check, from the dial to its one outcome.
+
+    Attributes:
+        endpoint: The server that it is sent to.
+        generation: The endpoint's generation when it began.
+        request: What is sent.
+        deadline: When it is given up, on the event loop's clock.
+        on_outcome: Receives the outcome; None once it has.
+        connection: The connection that carries the request, once there is one.
+        dial_task: The dial, where no idle connection was there.
+        timers: What ends it at its deadlines.
+    """
 
     def __init__(
         self, endpoint: PooledEndpoint, request: UpstreamRequest, deadline: float, on_outcome: OnOutcome
@@ -60,23 +87,23 @@
         self.endpoint = endpoint
         self.generation = endpoint.generation
         self.request = request
-        self.deadline = deadline  # on the event loop's clock
+        self.deadline = deadline
         self.on_outcome: OnOutcome | None = on_outcome
         self.connection: ServerConnection | None = None
         self.dial_task: asyncio.Task[None] | None = None
         self.timers: list[asyncio.TimerHandle] = []
 
     def end(self, outcome: Outcome, response: Response | None = None) -> None:
-        """Tell the outcome, once; what comes later is nobody's."""
+        """Report the outcome; a second call has no effect."""
         on_outcome, self.on_outcome = self.on_outcome, None
         if on_outcome is None:
             return
         for timer in self.timers:
             timer.cancel()
         self.endpoint.dialing.discard(self)
-        if outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED, Outcome.CONNECT_FAILED, Outcome.UNSENT):
+        if outcome in _ABORTING_OUTCOMES:
             if self.connection is not None:
-                self.connection.abort()  # this is how an attempt is given up
+                self.connection.abort()
             if self.dial_task is not None:
                 self.dial_task.cancel()
         on_outcome(outcome, response)
--- a/sidecar_balancer/upstream/load_report.py
+++ b/sidecar_balancer/upstream/load_report.py
@@ -11,36 +11,56 @@
 
 
 def parse_load_report(text: str | None, columns: Collection[str]) -> dict[str, float] | None:
-    """Read a load report's text form; what is junk or not named by the settings is passed over."""
+    """Read a load report in text form.
+
+    Args:
+        text: `TEXT name=value, ...`; None where the response has no report.
+        columns: The names to read; others are ignored.
+
+    Returns:
+        The finite values by name; None where there are none.
+    """
     if text is None or not columns:
         return None
-    form, _, rest = text.strip().partition(" ")
+    form, _, entries = text.strip().partition(" ")
     if form.upper() != "TEXT":
-        log.warning("load report skipped: %.80r", text)
+        _log_invalid_report(text)
         return None
     report = {}
-    for entry in rest.split(","):
+    for entry in entries.split(","):
         name, _, number = entry.partition("=")
         try:
             value = float(number)
         except ValueError:
             value = math.nan
         if not math.isfinite(value):
-            log.warning("load figure skipped: %.80r", entry)
+            log.warning(
+                "load report value skipped: %.80r", entry, extra={"event": "load_report_value_invalid"}
+            )
         elif name.strip() in columns:
             report[name.strip()] = value
     return report or None
 
 
 def parse_health_report(body: bytes, columns: Collection[str]) -> dict[str, float] | None:
-    """Read the report that a probe's body holds, in either of its forms."""
+    """Read the load report in the body of a health check, as JSON or in text form.
+
+    Returns:
+        The finite values by name; None where there are none.
+    """
     text = body.decode("utf-8", "replace").strip()
     if not text.startswith("{"):
         return parse_load_report(text, columns)
     try:
         document = json.loads(text)
     except ValueError:
-        log.warning("load report skipped: %.80r", text)
+        _log_invalid_report(text)
         return None
-    values = {k: v for k, v in document.items() if k in columns and isinstance(v, int | float)}
-    return {k: float(v) for k, v in values.items() if math.isfinite(v)} or None
+    values = {
+        name: value for name, value in document.items() if name in columns and isinstance(value, int | float)
+    }
+    return {name: float(value) for name, value in values.items() if math.isfinite(value)} or None
+
+
+def _log_invalid_report(text: str) -> None:
+    log.warning("load report skipped: %.80r", text, extra={"event": "load_report_invalid"})
--- a/sidecar_balancer/upstream/response.py
+++ b/sidecar_balancer/upstream/response.py
@@ -1,29 +1,50 @@
-"""A complete response of a server, and the outcome that the end of an exchange proves."""
+"""A server's response, its framing, and the outcome that the end of an exchange proves."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
+import h11
+
 from sidecar_balancer.policy.types import Outcome
 from sidecar_balancer.runtime.headers import Headers
 
 
 @dataclass(slots=True)
 class Response:
-    """A whole answer."""
+    """A complete response; the body is empty where it was streamed."""
 
     status: int
     headers: Headers
     body: bytes
 
     def header(self, name: bytes) -> str | None:
-        return next((v.decode("latin-1") for n, v in self.headers if n == name), None)
+        """Return a header's first value; the name is lower case."""
+        return next((value.decode("latin-1") for key, value in self.headers if key == name), None)
+
+
+def is_framed(head: h11.Response) -> bool:
+    """Return whether the end of the body can be recognized.
+
+    The framing tells it, or the end of the connection where the server announces that.  A response with
+    neither may have lost its framing on the way.
+    """
+    names = {name for name, _ in head.headers}
+    if names & {b"content-length", b"transfer-encoding"} or head.status_code in (204, 304):
+        return True
+    closes = any(name == b"connection" and b"close" in value.lower() for name, value in head.headers)
+    return closes or head.http_version < b"1.1"
 
 
 def classify_outcome(response: Response | None, written: bool, response_began: bool) -> Outcome:
-    """What an ended exchange proves: it never ran only if that is certain.
+    """Return what an ended exchange proves; that the request never ran only where this is certain.
+
+    A response that can't be read is an application error and no lost connection: its server is up.
 
-    An answer that can't be read is an error, not a lost connection: its server is up.
+    Args:
+        response: The complete response; None where the exchange broke.
+        written: Whether the request's last byte has gone to the kernel.
+        response_began: Whether a byte of the response was received.
     """
     if response is None:
         if not written:
--- a/sidecar_balancer/upstream/server_connection.py
+++ b/sidecar_balancer/upstream/server_connection.py
@@ -1,4 +1,7 @@
-"""One connection to a server: HTTP/1.1 requests and responses, each response with one end."""
+"""One connection to a server: each request has one end, and nothing is resent silently.
+
+It is known whether a request's last byte was written.  Only then may the server have begun to execute it.
+"""
 
 from __future__ import annotations
 
@@ -9,9 +12,9 @@
 
 import h11
 
+from sidecar_balancer.runtime.headers import content_length
 from sidecar_balancer.runtime.sockets import has_no_unread_input
 from sidecar_balancer.runtime.streams import (
-    MAX_EVENTS_PER_TURN,
     STALL_TIMEOUT_S,
     BodyMemory,
     BufferedReceiver,
@@ -19,61 +22,69 @@
     ResponseSource,
     Upload,
 )
-from sidecar_balancer.upstream.response import Response
+from sidecar_balancer.upstream.response import Response, is_framed
 
 log = logging.getLogger(__name__)
 
-# How long the beginning of an answer is kept back whose length is not told: it may be a long one.
-_MAX_RESPONSE_BUFFERING_S = 0.1
+_MAX_RESPONSE_BUFFERING_S = 0.1  # a response of unknown length that takes longer is streamed
 
 StartStreaming = Callable[[h11.Response, int | None, ResponseSource], ResponseSink | None]
-"""Tells where a long answer of this head and length goes; None: nobody wants it any more."""
+"""Returns the sink of a long response with this head and length; None where nobody waits for it any more."""
 
 
 class ServerConnection(BufferedReceiver):
-    """One connection to a server; it carries one request at a time."""
+    """One connection to a server, which carries one request at a time.
+
+    Attributes:
+        sock: The connection's socket.
+        reusable: Whether the connection may carry another request after the one in flight.
+        idle_since: When the last response ended, on the event loop's clock.
+        response_began: Whether a byte of the response was received: the process is up.
+        on_closed: Called once when the connection is closed, whoever closed it.
+    """
 
     def __init__(self, sock: socket.socket, max_body_bytes: int, body_memory: BodyMemory) -> None:
+        """Wrap a connected socket; longer response bodies than `max_body_bytes` are streamed or fail."""
         super().__init__(body_memory)
         self.sock = sock
         self.reusable = True
-        self.idle_since = 0.0  # when its last answer ended, on the event loop's clock
+        self.idle_since = 0.0
+        self.response_began = False
+        self.on_closed: Callable[[], None] | None = None
         self._max_body_bytes = max_body_bytes
         self._h11 = h11.Connection(h11.CLIENT)
-        self._transport: asyncio.Transport | None = None
         self._on_response: Callable[[Response | None], None] | None = None
         self._written = False
-        self._request_count = 0  # requests, the one under way included
+        self._write_buffer_full = False  # not all that was written has gone to the kernel
+        self._request_count = 0  # the request in flight included
         self._request_sent_at = 0.0  # on the event loop's clock
-        self.response_began = False  # whether a byte of the answer has come: the process is there
+        self._upload: Upload | None = None  # the rest of a long request body
         self._response_head: h11.Response | None = None
-        self._body = bytearray()
-        self._upload: Upload | None = None  # what is still to be written of a long request
-        self._write_buffer_full = False  # what was written last is not all with the kernel
         self._start_streaming: StartStreaming | None = None
-        self._sink: ResponseSink | None = None  # where the answer under way goes on to
-        self._unforwarded = bytearray()  # of it, what this step of the event loop has found
-        self._sink_paused = False  # the sink takes no more for now
-        self._parse_scheduled = False  # h11 holds more than one step may parse
+        self._sink: ResponseSink | None = None  # set while a response is streamed
+        self._unforwarded = bytearray()  # of the streamed response, parsed in this turn of the event loop
+        self._sink_paused = False
         self._buffering_timer: asyncio.TimerHandle | None = None
         self._stall_timer: asyncio.TimerHandle | None = None
-        self._progress = 0  # bytes in and out, so that a stall is told from slowness
-        self.on_closed: Callable[[], None] = lambda: None
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        assert isinstance(transport, asyncio.Transport)
-        self._transport = transport
-        transport.set_write_buffer_limits(high=0)  # so that an emptied buffer is told of
+        self._progress = 0  # grows with each byte in or out
 
     @property
     def written(self) -> bool:
         """Whether the request's last byte has gone to the kernel."""
         return self._written
 
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take the transport."""
+        assert isinstance(transport, asyncio.Transport)
+        self._transport = transport
+        transport.set_write_buffer_limits(high=0)  # resume_writing then means: all is with the kernel
+
     def is_idle(self) -> bool:
-        """Whether it may carry another request: guards against EOF or bytes that nobody has read yet."""
-        open_ = self._transport is not None and not self._transport.is_closing()
-        return open_ and self.reusable and self._on_response is None and has_no_unread_input(self.sock)
+        """Return whether another request may be sent: no end or stray byte waits unread either."""
+        is_open = self._transport is not None and not self._transport.is_closing()
+        return is_open and self.reusable and self._on_response is None and has_no_unread_input(self.sock)
+
+    # -- Writing the request
 
     def request(
         self,
@@ -81,20 +92,25 @@
         body: bytes,
         on_response: Callable[[Response | None], None],
         upload: Upload | None = None,
-        starts: StartStreaming | None = None,
+        start_streaming: StartStreaming | None = None,
     ) -> None:
-        """Write a request; `ended` is called once, with the whole answer or with None if it broke.
-
-        An answer too long to be held goes where `starts` says; its `Response` then has no body.
+        """Write a request.
+
+        Args:
+            head: The request's head.
+            body: The body, where it is buffered.
+            on_response: Called once, with the complete response or with None if the exchange broke.
+            upload: The body in place of `body`, where it is streamed.
+            start_streaming: Where a response goes that is too long to be buffered; it is complete without its
+                body then.  None: such a response fails.
+
+        Raises:
+            h11.LocalProtocolError: If the request is no valid HTTP; no byte was written.
         """
         assert self._transport is not None
         data = self._h11.send(head) or b""
-        self._on_response, self._written, self.response_began, self._start_streaming = (
-            on_response,
-            False,
-            False,
-            starts,
-        )
+        self._on_response, self._start_streaming = on_response, start_streaming
+        self._written = self.response_began = False
         self._request_count += 1
         self._request_sent_at = asyncio.get_running_loop().time()
         if upload is not None:
@@ -115,7 +131,7 @@
         self._written = not self._transport.is_closing() and not self._transport.get_write_buffer_size()
 
     def _write_upload(self) -> None:
-        """Write what has come of a long body, while the server reads it."""
+        """Write what has come of a streamed body, while the server reads it."""
         while self._upload is not None and not self._write_buffer_full and self._transport is not None:
             if self._transport.is_closing():
                 return
@@ -135,9 +151,11 @@
             upload.discard()
 
     def pause_writing(self) -> None:
+        """Wait for the server to read."""
         self._write_buffer_full = True
 
     def resume_writing(self) -> None:
+        """Note that all that was written has gone to the kernel."""
         self._write_buffer_full = False
         self._progress += 1
         if self._upload is not None:
@@ -145,15 +163,19 @@
         else:
             self._written = self._on_response is not None
 
+    # -- Reading the response
+
     def data_received(self, data: bytes) -> None:
+        """Parse input; stray bytes end the connection, as nobody knows which request they answer."""
         if self._on_response is None:
-            self.abort()  # stray bytes: what they answer is anyone's guess
+            self.abort()
             return
         self.response_began = True
         self._progress += len(data)
         self._feed_parser(data)
 
     def eof_received(self) -> bool:
+        """End a response that the connection's end delimits; the transport closes itself."""
         if self._on_response is not None:
             self._feed_parser(b"")
         return False
@@ -161,25 +183,18 @@
     def _feed_parser(self, data: bytes) -> None:
         try:
             self._h11.receive_data(data)
-        except h11.RemoteProtocolError as broken:
-            self._fail_parsing(broken, data)
+        except h11.RemoteProtocolError as error:
+            self._fail_parsing(error, data)
         else:
             self._parse(data)
 
     def _parse(self, data: bytes = b"") -> None:
-        """Take the events of what has come, a bounded number in a step of the event loop."""
         try:
-            for _ in range(MAX_EVENTS_PER_TURN):
-                if not self._handle_next_event():
-                    break
-            else:
-                self._parse_scheduled = True
-                self._update_reading()
-                asyncio.get_running_loop().call_soon(self._continue_parsing)
+            self._handle_events()
             self._flush_to_sink()
-        except h11.RemoteProtocolError as broken:
+        except h11.RemoteProtocolError as error:
             self._flush_to_sink()
-            self._fail_parsing(broken, data)
+            self._fail_parsing(error, data)
 
     def _continue_parsing(self) -> None:
         self._parse_scheduled = False
@@ -187,67 +202,72 @@
             self._parse()
             self._update_reading()
 
-    def _fail_parsing(self, broken: Exception, data: bytes) -> None:
-        log.info("answer cut short or malformed: %.80s; it began %.60r", broken, data)
+    def _fail_parsing(self, error: Exception, data: bytes) -> None:
+        extra = {"event": "response_malformed"}
+        log.info("response cut short or malformed: %.80s; it began %.60r", error, data, extra=extra)
         self._finish(None)
 
     def _handle_next_event(self) -> bool:
         event = self._h11.next_event()
         if isinstance(event, h11.Response):
-            self._response_head = event
-            if event.status_code == 200 and not self._written:
-                log.info("answered before the request was whole")  # nobody asked this yet
-                self._finish(None)
-                return False
-            if not self._is_framed(event):
-                log.info("answer without framing")
-                self._finish(None)
-                return False
-            length = self._content_length(event)
-            if length is not None and length > self._max_body_bytes:
-                return self._begin_streaming(length)
-        elif isinstance(event, h11.Data):
-            if self._sink is not None:
-                self._unforwarded += event.data
-                return True
-            if (
-                not self._body
-                and self._start_streaming is not None
-                and self._content_length(self._response_head) is None
-            ):
-                loop = asyncio.get_running_loop()
-                self._buffering_timer = loop.call_later(_MAX_RESPONSE_BUFFERING_S, self._stop_buffering)
-            self._body += event.data
-            self.body_memory.buffered_bytes += len(event.data)
-            if len(self._body) > self._max_body_bytes or (
-                self._start_streaming is not None and not self.body_memory.may_buffer(len(self._body))
-            ):
-                return self._begin_streaming(self._content_length(self._response_head))
-        elif isinstance(event, h11.EndOfMessage):
-            self._finish(self._response())
+            return self._handle_head(event)
+        if isinstance(event, h11.Data):
+            return self._handle_body(event.data)
+        if isinstance(event, h11.EndOfMessage):
+            self._finish(self._buffered_response())
             return False
         return not isinstance(event, h11.ConnectionClosed | type(h11.NEED_DATA))
 
-    @staticmethod
-    def _content_length(head: h11.Response | None) -> int | None:
-        """How long the answer's body is, where its head tells."""
-        headers = [] if head is None else head.headers
-        return next((int(value) for name, value in headers if name == b"content-length"), None)
+    def _handle_head(self, head: h11.Response) -> bool:
+        self._response_head = head
+        if head.status_code == 200 and not self._written:
+            extra = {"event": "response_before_request_end"}  # it can't answer this request
+            log.info("response before the request was complete", extra=extra)
+            self._finish(None)
+            return False
+        if not is_framed(head):
+            log.info("response without framing", extra={"event": "response_without_framing"})
+            self._finish(None)
+            return False
+        length = content_length(head.headers)
+        if length is not None and length > self._max_body_bytes:
+            return self._begin_streaming(length)
+        return True
+
+    def _handle_body(self, data: bytes | bytearray) -> bool:
+        if self._sink is not None:
+            self._unforwarded += data
+            return True
+        if not self._body and self._start_streaming is not None and self._announced_length() is None:
+            loop = asyncio.get_running_loop()
+            self._buffering_timer = loop.call_later(_MAX_RESPONSE_BUFFERING_S, self._stream_slow_response)
+        self._buffer_body(data)
+        if len(self._body) > self._max_body_bytes or (
+            self._start_streaming is not None and not self.body_memory.may_buffer(len(self._body))
+        ):
+            return self._begin_streaming(self._announced_length())
+        return True
+
+    def _announced_length(self) -> int | None:
+        return None if self._response_head is None else content_length(self._response_head.headers)
 
-    def _stop_buffering(self) -> None:
-        """A body of unknown length comes slowly: it may be a long one, whose beginning is not kept back."""
+    def _buffered_response(self) -> Response | None:
+        head = self._response_head
+        return None if head is None else Response(head.status_code, list(head.headers), bytes(self._body))
+
+    # -- Streaming the response
+
+    def _stream_slow_response(self) -> None:
+        """Stream a response of unknown length that comes slowly, so that its beginning is not delayed."""
         if self._on_response is not None and self._sink is None and self._body:
             self._begin_streaming(None)
             self._flush_to_sink()
 
     def _begin_streaming(self, length: int | None) -> bool:
-        """Pass a long answer on as it comes; say whether to read on."""
+        """Stream a long response to its sink; return whether to parse on."""
         head = self._response_head
         if head is None or head.status_code != 200 or self._start_streaming is None:
-            log.info("answer of more than %d bytes", self._max_body_bytes)
-            # Of an answer that is no success, the head tells all there is to know.
-            no_success = head is not None and head.status_code != 200 and self._start_streaming is not None
-            self._finish(Response(head.status_code, list(head.headers), b"") if head and no_success else None)
+            self._finish_too_long(head)
             return False
         self._sink = self._start_streaming(head, length, self)
         if self._sink is None:
@@ -255,13 +275,21 @@
             return False
         self.body_memory.active_streams += 1
         self._unforwarded += self._body
-        self._release_body()
+        self._stop_buffering()
         self._check_progress()
         return True
 
-    def _release_body(self) -> None:
-        self.body_memory.buffered_bytes -= len(self._body)
-        self._body = bytearray()
+    def _finish_too_long(self, head: h11.Response | None) -> None:
+        extra = {"event": "response_too_large"}
+        log.info("response of more than %d bytes", self._max_body_bytes, extra=extra)
+        if head is not None and head.status_code != 200 and self._start_streaming is not None:
+            # Of an error response, the head alone is of use.
+            self._finish(Response(head.status_code, list(head.headers), b""))
+        else:
+            self._finish(None)
+
+    def _stop_buffering(self) -> None:
+        self._release_body()
         if self._buffering_timer is not None:
             self._buffering_timer.cancel()
             self._buffering_timer = None
@@ -272,10 +300,12 @@
             self._sink.write_body(data)
 
     def pause(self) -> None:
+        """Stop reading: the client reads too slowly."""
         self._sink_paused = True
         self._update_reading()
 
     def resume(self) -> None:
+        """Read on, for a client that has caught up or has left."""
         self._sink_paused = False
         self._progress += 1
         self._update_reading()
@@ -288,42 +318,29 @@
                 self._transport.resume_reading()
 
     def _check_progress(self, last_progress: int | None = None) -> None:
-        """Give up a server that moves nothing of a long body; that its client is slow is no fault of it."""
+        """Give up a server that stalls within a long body; a slow client is no fault of the server."""
         if self._upload is None and self._sink is None:
             self._stall_timer = None
             return
-        is_waiting = self._write_buffer_full if self._upload is not None else not self._sink_paused
+        awaits_server = self._write_buffer_full if self._upload is not None else not self._sink_paused
         unsent_bytes = self._transport.get_write_buffer_size() if self._transport is not None else 0
         progress = self._progress - unsent_bytes
-        if is_waiting and progress == last_progress:
-            log.info("nothing of a long body moved for %.0f s", STALL_TIMEOUT_S)
+        if awaits_server and progress == last_progress:
+            extra = {"event": "body_stalled"}
+            log.info("no progress of a long body for %.0f s", STALL_TIMEOUT_S, extra=extra)
             self._finish(None)
             return
         if self._stall_timer is not None:
             self._stall_timer.cancel()
         self._stall_timer = asyncio.get_running_loop().call_later(
-            STALL_TIMEOUT_S, self._check_progress, progress if is_waiting else None
+            STALL_TIMEOUT_S, self._check_progress, progress if awaits_server else None
         )
 
-    @staticmethod
-    def _is_framed(head: h11.Response) -> bool:
-        """Whether the end of the body can be told: by its framing, or where the server says so, by the end.
-
-        An answer that lacks both may have lost its framing on the way.
-        """
-        names = {name for name, _ in head.headers}
-        if names & {b"content-length", b"transfer-encoding"} or head.status_code in (204, 304):
-            return True
-        closes = any(n == b"connection" and b"close" in v.lower() for n, v in head.headers)
-        return closes or head.http_version < b"1.1"
-
-    def _response(self) -> Response | None:
-        head = self._response_head
-        return None if head is None else Response(head.status_code, list(head.headers), bytes(self._body))
+    # -- The end of an exchange and of the connection
 
     def _finish(self, response: Response | None) -> None:
         on_response, self._on_response = self._on_response, None
-        self._end_streams(response is not None)
+        self._end_bodies(response is not None)
         self._response_head = None
         is_done = self._h11.our_state is h11.DONE and self._h11.their_state is h11.DONE
         if response is None or not is_done or not self._written or self._h11.trailing_data[0]:
@@ -333,10 +350,10 @@
         if on_response is not None:
             on_response(response)
 
-    def _end_streams(self, complete: bool) -> None:
-        """Be done with what is held or passed on for the request that was under way."""
+    def _end_bodies(self, complete: bool) -> None:
+        """Release what is buffered or streamed for the request that was in flight."""
         self._discard_upload()
-        self._release_body()
+        self._stop_buffering()
         if self._stall_timer is not None:
             self._stall_timer.cancel()
             self._stall_timer = None
@@ -352,20 +369,26 @@
                 sink.abort_response()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """End the request in flight."""
         on_response, self._on_response = self._on_response, None
         if on_response is not None and self.reusable:
-            elapsed_s = asyncio.get_running_loop().time() - self._request_sent_at
-            message = "connection lost under its request number %d, %.1f ms after it was sent: %s"
-            log.info(message, self._request_count, elapsed_s * 1000, exc or "it ended")
+            log.info(
+                "connection lost under its request number %d, %.1f ms after it was sent: %s",
+                self._request_count,
+                (asyncio.get_running_loop().time() - self._request_sent_at) * 1000,
+                exc or "it ended",
+                extra={"event": "server_connection_lost"},
+            )
         self.reusable = False
-        self._end_streams(False)
+        self._end_bodies(False)
         if on_response is not None:
             on_response(None)
-        self.on_closed()
+        if self.on_closed is not None:
+            self.on_closed()
 
     def abort(self) -> None:
         """Close at once; what is not written yet never will be."""
         self.reusable = False
-        self._end_streams(False)
+        self._end_bodies(False)
         if self._transport is not None:
             self._transport.abort()
