--- a/sidecar_balancer/__main__.py
+++ b/sidecar_balancer/__main__.py
@@ -25,7 +25,7 @@
 from sidecar_balancer.config.wire_names import settings_from_wire
 from sidecar_balancer.discovery.endpoint_list import ListUpdate, parse_list
 from sidecar_balancer.discovery.sources import RelayAddress
-from sidecar_balancer.downstream import client_connection, frontend
+from sidecar_balancer.downstream import acceptor, client_connection
 from sidecar_balancer.observability.logs import LogConfig, LogRateLimiter, configure_logging
 from sidecar_balancer.runtime.queueing import TimedLoop
 from sidecar_balancer.runtime.sidecar import Sidecar
@@ -296,7 +296,7 @@
         return 2
     limiter = configure_logging(config.logging)
     rejected_lines = LogRateLimiter(_REJECTED_LINES, _REJECTED_LINES)
-    for module in (client_connection, frontend):
+    for module in (acceptor, client_connection):
         module.log.addFilter(rejected_lines)
     gc.freeze()  # what is loaded by now stays; collections look at requests alone
     try:
--- /dev/null
+++ b/sidecar_balancer/downstream/acceptor.py
@@ -0,0 +1,136 @@
+"""Accepts connections from the listening socket, a bounded number in each turn of the event loop."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import socket
+from typing import Protocol
+
+from sidecar_balancer.addresses import Address
+from sidecar_balancer.runtime.queueing import BacklogAge, PollTimes
+from sidecar_balancer.runtime.sockets import is_readable
+
+log = logging.getLogger(__name__)
+
+_LISTEN_BACKLOG = 512
+_MAX_ACCEPTS_PER_TURN = 64  # other sockets, the admin server's among them, must have their turn
+_ACCEPT_PAUSE_S = 0.05  # no spinning while descriptors lack
+
+
+class AcceptHandler(Protocol):
+    """Takes accepted connections, within a bound on their number."""
+
+    def is_full(self) -> bool:
+        """Return whether the bound is reached."""
+
+    def ensure_capacity(self) -> bool:
+        """Make room for one more connection; return whether that succeeded."""
+
+    def connection_accepted(self, sock: socket.socket, established_after: float) -> None:
+        """Serve a connection, which came up after that time on the event loop's clock."""
+
+
+class Acceptor:
+    """The listening socket of the clients.
+
+    Attributes:
+        address: Where it listens.
+    """
+
+    def __init__(
+        self, address: Address, listen_fd: int | None, poll_times: PollTimes, handler: AcceptHandler
+    ) -> None:
+        """Listen on an inherited descriptor, or else on an address, and accept nothing yet.
+
+        Raises:
+            OSError: If the address can't be bound, or the descriptor is no listening socket.
+        """
+        if listen_fd is None:
+            self._sock = socket.create_server(address, backlog=_LISTEN_BACKLOG)
+        else:
+            self._sock = _adopt_listening_socket(listen_fd)
+        self._sock.setblocking(False)
+        self.address: Address = self._sock.getsockname()[:2]
+        self._backlog = BacklogAge(_LISTEN_BACKLOG)
+        self._poll_times = poll_times
+        self._handler = handler
+        self._is_accepting = False
+
+    def start(self) -> None:
+        """Accept connections from now on."""
+        if not self._is_accepting and self._sock.fileno() >= 0:
+            self._is_accepting = True
+            asyncio.get_running_loop().add_reader(self._sock, self._accept_waiting)
+
+    def pause(self) -> None:
+        """Leave new connections in the kernel's queue for now."""
+        self._is_accepting = False
+        asyncio.get_running_loop().remove_reader(self._sock)
+
+    def close(self, accept_pending: bool) -> None:
+        """Stop listening; with `accept_pending`, accept first all that waits.
+
+        An inherited socket is closed here and never shut down: other processes may go on with it.
+        """
+        if self._sock.fileno() >= 0:
+            while accept_pending and self._accept_waiting():
+                pass
+            if self._is_accepting:
+                self.pause()
+            self._sock.close()
+
+    def _accept_waiting(self) -> bool:
+        """Accept connections; return whether more may be waiting."""
+        self._sock.setblocking(False)  # the flag is shared with other holders of an inherited socket
+        now, unread_since = asyncio.get_running_loop().time(), self._poll_times.unread_since
+        for _ in range(_MAX_ACCEPTS_PER_TURN):
+            if self._handler.is_full():
+                if not is_readable(self._sock):  # nobody needs room
+                    self._backlog.emptied()
+                    return False
+                if not self._handler.ensure_capacity():
+                    self._pause_for_resources(unread_since, now)
+                    return False
+            try:
+                sock, _ = self._sock.accept()
+            except (BlockingIOError, InterruptedError, ConnectionAbortedError):
+                self._backlog.emptied()
+                return False
+            except OSError as error:
+                _log_failure(error)
+                self._pause_for_resources(unread_since, now)
+                return False
+            self._handler.connection_accepted(sock, self._backlog.oldest(unread_since))
+            self._backlog.accepted(now)
+        self._backlog.left(unread_since, now)
+        return True
+
+    def _pause_for_resources(self, unread_since: float, now: float) -> None:
+        self._backlog.left(unread_since, now)
+        self.pause()
+        asyncio.get_running_loop().call_later(_ACCEPT_PAUSE_S, self.start)
+
+
+def _log_failure(error: OSError) -> None:
+    log.error("accept: %s", error, extra={"event": "accept_failed"})
+
+
+def _adopt_listening_socket(fd: int) -> socket.socket:
+    """Return the listening socket that the platform holds open.
+
+    Raises:
+        OSError: If the descriptor is anything else.
+    """
+    try:
+        sock = socket.socket(fileno=fd)
+    except OSError as error:
+        raise OSError(f"descriptor {fd}, where the clients' listening socket should be: {error}") from None
+    try:
+        is_listening = bool(sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN))
+    except OSError:
+        is_listening = False
+    if not is_listening:
+        sock.detach()  # it is not ours to close
+        raise OSError(f"descriptor {fd} is no listening socket")
+    return sock
--- /dev/null
+++ b/sidecar_balancer/downstream/client_transport.py
@@ -0,0 +1,88 @@
+"""The transport of a client's connection: unsent bytes, stalled readers and the close after a response."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import socket
+
+from sidecar_balancer.runtime.streams import STALL_TIMEOUT_S, BodyMemory, BufferedReceiver
+
+_LINGER_S = 1.0  # after the last byte read
+_MAX_LINGER_S = 30.0  # in all: a long body may still be coming
+
+
+class ClientTransport(BufferedReceiver):
+    """A client's connection below HTTP.
+
+    Closing a socket with unread input resets the connection, and the client may lose the end of its response.
+    So where input may follow, the connection lingers: only its sending side is ended, and input is discarded.
+    """
+
+    def __init__(self, sock: socket.socket, body_memory: BodyMemory) -> None:
+        """Serve an accepted socket."""
+        super().__init__(body_memory)
+        self._sock = sock
+        self._timer: asyncio.TimerHandle | None = None  # the one time limit that applies now
+        self._unsent_bytes = 0  # of the last response, when it was last checked
+        self._linger_deadline: float | None = None  # None: it does not linger
+
+    def close(self) -> None:
+        """Close once all is written."""
+        if self._transport is not None:
+            self._transport.close()
+
+    def abort(self) -> None:
+        """Close at once; what is not written yet never will be."""
+        if self._transport is not None:
+            self._transport.abort()
+
+    def _stop_timer(self) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+
+    # -- Clients that read slowly or not at all
+
+    def _start_write_timer(self) -> None:
+        self._stop_timer()
+        self._timer = asyncio.get_running_loop().call_later(STALL_TIMEOUT_S, self._check_write_progress)
+
+    def _check_write_progress(self) -> None:
+        """Give up a client that reads nothing, but not a slow one."""
+        if self._transport is None:
+            return
+        unsent_bytes = self._transport.get_write_buffer_size()
+        if unsent_bytes >= self._unsent_bytes:
+            self.abort()
+            return
+        self._record_unsent(unsent_bytes)
+        self._timer = asyncio.get_running_loop().call_later(STALL_TIMEOUT_S, self._check_write_progress)
+
+    def _record_unsent(self, size: int) -> None:
+        self.body_memory.buffered_bytes += size - self._unsent_bytes
+        self._unsent_bytes = size
+
+    # -- Lingering
+
+    def _linger(self) -> None:
+        """End the sending side and discard what still comes."""
+        if self._transport is not None and not self._transport.is_closing():
+            loop = asyncio.get_running_loop()
+            self._linger_deadline = loop.time() + _MAX_LINGER_S
+            self._transport.resume_reading()
+            with contextlib.suppress(OSError):  # the client has closed meanwhile
+                self._transport.write_eof()
+            self._extend_linger()
+
+    def _extend_linger(self) -> None:
+        loop = asyncio.get_running_loop()
+        self._stop_timer()
+        linger_until = min(loop.time() + _LINGER_S, self._linger_deadline or 0.0)
+        self._timer = loop.call_at(linger_until, self._end_linger)
+
+    def _end_linger(self) -> None:
+        if self._transport is not None and self._transport.get_write_buffer_size():
+            self._transport.abort()  # the client does not read: a close would wait for it
+        else:
+            self.close()
--- a/sidecar_balancer/downstream/frontend.py
+++ b/sidecar_balancer/downstream/frontend.py
@@ -1,49 +1,35 @@
-"""Accepts the application's connections, within a bound on their number, and drains them."""
+"""The connections of the application: a bound on their number, draining and graceful shutdown."""
 
 from __future__ import annotations
 
 import asyncio
-import logging
 import math
 import socket
 
 from sidecar_balancer.addresses import Address
+from sidecar_balancer.downstream.acceptor import Acceptor
 from sidecar_balancer.downstream.client_connection import ClientConnection
 from sidecar_balancer.downstream.request import RequestHandler
 from sidecar_balancer.policy.settings import Settings
-from sidecar_balancer.runtime.queueing import BacklogAge, PollTimes
-from sidecar_balancer.runtime.sockets import is_readable
-from sidecar_balancer.runtime.streams import (
-    BodyMemory,
-)
-
-log = logging.getLogger(__name__)
-
-_LISTEN_BACKLOG = 512
-_MAX_ACCEPTS_PER_TURN = 64  # connections taken in one step of the event loop
-_IDLE_CLOSE_INTERVAL_S = 0.02  # how often a drain looks for connections that came to rest
-_FLUSH_POLL_S = 0.005  # how often the end looks whether its last answers have left
-_ACCEPT_PAUSE_S = 0.05  # after a failed accept, descriptors lacking: no spinning
-
-
-def _adopt_listening_socket(fd: int) -> socket.socket:
-    """The listening socket that the platform holds; OSError on anything else."""
-    try:
-        sock = socket.socket(fileno=fd)
-    except OSError as error:
-        raise OSError(f"descriptor {fd}, where the clients' listening socket should be: {error}") from None
-    try:
-        listens = bool(sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN))
-    except OSError:
-        listens = False
-    if not listens:
-        sock.detach()  # it is not ours to close
-        raise OSError(f"descriptor {fd} is no listening socket")
-    return sock
+from sidecar_balancer.runtime.queueing import PollTimes
+from sidecar_balancer.runtime.streams import BodyMemory
+
+_IDLE_CLOSE_INTERVAL_S = 0.02  # how often a drain looks for idle connections
+_FLUSH_POLL_S = 0.005  # how often the shutdown looks whether the last responses have been sent
 
 
 class Frontend:
-    """Listens for the application, within a bound on its connections."""
+    """Serves the application, within a bound on its connections.
+
+    Attributes:
+        address: Where it listens.
+        body_memory: The memory that bodies count in.
+        connections: The connections that are served, the longest idle first.
+        draining: Whether each response is the last one of its connection.
+        handler: Who handles the requests.
+        poll_times: When the event loop looked at its sockets.
+        settings: The service classes and tenants.
+    """
 
     def __init__(
         self,
@@ -55,74 +41,67 @@
         body_memory: BodyMemory | None = None,
         poll_times: PollTimes | None = None,
     ) -> None:
-        self.handler = handler
-        self.poll_times = poll_times or PollTimes(math.inf)  # without: input is never known to have waited
-        self._backlog = BacklogAge(_LISTEN_BACKLOG)
+        """Listen, and accept nothing yet.
+
+        Args:
+            address: Where to listen, unless `listen_fd` is an inherited listening socket.
+            max_connections: The bound on connections.
+            handler: Who handles the requests.
+            settings: The service classes and tenants.
+            listen_fd: The descriptor of an inherited listening socket.
+            body_memory: The memory that bodies count in.
+            poll_times: When the event loop looked at its sockets; without it, input never counts as delayed.
+
+        Raises:
+            OSError: If it can't listen.
+        """
         self.body_memory = body_memory or BodyMemory()
-        self.settings = settings
+        self.connections: dict[ClientConnection, None] = {}
         self.draining = False
-        self._idle_close_timer: asyncio.TimerHandle | None = None
-        self.connections: dict[ClientConnection, None] = {}  # the longest at rest first
+        self.handler = handler
+        self.poll_times = poll_times or PollTimes(math.inf)
+        self.settings = settings
         self._max_connections = max_connections
-        self._accepting = False
         self._open_tasks: set[asyncio.Task[None]] = set()
-        self._opening: set[ClientConnection] = set()  # those accepted that are not among `connections` yet
-        if listen_fd is None:
-            self._sock = socket.create_server(address, backlog=_LISTEN_BACKLOG)
-        else:
-            self._sock = _adopt_listening_socket(listen_fd)
-        self._sock.setblocking(False)
-        self.address: Address = self._sock.getsockname()[:2]
+        self._opening: set[ClientConnection] = set()  # accepted, and not among `connections` yet
+        self._idle_close_timer: asyncio.TimerHandle | None = None
+        self._acceptor = Acceptor(address, listen_fd, self.poll_times, self)
+        self.address = self._acceptor.address
 
     def start(self) -> None:
-        self._resume_accepting()
+        """Accept connections from now on."""
+        self._acceptor.start()
 
-    def _resume_accepting(self) -> None:
-        if not self._accepting and self._sock.fileno() >= 0:
-            self._accepting = True
-            asyncio.get_running_loop().add_reader(self._sock, self._accept_waiting)
+    # -- Connections
 
-    def _stop_accepting(self) -> None:
-        """Leave new connections to the kernel's queue for now."""
-        self._accepting = False
-        asyncio.get_running_loop().remove_reader(self._sock)
+    def is_full(self) -> bool:
+        """Return whether the bound on connections is reached."""
+        return len(self.connections) + len(self._opening) >= self._max_connections
 
-    def _accept_waiting(self) -> bool:
-        """Take connections that wait, a bounded number in a step: the operators' door must have its turn.
+    def ensure_capacity(self) -> bool:
+        """Close the connection longest idle, preferring one that has carried a request.
 
-        Says whether more may be waiting.
+        One that has not was opened for a request that may still be on its way.
+
+        Returns:
+            Whether there was one to close.
         """
-        self._sock.setblocking(False)  # an inherited socket shares its flags with whoever else holds it
-        now, unread_since = asyncio.get_running_loop().time(), self.poll_times.unread_since
-        for _ in range(_MAX_ACCEPTS_PER_TURN):
-            if len(self.connections) + len(self._opening) >= self._max_connections:
-                if not is_readable(self._sock):  # no room is made for nobody
-                    self._backlog.emptied()
-                    return False
-                if not self._ensure_capacity():
-                    self._backlog.left(unread_since, now)
-                    self._pause_accepting()
-                    return False
-            try:
-                sock, _ = self._sock.accept()
-            except (BlockingIOError, InterruptedError, ConnectionAbortedError):
-                self._backlog.emptied()
-                return False
-            except OSError as error:
-                log.error("accept: %s", error)
-                self._backlog.left(unread_since, now)
-                self._pause_accepting()
-                return False
-            self._accept_connection(sock, self._backlog.oldest(unread_since))
-            self._backlog.accepted(now)
-        self._backlog.left(unread_since, now)
+        connection = self._longest_idle(has_served=True) or self._longest_idle(has_served=False)
+        if connection is None:
+            return False
+        connection.close()
+        del self.connections[connection]
         return True
 
-    def _pause_accepting(self) -> None:
-        self._stop_accepting()
-        asyncio.get_running_loop().call_later(_ACCEPT_PAUSE_S, self._resume_accepting)
-
-    def _accept_connection(self, sock: socket.socket, established_after: float) -> None:
+    def _longest_idle(self, has_served: bool) -> ClientConnection | None:
+        """Find the first idle connection; no more are checked, as each check is a system call."""
+        for connection in self.connections:
+            if connection.has_served is has_served and connection.is_idle():
+                return connection
+        return None
+
+    def connection_accepted(self, sock: socket.socket, established_after: float) -> None:
+        """Serve a connection, which came up after that time on the event loop's clock."""
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         connection = ClientConnection(self, sock, established_after)
@@ -142,41 +121,39 @@
             self._opening.discard(connection)
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        """Count an accepted connection among those that are served from now on."""
+        """Count a connection among those that are served."""
         self._opening.discard(connection)
         self.connections[connection] = None
 
-    def _ensure_capacity(self) -> bool:
-        """Close the connection longest at rest, preferring one that has carried a request.
-
-        A connection that carried none was opened for a request that may still be on its way.
-        """
-        chosen = self._longest_idle(has_served=True) or self._longest_idle(has_served=False)
-        if chosen is None:
-            return False
-        chosen.close()
-        del self.connections[chosen]
-        return True
-
-    def _longest_idle(self, has_served: bool) -> ClientConnection | None:
-        """Find the first closable connection; it stops there, as each look at one is a system call."""
-        return next(
-            (each for each in self.connections if each.has_served is has_served and each.is_idle()), None
-        )
-
     def connection_idle(self, connection: ClientConnection) -> None:
-        """A connection has begun to rest, or to wait for its next request."""
+        """Count a connection as the one idle for the shortest time."""
         if self.connections.pop(connection, self) is None:
             self.connections[connection] = None
 
     def connection_closed(self, connection: ClientConnection) -> None:
+        """Forget a connection."""
         self.connections.pop(connection, None)
 
+    def close_idle(self, only_used: bool) -> None:
+        """Close idle connections; with `only_used`, none whose first request may be on its way."""
+        for connection in list(self.connections):
+            if connection.is_idle() and (connection.has_served or not only_used):
+                connection.close()
+
+    def is_empty(self) -> bool:
+        """Return whether no connection is left."""
+        return not self.connections and not self._open_tasks
+
+    # -- Draining and shutdown
+
     def drain(self, idle_grace_s: float = 0.0) -> None:
-        """Send clients away until `undrain`: each answer ends its connection, and those at rest are closed.
+        """End each connection with its next response and close idle ones, until `cancel_drain`.
+
+        New connections are still accepted, as clients retry a request that crosses the close of theirs.
 
-        New connections are still taken: a request that crosses the closing of its connection comes again.
-        Those at rest are kept for `kept_s`, so that most end by an answer and are crossed by nothing.
+        Args:
+            idle_grace_s: How long idle connections are kept, so that most end by a response and no request
+                crosses their close.
         """
         if not self.draining:
             self.draining = True
@@ -191,45 +168,30 @@
         )
 
     def cancel_drain(self) -> None:
-        """Be there for clients again."""
+        """Keep connections open again."""
         self.draining = False
         if self._idle_close_timer is not None:
             self._idle_close_timer.cancel()
 
-    def close_idle(self, only_used: bool) -> None:
-        """Close what is at rest; with `used`, not what was just opened for a request still on its way."""
-        for connection in list(self.connections):
-            if connection.is_idle() and (connection.has_served or not only_used):
-                connection.close()
-
     def stop_listening(self, accept_pending: bool = True) -> None:
-        """Listen no more; with `take`, not before all that waits is taken.
-
-        An inherited socket is closed here and never shut down: it goes on at others that hold it.
-        """
-        if self._sock.fileno() >= 0:
-            while accept_pending and self._accept_waiting():
-                pass
-            if self._accepting:
-                self._stop_accepting()
-            self._sock.close()
-
-    def is_empty(self) -> bool:
-        return not self.connections and not self._open_tasks
+        """Stop listening; with `accept_pending`, accept first all that waits."""
+        self._acceptor.close(accept_pending)
 
-    async def close(self, within_s: float) -> None:
-        """End all connections, each with its answer on the wire first; none lasts longer than `within_s`."""
+    async def close(self, timeout_s: float) -> None:
+        """End all connections within `timeout_s`, if possible each with its response on the wire."""
         if self._idle_close_timer is not None:
             self._idle_close_timer.cancel()
         loop = asyncio.get_running_loop()
-        until = loop.time() + within_s
+        deadline = loop.time() + timeout_s
         for connection in list(self.connections):
             connection.close_gracefully()
-        while not self.is_empty() and loop.time() < until:
+        while not self.is_empty():
+            if loop.time() >= deadline:
+                break
             await asyncio.sleep(_FLUSH_POLL_S)
         for task in (open_tasks := list(self._open_tasks)):
             task.cancel()
         await asyncio.gather(*open_tasks, return_exceptions=True)
         for connection in list(self.connections):
             connection.abort()
-        await asyncio.sleep(0)  # their ends are told in the next turn
+        await asyncio.sleep(0)  # connection_lost is called in the next turn
--- a/sidecar_balancer/downstream/request.py
+++ b/sidecar_balancer/downstream/request.py
@@ -1,10 +1,10 @@
-"""Requests of the application: their parsing and validation."""
+"""Requests of the application: parsing, validation, and who handles them."""
 
 from __future__ import annotations
 
 import math
-from collections.abc import Callable
 from dataclasses import dataclass
+from typing import Protocol
 
 import h11
 
@@ -13,16 +13,55 @@
 from sidecar_balancer.runtime.headers import Headers, end_to_end_headers
 from sidecar_balancer.runtime.streams import ResponseSink, ResponseSource, Upload
 
-API_PATH = b"/api"
+_API_PATH = b"/api"
+_MAX_NUMBER = 1e9  # in a header
+
+
+class ResponseWriter(Protocol):
+    """The client's connection, as the handler of its request sees it."""
+
+    def respond(self, status: int, headers: Headers, body: bytes) -> None:
+        """Write a complete response."""
+
+    def begin_streaming(
+        self, headers: Headers, length: int | None, source: ResponseSource
+    ) -> ResponseSink | None:
+        """Begin a streamed response with status 200; return None where the client has left.
+
+        Args:
+            headers: The response's headers, but for its framing.
+            length: The length of the body in bytes, where it is known.
+            source: What to pause while the client reads too slowly.
+        """
+
+    def check_connected(self) -> None:
+        """Report a client that has left, though nothing that it sent last was read yet."""
 
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """A request as the application sent it; it is answered once."""
+    """A request as the application sent it; it is answered once.
+
+    Attributes:
+        method: The method.
+        target: The target, with its query.
+        headers: The headers to forward.
+        body: The body, where it is buffered.
+        request_id: The application's identifier of the request.
+        service_class: The class that decides on deadline, idempotency and priority.
+        tenant: The caller, where it names itself.
+        key: The key that the path ends in, as a number.
+        remaining_us: The time that is left for an answer, from the last byte of the request.
+        cost_us: The announced cost of execution.
+        is_retry: Whether the application retries an earlier request.
+        client_port: The port of the client's connection, for the log.
+        response_writer: Where the response goes.
+        upload: The body, where it is streamed.
+    """
 
     method: bytes
     target: bytes
-    headers: Headers  # those that go on
+    headers: Headers
     body: bytes
     request_id: str
     service_class: str
@@ -31,85 +70,92 @@
     remaining_us: int
     cost_us: int | None
     is_retry: bool
-    port: int  # of the application's connection, for the log
-    respond: Callable[[int, Headers, bytes], None]
-    begin_streaming: Callable[
-        [Headers, int | None, ResponseSource], ResponseSink | None
-    ]  # in place of `answer`, where that is long
-    upload: Upload | None = None  # in place of the body, where that is long
-    check_connected: Callable[[], None] = lambda: (
-        None
-    )  # whether its client is still there; if not, it is told gone
+    client_port: int
+    response_writer: ResponseWriter
+    upload: Upload | None = None
+
+
+class RequestHandler(Protocol):
+    """Handles the requests of all client connections."""
+
+    def request_received(self, client_request: ClientRequest) -> None:
+        """Handle a request; the rest of its body may still come, if it is streamed."""
+
+    def body_completed(self, client_request: ClientRequest) -> None:
+        """Note that the last byte of a streamed body has come."""
+
+    def client_disconnected(self, client_request: ClientRequest) -> None:
+        """Note that nobody waits for the response any more."""
+
+
+def path_of(head: h11.Request) -> bytes:
+    """Return the target without its query."""
+    return head.target.partition(b"?")[0]
+
 
+def check_framing(head: h11.Request) -> None:
+    """Check that the end of the body is unambiguous (RFC 9112, 6.1).
 
-@dataclass(slots=True)
-class RequestHandler:
-    """What the frontend asks of the driver."""
+    Else a part of the body could be taken for the next request.
 
-    request_received: Callable[[ClientRequest], None]
-    client_disconnected: Callable[[ClientRequest], None]
-    is_ready: Callable[[], bool]
-    body_completed: Callable[[ClientRequest], None] = lambda call: (
-        None
-    )  # the last byte of a long body has come
+    Raises:
+        RequestError: If two readers could disagree on where the body ends.
+    """
+    names = [name for name, _ in head.headers]
+    if b"transfer-encoding" in names and (b"content-length" in names or head.http_version < b"1.1"):
+        raise RequestError(400, "transfer-encoding beside content-length or before HTTP/1.1")
 
 
 def parse_request(
-    head: h11.Request,
-    body: bytes,
-    respond: Callable[[int, Headers, bytes], None],
-    begin_streaming: Callable[[Headers, int | None, ResponseSource], ResponseSink | None],
-    port: int = 0,
+    head: h11.Request, body: bytes, settings: Settings, response_writer: ResponseWriter, client_port: int
 ) -> ClientRequest:
-    """Read a request of the application; raise BadRequest where a header is missing or makes no sense."""
-    given = {name: value.decode("latin-1").strip() for name, value in head.headers}
+    """Read and validate a request.
+
+    Raises:
+        RequestError: If the path is no API path, a header is missing or makes no sense, or the settings do
+            not know the class or the tenant.
+    """
+    path = path_of(head)
+    if path != _API_PATH and not path.startswith(_API_PATH + b"/"):
+        raise RequestError(404, "no such path")
+    headers = {name: value.decode("latin-1").strip() for name, value in head.headers}
     for name in (b"x-call-id", b"x-call-class", b"x-budget"):
-        if not given.get(name):
+        if not headers.get(name):
             raise RequestError(400, f"{name.decode()} is missing")
-    return ClientRequest(
+    cost = headers.get(b"x-call-cost")
+    client_request = ClientRequest(
         method=head.method,
         target=head.target,
         headers=end_to_end_headers(head.headers, b"content-length", b"x-budget", b"expect"),
         body=body,
-        request_id=given[b"x-call-id"],
-        service_class=given[b"x-call-class"],
-        tenant=given.get(b"x-caller") or None,
-        key=_routing_key(head.target),
-        remaining_us=int(_parse_number(given[b"x-budget"], "x-budget") * 1e6),
-        cost_us=int(_parse_number(given[b"x-call-cost"], "x-call-cost"))
-        if given.get(b"x-call-cost")
-        else None,
-        is_retry=given.get(b"x-again") == "1",
-        port=port,
-        respond=respond,
-        begin_streaming=begin_streaming,
+        request_id=headers[b"x-call-id"],
+        service_class=headers[b"x-call-class"],
+        tenant=headers.get(b"x-caller") or None,
+        key=_parse_key(path),
+        remaining_us=int(_parse_number(headers[b"x-budget"], "x-budget") * 1e6),
+        cost_us=int(_parse_number(cost, "x-call-cost")) if cost else None,
+        is_retry=headers.get(b"x-again") == "1",
+        client_port=client_port,
+        response_writer=response_writer,
     )
+    _validate(client_request, head, settings)
+    return client_request
 
 
-def check_framing(head: h11.Request) -> None:
-    """Raise BadRequest where two readers could disagree on where the body ends (RFC 9112, 6.1).
-
-    What stood inside the body by the one reading would be the next request by the other.
-    """
-    names = [name for name, _ in head.headers]
-    if b"transfer-encoding" in names and (b"content-length" in names or head.http_version < b"1.1"):
-        raise RequestError(400, "transfer-encoding beside content-length or before HTTP/1.1")
-
-
-def validate(call: ClientRequest, head: h11.Request, settings: Settings) -> None:
-    """Raise BadRequest for what the settings do not know: a server that answers it 400 is not sick."""
-    kind = next((each for each in settings.classes if each.name == call.service_class), None)
-    if kind is None:
+def _validate(client_request: ClientRequest, head: h11.Request, settings: Settings) -> None:
+    """Reject what servers would answer 400, so that no healthy server counts as faulty for it."""
+    name = client_request.service_class
+    service_class = next((candidate for candidate in settings.classes if candidate.name == name), None)
+    if service_class is None:
         raise RequestError(400, "x-call-class is not known")
-    call.remaining_us = min(
-        call.remaining_us, kind.deadline_us
-    )  # nobody waits longer, and it is held as long
-    if settings.tenants and call.tenant not in {each.name for each in settings.tenants}:
+    client_request.remaining_us = min(client_request.remaining_us, service_class.deadline_us)
+    if settings.tenants and client_request.tenant not in {tenant.name for tenant in settings.tenants}:
         raise RequestError(400, "x-caller is not known")
-    if call.method != (b"GET" if kind.idempotency is Idempotency.IDEMPOTENT else b"POST"):
+    idempotency = service_class.idempotency
+    if client_request.method != (b"GET" if idempotency is Idempotency.IDEMPOTENT else b"POST"):
         raise RequestError(405, "the class needs another method")
-    if kind.idempotency is Idempotency.IDEMPOTENCY_KEY and not _has_idempotency_key(head):
-        raise RequestError(400, "idempotency-key is missing")  # servers could not drop its repeats
+    if idempotency is Idempotency.IDEMPOTENCY_KEY and not _has_idempotency_key(head):
+        raise RequestError(400, "idempotency-key is missing")
 
 
 def _has_idempotency_key(head: h11.Request) -> bool:
@@ -121,14 +167,14 @@
         value = float(text)
     except ValueError:
         value = math.nan
-    if not 0.0 <= value <= 1e9:
+    if not 0.0 <= value <= _MAX_NUMBER:
         raise RequestError(400, f"{name}: a number is needed")
     return value
 
 
-def _routing_key(target: bytes) -> int | None:
-    """The last part of the path as a number, whatever it is made of."""
-    last = target.partition(b"?")[0].removeprefix(API_PATH).rpartition(b"/")[2]
+def _parse_key(path: bytes) -> int | None:
+    """Return the last part of the path as a number, whatever it consists of."""
+    last = path.removeprefix(_API_PATH).rpartition(b"/")[2]
     if not last:
         return None
     try:
--- a/sidecar_balancer/runtime/engine.py
+++ b/sidecar_balancer/runtime/engine.py
@@ -1,4 +1,4 @@
-"""Hands events to the balancer and has its actions carried out.  Nothing is awaited between the two."""
+"""Passes events to the balancer and executes its actions; nothing is awaited between the two."""
 
 from __future__ import annotations
 
@@ -17,72 +17,82 @@
 
 log = logging.getLogger(__name__)
 
-_RETRY_AFTER_DEFECT_S = 0.05  # when the module is woken after it failed on an event
+_WAKE_AFTER_DEFECT_S = 0.05  # what was due must not wait for another event
 
 
 class Engine:
-    """The module of one run, its clock, and who carries out its actions.
+    """The balancer of one process, its clock, and the executors of its actions.
 
-    `executors` holds a callable for each kind of action.  A defect in the module or in an executor is logged,
-    and `give_up` is told of the request that it was about, if any.
+    Attributes:
+        clock: The balancer's clock.
+        balancer: The balancer.
+        executors: What executes an action, by its type.
+        on_defect: Called with the request that an event or action was about, if any, when the balancer or an
+            executor raised an exception.
     """
 
     def __init__(self, settings: Settings, seed: int, timers: Timers) -> None:
+        """Create the balancer; `timers` run what it schedules."""
         self.clock = Clock()
         self.balancer = Balancer(settings, seed)
         self.executors: dict[type[Any], Callable[[Any], None]] = {SetTimer: self._set_timer}
-        self.on_defect: Callable[[int | None], None] = lambda _: None
+        self.on_defect: Callable[[int | None], None] | None = None
         self._timers = timers
         self._events: deque[Event] = deque()
-        self._handling = False
+        self._is_handling = False
 
     def handle(self, event: Event) -> None:
-        """Give the module an event, and those that its actions cause, in order."""
+        """Pass an event to the balancer, and those that its actions cause, in order."""
         self._events.append(event)
         self._handle_queued()
 
     @contextlib.contextmanager
     def handle_first(self, event: Event) -> Iterator[None]:
-        """Have the module hear an event before those of what ends within the block that goes with it."""
-        handling, self._handling = self._handling, True
+        """Pass an event to the balancer after the block, before the events that the block causes."""
+        was_handling, self._is_handling = self._is_handling, True
         self._events.append(event)
         try:
             yield
         finally:
-            self._handling = handling
+            self._is_handling = was_handling
         self._handle_queued()
 
     def _handle_queued(self) -> None:
-        if self._handling:
+        if self._is_handling:
             return
-        self._handling = True
+        self._is_handling = True
         try:
             while self._events:
                 self._handle_one(self._events.popleft())
         finally:
-            self._handling = False
+            self._is_handling = False
 
     def _handle_one(self, event: Event) -> None:
-        before = self.balancer.actions
+        actions_before = self.balancer.actions
         try:
             actions: Sequence[Action] = self.balancer.handle(self.clock.step(), event)
         except Exception:
-            log.exception("the balancer failed on %.200r", event)
-            # What it had decided by then it counts on; what else was due must not wait for another event.
-            actions = self.balancer.actions if self.balancer.actions is not before else []
-            self._timers.later(_RETRY_AFTER_DEFECT_S, self.handle, TimerFired("agenda"))
+            log.exception("the balancer failed on %.200r", event, extra={"event": "balancer_failed"})
+            # The balancer counts on the actions that it had decided on by then.
+            actions = self.balancer.actions if self.balancer.actions is not actions_before else []
+            self._timers.later(_WAKE_AFTER_DEFECT_S, self.handle, TimerFired("agenda"))
             self.execute(actions)
-            self.on_defect(getattr(event, "request", None))
+            self._report_defect(event)
         else:
             self.execute(actions)
 
     def execute(self, actions: Sequence[Action]) -> None:
+        """Execute actions in order; an exception in one stops no other."""
         for action in actions:
             try:
                 self.executors[type(action)](action)
             except Exception:
-                log.exception("could not carry out %.200r", action)
-                self.on_defect(getattr(action, "request", None))
+                log.exception("could not execute %.200r", action, extra={"event": "action_failed"})
+                self._report_defect(action)
+
+    def _report_defect(self, subject: Event | Action) -> None:
+        if self.on_defect is not None:
+            self.on_defect(getattr(subject, "request", None))
 
     def _set_timer(self, action: SetTimer) -> None:
         self._timers.later(action.in_us / 1e6, self.handle, TimerFired(action.token))
--- a/sidecar_balancer/runtime/sidecar.py
+++ b/sidecar_balancer/runtime/sidecar.py
@@ -18,7 +18,6 @@
 from sidecar_balancer.discovery.endpoint_list import EndpointList, ListUpdate, parse_list
 from sidecar_balancer.discovery.watch_events import WatchEvent
 from sidecar_balancer.downstream.frontend import Frontend
-from sidecar_balancer.downstream.request import RequestHandler
 from sidecar_balancer.policy.actions import (
     CloseIdleConnections,
     FetchEndpoints,
@@ -89,16 +88,10 @@
         )
         latencies = _latencies(config)
         self.proxy = Proxy(settings, self._engine, self._endpoint_pool, latencies)
-        hooks = RequestHandler(
-            self.proxy.request_received,
-            self.proxy.client_disconnected,
-            self._is_ready,
-            self.proxy.body_completed,
-        )
         self.frontend = Frontend(
             config.listen,
             max_connections,
-            hooks,
+            self.proxy,
             settings,
             config.inherited_listener_fd,
             body_memory,
@@ -241,7 +234,7 @@
 
     def _log_state(self) -> None:
         """Tell how things stand, where anything was answered since it was last told."""
-        self.proxy.reset_log_quota()
+        self.proxy.request_log.reset_quota()
         answered = count_by_status(self.proxy.response_counts - self._logged_response_counts)
         if answered:
             self._logged_response_counts = self.proxy.response_counts.copy()
@@ -254,9 +247,6 @@
             about = {"event": "state", "answered": answered}
             log.info(told, counts, clients, held, self._endpoint_pool.open_count, cpu_s, state, extra=about)
 
-    def _is_ready(self) -> bool:
-        return not self.frontend.draining
-
     # -- The peer plane ------------------------------------------------------------------------------------
 
     def _create_membership(self, config: SidecarConfig) -> MembershipBridge | None:
--- a/tests/downstream/test_frontend.py
+++ b/tests/downstream/test_frontend.py
@@ -14,10 +14,10 @@
 from helpers import settings
 from loopback import PATIENCE_S, answer, ask, is_closed, play, read_answer, request, until, world
 from sidecar_balancer import policy
-from sidecar_balancer.downstream import client_connection
+from sidecar_balancer.downstream import client_connection, client_transport, request_deadline
 from sidecar_balancer.downstream.client_connection import ClientConnection
 from sidecar_balancer.downstream.frontend import Frontend
-from sidecar_balancer.downstream.request import RequestHandler
+from sidecar_balancer.downstream.request import ClientRequest
 from sidecar_balancer.policy.actions import Action, Reject
 from sidecar_balancer.policy.events import ClientDisconnected, Event, RequestReceived
 from sidecar_balancer.runtime import sockets
@@ -282,9 +282,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # herd+crowd: each connection accepted at the bound looked at all others, a system call each.
-    monkeypatch.setattr(
-        client_connection, "_REQUEST_TIMEOUT_S", 60.0
-    )  # none is given up for its silence meanwhile
+    # None is given up for its silence meanwhile.
+    monkeypatch.setattr(request_deadline, "REQUEST_TIMEOUT_S", 60.0)
     looks, real = 0, sockets.has_no_unread_input
 
     def counted(sock: socket.socket) -> bool:
@@ -319,7 +318,7 @@
     sent: bytes, used: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Guards the descriptors.  A used connection that sends nothing is at rest, and may stay.
-    monkeypatch.setattr(client_connection, "_REQUEST_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(request_deadline, "REQUEST_TIMEOUT_S", 0.2)
 
     async def scene() -> None:
         async with world(served) as w:
@@ -343,7 +342,7 @@
 
 def test_a_client_that_leaves_its_answer_unread_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards the descriptors: its connection would never be at rest.
-    monkeypatch.setattr(client_connection, "STALL_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(client_transport, "STALL_TIMEOUT_S", 0.1)
 
     async def scene() -> None:
         async with world(lambda *_: answer(200, bytes(60_000))) as w:
@@ -373,7 +372,7 @@
 
 
 def test_a_held_request_is_not_given_up_as_slow(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_connection, "_REQUEST_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(request_deadline, "REQUEST_TIMEOUT_S", 0.05)
 
     async def scene() -> None:
         async with world(lambda *_: None) as w:
@@ -385,6 +384,19 @@
     play(scene())
 
 
+class ImmediateHandler:
+    """Answers each request at once."""
+
+    def request_received(self, client_request: ClientRequest) -> None:
+        client_request.response_writer.respond(200, [], b"taken")
+
+    def body_completed(self, client_request: ClientRequest) -> None:
+        pass
+
+    def client_disconnected(self, client_request: ClientRequest) -> None:
+        pass
+
+
 def test_a_lack_of_descriptors_neither_spins_nor_ends_the_listening() -> None:
     class Lacking:
         """A listener of which the first accepts fail."""
@@ -405,13 +417,13 @@
             self.real.setblocking(flag)
 
     async def scene() -> None:
-        hooks = RequestHandler(lambda call: call.respond(200, [], b"taken"), lambda call: None, lambda: True)
-        frontend = Frontend(("127.0.0.1", 0), 5, hooks, settings())
-        real = frontend._sock
-        frontend._sock = Lacking(real)  # type: ignore[assignment]
+        frontend = Frontend(("127.0.0.1", 0), 5, ImmediateHandler(), settings())
+        acceptor = frontend._acceptor
+        real = acceptor._sock
+        acceptor._sock = Lacking(real)  # type: ignore[assignment]
         frontend.start()
         assert (await ask(frontend.address, request()))[2] == b"taken"
-        frontend._sock = real
+        acceptor._sock = real
         frontend.stop_listening()
         await until(frontend.is_empty)
 
--- a/tests/runtime/test_close_range.py
+++ b/tests/runtime/test_close_range.py
@@ -1027,7 +1027,7 @@
             writer.write(request())
             await until(w.sent)
             (call,) = w.sidecar.proxy.by_client_request
-            call.respond(200, [(b"X-Bad", b"\n")], b"")
+            call.response_writer.respond(200, [(b"X-Bad", b"\n")], b"")
             with contextlib.suppress(ConnectionError):
                 assert await reader.read() == b""
             await until(lambda: not w.sidecar.frontend.connections)
@@ -1284,7 +1284,7 @@
                 if at == "dialling":
                     w.sidecar._endpoint_pool.update("s-0", address, None, ServerState.READY)
                 if at == "unaccepted":
-                    w.sidecar.frontend._stop_accepting()
+                    w.sidecar.frontend._acceptor.pause()
                 client = Client(w)
                 if at not in ("unaccepted", "unbegun"):
                     await until(lambda: w.sidecar.frontend.connections)
--- a/tests/runtime/test_queueing.py
+++ b/tests/runtime/test_queueing.py
@@ -10,7 +10,7 @@
 
 from helpers import SAFE, S
 from loopback import answer, read_answer, request, until, world
-from sidecar_balancer.downstream import client_connection
+from sidecar_balancer.downstream import arrival
 from sidecar_balancer.runtime.queueing import BacklogAge, PollTimes, TimedLoop, since_last_data_s
 from virtual import play_on_clock, stall
 
@@ -25,7 +25,7 @@
 @pytest.fixture(autouse=True)
 def system_that_does_not_tell(monkeypatch: pytest.MonkeyPatch) -> None:
     """The kernel counts real time, which a scene on a clock of its own does not spend."""
-    monkeypatch.setattr(client_connection, "since_last_data_s", lambda _: None)
+    monkeypatch.setattr(arrival, "since_last_data_s", lambda _: None)
 
 
 def test_input_that_ended_a_wait_is_new() -> None:
@@ -163,7 +163,7 @@
 
 @pytest.mark.parametrize("waited_s", [0.0, 0.3])
 def test_what_the_kernel_knows_of_a_wait_bounds_it(waited_s: float, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_connection, "since_last_data_s", lambda _: waited_s)
+    monkeypatch.setattr(arrival, "since_last_data_s", lambda _: waited_s)
 
     async def scene() -> None:
         async with world(served, drained=True) as w:
--- a/tests/runtime/test_streams.py
+++ b/tests/runtime/test_streams.py
@@ -515,19 +515,17 @@
             connection: ClientConnection = next(iter(w.sidecar.frontend.connections))
             writer.write(request("pay", body=LONG)[:-1])
             await until(lambda: connection._head is not None)
-            connection._awaited_since = 100.0
+            deadline = connection._deadline
+            deadline.awaited_since = 100.0
             for head_at, came, came_at, due in (
                 (100.0, 0, 100.0, 102.5),  # a head and nothing behind it
                 (102.0, 0, 102.0, 103.5),  # a slow head
                 (102.0, 64_000, 103.0, 105.5),  # the slowest that is owed service, with as much to spare
                 (102.0, 32_000_000, 103.0, 113.0),  # what came fast buys no long silence
             ):
-                connection._body_counted_since, connection._body_bytes, connection._last_input_at = (
-                    head_at,
-                    came,
-                    came_at,
-                )
-                assert connection._request_deadline() == due
+                deadline.body_counted_since, deadline.body_bytes = head_at, came
+                deadline.last_input_at = came_at
+                assert deadline.due_at(connection._head is not None) == due
             writer.close()
 
     play(scene())
