--- a/sidecar_balancer/discovery/source_connection.py
+++ b/sidecar_balancer/discovery/source_connection.py
@@ -13,7 +13,9 @@
 from sidecar_balancer.discovery.endpoint_list import MAX_LIST_BYTES, ListUpdate, read_list
 from sidecar_balancer.discovery.errors import MalformedAgeError, SourceDisconnectedError, SourceStatusError
 from sidecar_balancer.discovery.protocol import AGE_HEADER, TAG_HEADER, Headers
-from sidecar_balancer.upstream.connection import Connection, Response, connect
+from sidecar_balancer.upstream.dialing import connect
+from sidecar_balancer.upstream.response import Response
+from sidecar_balancer.upstream.server_connection import ServerConnection
 
 _MAX_AGE_DIGITS = 12
 
@@ -30,7 +32,7 @@
 class SourceConnection:
     """A connection to a source; it carries one request."""
 
-    def __init__(self, connection: Connection) -> None:
+    def __init__(self, connection: ServerConnection) -> None:
         self._connection = connection
 
     async def get(self, target: str, headers: Headers) -> ListResponse:
--- a/tests/support/discovery_world.py
+++ b/tests/support/discovery_world.py
@@ -28,7 +28,7 @@
 
 def pooled_servers(world: World) -> set[str]:
     """Return the names of the servers that the sidecar holds connections or addresses for."""
-    return set(attrgetter("_upstream._endpoints")(world.sidecar))
+    return set(attrgetter("_endpoint_pool._endpoints")(world.sidecar))
 
 
 def consecutive_failures(world: World) -> int:
