--- /dev/null
+++ b/sidecar_balancer/upstream/server_connection.py
@@ -0,0 +1,394 @@
+"""One connection to a server: each request has one end, and nothing is resent silently.
+
+It is known whether a request's last byte was written.  Only then may the server have begun to execute it.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import socket
+from collections.abc import Callable
+
+import h11
+
+from sidecar_balancer.runtime.headers import content_length
+from sidecar_balancer.runtime.sockets import has_no_unread_input
+from sidecar_balancer.runtime.streams import (
+    STALL_TIMEOUT_S,
+    BodyMemory,
+    BufferedReceiver,
+    ResponseSink,
+    ResponseSource,
+    Upload,
+)
+from sidecar_balancer.upstream.response import Response, is_framed
+
+log = logging.getLogger(__name__)
+
+_MAX_RESPONSE_BUFFERING_S = 0.1  # a response of unknown length that takes longer is streamed
+
+StartStreaming = Callable[[h11.Response, int | None, ResponseSource], ResponseSink | None]
+"""Returns the sink of a long response with this head and length; None where nobody waits for it any more."""
+
+
+class ServerConnection(BufferedReceiver):
+    """One connection to a server, which carries one request at a time.
+
+    Attributes:
+        sock: The connection's socket.
+        reusable: Whether the connection may carry another request after the one in flight.
+        idle_since: When the last response ended, on the event loop's clock.
+        response_began: Whether a byte of the response was received: the process is up.
+        on_closed: Called once when the connection is closed, whoever closed it.
+    """
+
+    def __init__(self, sock: socket.socket, max_body_bytes: int, body_memory: BodyMemory) -> None:
+        """Wrap a connected socket; longer response bodies than `max_body_bytes` are streamed or fail."""
+        super().__init__(body_memory)
+        self.sock = sock
+        self.reusable = True
+        self.idle_since = 0.0
+        self.response_began = False
+        self.on_closed: Callable[[], None] | None = None
+        self._max_body_bytes = max_body_bytes
+        self._h11 = h11.Connection(h11.CLIENT)
+        self._on_response: Callable[[Response | None], None] | None = None
+        self._written = False
+        self._write_buffer_full = False  # not all that was written has gone to the kernel
+        self._request_count = 0  # the request in flight included
+        self._request_sent_at = 0.0  # on the event loop's clock
+        self._upload: Upload | None = None  # the rest of a long request body
+        self._response_head: h11.Response | None = None
+        self._start_streaming: StartStreaming | None = None
+        self._sink: ResponseSink | None = None  # set while a response is streamed
+        self._unforwarded = bytearray()  # of the streamed response, parsed in this turn of the event loop
+        self._sink_paused = False
+        self._buffering_timer: asyncio.TimerHandle | None = None
+        self._stall_timer: asyncio.TimerHandle | None = None
+        self._progress = 0  # grows with each byte in or out
+
+    @property
+    def written(self) -> bool:
+        """Whether the request's last byte has gone to the kernel."""
+        return self._written
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take the transport."""
+        assert isinstance(transport, asyncio.Transport)
+        self._transport = transport
+        transport.set_write_buffer_limits(high=0)  # resume_writing then means: all is with the kernel
+
+    def is_idle(self) -> bool:
+        """Return whether another request may be sent: no end or stray byte waits unread either."""
+        is_open = self._transport is not None and not self._transport.is_closing()
+        return is_open and self.reusable and self._on_response is None and has_no_unread_input(self.sock)
+
+    # -- Writing the request
+
+    def request(
+        self,
+        head: h11.Request,
+        body: bytes,
+        on_response: Callable[[Response | None], None],
+        upload: Upload | None = None,
+        start_streaming: StartStreaming | None = None,
+    ) -> None:
+        """Write a request.
+
+        Args:
+            head: The request's head.
+            body: The body, where it is buffered.
+            on_response: Called once, with the complete response or with None if the exchange broke.
+            upload: The body in place of `body`, where it is streamed.
+            start_streaming: Where a response goes that is too long to be buffered; it is complete without its
+                body then.  None: such a response fails.
+
+        Raises:
+            h11.LocalProtocolError: If the request is no valid HTTP; no byte was written.
+        """
+        assert self._transport is not None
+        data = self._h11.send(head) or b""
+        self._on_response, self._start_streaming = on_response, start_streaming
+        self._written = self.response_began = False
+        self._request_count += 1
+        self._request_sent_at = asyncio.get_running_loop().time()
+        if upload is not None:
+            self._upload = upload
+            self._transport.write(data)
+            self._check_progress()
+            upload.on_data = self._write_upload
+            self._write_upload()
+            return
+        events = [h11.Data(data=body), h11.EndOfMessage()] if body else [h11.EndOfMessage()]
+        data += b"".join(self._h11.send(event) or b"" for event in events)
+        self._transport.write(data)
+        self._update_written()
+
+    def _update_written(self) -> None:
+        # A failed write closes the transport and empties its buffer, with nothing of it sent.
+        assert self._transport is not None
+        self._written = not self._transport.is_closing() and not self._transport.get_write_buffer_size()
+
+    def _write_upload(self) -> None:
+        """Write what has come of a streamed body, while the server reads it."""
+        while self._upload is not None and not self._write_buffer_full and self._transport is not None:
+            if self._transport.is_closing():
+                return
+            if data := self._upload.read():
+                self._progress += len(data)
+                self._transport.write(self._h11.send(h11.Data(data=data)) or b"")
+            elif self._upload.is_complete:
+                self._discard_upload()
+                self._transport.write(self._h11.send(h11.EndOfMessage()) or b"")
+                self._update_written()
+            else:
+                return
+
+    def _discard_upload(self) -> None:
+        upload, self._upload = self._upload, None
+        if upload is not None:
+            upload.discard()
+
+    def pause_writing(self) -> None:
+        """Wait for the server to read."""
+        self._write_buffer_full = True
+
+    def resume_writing(self) -> None:
+        """Note that all that was written has gone to the kernel."""
+        self._write_buffer_full = False
+        self._progress += 1
+        if self._upload is not None:
+            self._write_upload()
+        else:
+            self._written = self._on_response is not None
+
+    # -- Reading the response
+
+    def data_received(self, data: bytes) -> None:
+        """Parse input; stray bytes end the connection, as nobody knows which request they answer."""
+        if self._on_response is None:
+            self.abort()
+            return
+        self.response_began = True
+        self._progress += len(data)
+        self._feed_parser(data)
+
+    def eof_received(self) -> bool:
+        """End a response that the connection's end delimits; the transport closes itself."""
+        if self._on_response is not None:
+            self._feed_parser(b"")
+        return False
+
+    def _feed_parser(self, data: bytes) -> None:
+        try:
+            self._h11.receive_data(data)
+        except h11.RemoteProtocolError as error:
+            self._fail_parsing(error, data)
+        else:
+            self._parse(data)
+
+    def _parse(self, data: bytes = b"") -> None:
+        try:
+            self._handle_events()
+            self._flush_to_sink()
+        except h11.RemoteProtocolError as error:
+            self._flush_to_sink()
+            self._fail_parsing(error, data)
+
+    def _continue_parsing(self) -> None:
+        self._parse_scheduled = False
+        if self._on_response is not None:
+            self._parse()
+            self._update_reading()
+
+    def _fail_parsing(self, error: Exception, data: bytes) -> None:
+        extra = {"event": "response_malformed"}
+        log.info("response cut short or malformed: %.80s; it began %.60r", error, data, extra=extra)
+        self._finish(None)
+
+    def _handle_next_event(self) -> bool:
+        event = self._h11.next_event()
+        if isinstance(event, h11.Response):
+            return self._handle_head(event)
+        if isinstance(event, h11.Data):
+            return self._handle_body(event.data)
+        if isinstance(event, h11.EndOfMessage):
+            self._finish(self._buffered_response())
+            return False
+        return not isinstance(event, h11.ConnectionClosed | type(h11.NEED_DATA))
+
+    def _handle_head(self, head: h11.Response) -> bool:
+        self._response_head = head
+        if head.status_code == 200 and not self._written:
+            extra = {"event": "response_before_request_end"}  # it can't answer this request
+            log.info("response before the request was complete", extra=extra)
+            self._finish(None)
+            return False
+        if not is_framed(head):
+            log.info("response without framing", extra={"event": "response_without_framing"})
+            self._finish(None)
+            return False
+        length = content_length(head.headers)
+        if length is not None and length > self._max_body_bytes:
+            return self._begin_streaming(length)
+        return True
+
+    def _handle_body(self, data: bytes | bytearray) -> bool:
+        if self._sink is not None:
+            self._unforwarded += data
+            return True
+        if not self._body and self._start_streaming is not None and self._announced_length() is None:
+            loop = asyncio.get_running_loop()
+            self._buffering_timer = loop.call_later(_MAX_RESPONSE_BUFFERING_S, self._stream_slow_response)
+        self._buffer_body(data)
+        if len(self._body) > self._max_body_bytes or (
+            self._start_streaming is not None and not self.body_memory.may_buffer(len(self._body))
+        ):
+            return self._begin_streaming(self._announced_length())
+        return True
+
+    def _announced_length(self) -> int | None:
+        return None if self._response_head is None else content_length(self._response_head.headers)
+
+    def _buffered_response(self) -> Response | None:
+        head = self._response_head
+        return None if head is None else Response(head.status_code, list(head.headers), bytes(self._body))
+
+    # -- Streaming the response
+
+    def _stream_slow_response(self) -> None:
+        """Stream a response of unknown length that comes slowly, so that its beginning is not delayed."""
+        if self._on_response is not None and self._sink is None and self._body:
+            self._begin_streaming(None)
+            self._flush_to_sink()
+
+    def _begin_streaming(self, length: int | None) -> bool:
+        """Stream a long response to its sink; return whether to parse on."""
+        head = self._response_head
+        if head is None or head.status_code != 200 or self._start_streaming is None:
+            self._finish_too_long(head)
+            return False
+        self._sink = self._start_streaming(head, length, self)
+        if self._sink is None:
+            self._finish(None)
+            return False
+        self.body_memory.active_streams += 1
+        self._unforwarded += self._body
+        self._stop_buffering()
+        self._check_progress()
+        return True
+
+    def _finish_too_long(self, head: h11.Response | None) -> None:
+        extra = {"event": "response_too_large"}
+        log.info("response of more than %d bytes", self._max_body_bytes, extra=extra)
+        if head is not None and head.status_code != 200 and self._start_streaming is not None:
+            # Of an error response, the head alone is of use.
+            self._finish(Response(head.status_code, list(head.headers), b""))
+        else:
+            self._finish(None)
+
+    def _stop_buffering(self) -> None:
+        self._release_body()
+        if self._buffering_timer is not None:
+            self._buffering_timer.cancel()
+            self._buffering_timer = None
+
+    def _flush_to_sink(self) -> None:
+        if self._unforwarded and self._sink is not None:
+            data, self._unforwarded = bytes(self._unforwarded), bytearray()
+            self._sink.write_body(data)
+
+    def pause(self) -> None:
+        """Stop reading: the client reads too slowly."""
+        self._sink_paused = True
+        self._update_reading()
+
+    def resume(self) -> None:
+        """Read on, for a client that has caught up or has left."""
+        self._sink_paused = False
+        self._progress += 1
+        self._update_reading()
+
+    def _update_reading(self) -> None:
+        if self._transport is not None and not self._transport.is_closing():
+            if self._sink_paused or self._parse_scheduled:
+                self._transport.pause_reading()
+            else:
+                self._transport.resume_reading()
+
+    def _check_progress(self, last_progress: int | None = None) -> None:
+        """Give up a server that stalls within a long body; a slow client is no fault of the server."""
+        if self._upload is None and self._sink is None:
+            self._stall_timer = None
+            return
+        awaits_server = self._write_buffer_full if self._upload is not None else not self._sink_paused
+        unsent_bytes = self._transport.get_write_buffer_size() if self._transport is not None else 0
+        progress = self._progress - unsent_bytes
+        if awaits_server and progress == last_progress:
+            extra = {"event": "body_stalled"}
+            log.info("no progress of a long body for %.0f s", STALL_TIMEOUT_S, extra=extra)
+            self._finish(None)
+            return
+        if self._stall_timer is not None:
+            self._stall_timer.cancel()
+        self._stall_timer = asyncio.get_running_loop().call_later(
+            STALL_TIMEOUT_S, self._check_progress, progress if awaits_server else None
+        )
+
+    # -- The end of an exchange and of the connection
+
+    def _finish(self, response: Response | None) -> None:
+        on_response, self._on_response = self._on_response, None
+        self._end_bodies(response is not None)
+        self._response_head = None
+        is_done = self._h11.our_state is h11.DONE and self._h11.their_state is h11.DONE
+        if response is None or not is_done or not self._written or self._h11.trailing_data[0]:
+            self.abort()
+        else:
+            self._h11.start_next_cycle()
+        if on_response is not None:
+            on_response(response)
+
+    def _end_bodies(self, complete: bool) -> None:
+        """Release what is buffered or streamed for the request that was in flight."""
+        self._discard_upload()
+        self._stop_buffering()
+        if self._stall_timer is not None:
+            self._stall_timer.cancel()
+            self._stall_timer = None
+        sink = self._sink
+        if sink is not None:
+            self._flush_to_sink()
+            self._sink, self._sink_paused = None, False
+            self.body_memory.active_streams -= 1
+            self._update_reading()
+            if complete:
+                sink.end_response()
+            else:
+                sink.abort_response()
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """End the request in flight."""
+        on_response, self._on_response = self._on_response, None
+        if on_response is not None and self.reusable:
+            log.info(
+                "connection lost under its request number %d, %.1f ms after it was sent: %s",
+                self._request_count,
+                (asyncio.get_running_loop().time() - self._request_sent_at) * 1000,
+                exc or "it ended",
+                extra={"event": "server_connection_lost"},
+            )
+        self.reusable = False
+        self._end_bodies(False)
+        if on_response is not None:
+            on_response(None)
+        if self.on_closed is not None:
+            self.on_closed()
+
+    def abort(self) -> None:
+        """Close at once; what is not written yet never will be."""
+        self.reusable = False
+        self._end_bodies(False)
+        if self._transport is not None:
+            self._transport.abort()
