--- a/tests/support/discovery_world.py
+++ b/tests/support/discovery_world.py
@@ -33,7 +33,7 @@
 
 def consecutive_failures(world: World) -> int:
     """Return how many polls in a row the balancer has seen fail."""
-    failures: int = attrgetter("_engine.balancer.discovery.failed_calls")(world.sidecar)
+    failures: int = attrgetter("_engine.balancer.components.discovery.failed_calls")(world.sidecar)
     return failures
 
 
