--- a/tests/policy/test_discovery_schedule.py
+++ b/tests/policy/test_discovery_schedule.py
@@ -40,25 +40,25 @@
 
 
 def test_a_large_fleet_spreads_its_calls_at_the_start_and_after_failures() -> None:
-    first, again = [], []
+    first, repeated = [], []
     for seed in range(40):
         driver = BalancerDriver(settings(fleet_size=40), seed=seed)
         driver.receive_list(server_names(2), ListKind.CACHED)
         driver.advance(4 * S)
-        asked = [at for at, each in driver.timeline if isinstance(each, WatchEndpoints)]
-        first.append(asked[0] - START)
-        driver.now = max(driver.now, asked[0] + 2 * S)
+        called_at = [at for at, each in driver.timeline if isinstance(each, WatchEndpoints)]
+        first.append(called_at[0] - START)
+        driver.now = max(driver.now, called_at[0] + 2 * S)
         failed = driver.now
         driver.feed(EndpointListReceived(ListKind.FAILED))
         driver.advance(4 * S)
-        again.append(
+        repeated.append(
             next(at for at, each in driver.timeline if isinstance(each, WatchEndpoints) and at > failed)
             - failed
         )
-    for waits in (first, again):
+    for waits in (first, repeated):
         busiest = max(sum(at <= each < at + S for each in waits) for at in waits)
         assert busiest <= 25  # of 40 in any second
-    assert min(again) > 500 * MS
+    assert min(repeated) > 500 * MS
 
 
 def test_discovery_is_not_called_where_changes_are_pushed() -> None:
@@ -71,15 +71,15 @@
 
 def test_failed_calls_are_retried_forever_with_backoff() -> None:
     driver = BalancerDriver()
-    asked = []
+    called_at = []
     driver.receive_list(server_names(2), ListKind.CACHED)
     for _ in range(12):
-        asked.append(driver.now)
+        called_at.append(driver.now)
         count = len(driver.actions_of(WatchEndpoints))
         driver.feed(EndpointListReceived(ListKind.FAILED))
         while len(driver.actions_of(WatchEndpoints)) == count:
             driver.advance(5 * MS)
-    waits = [later - earlier for earlier, later in itertools.pairwise(asked)]
+    waits = [later - earlier for earlier, later in itertools.pairwise(called_at)]
     assert max(waits) < 10 * S / 2
     assert waits[-1] > 2 * waits[0]
 
@@ -98,12 +98,12 @@
     driver = BalancerDriver(settings(fleet_size=200))
     driver.receive_list(server_names(3))
     before = len(driver.actions_of(WatchEndpoints))
-    for silent in (
+    for unanswered in (
         1,
         2,
     ):  # the first call after a silent watch may be silent too: its news soon counts as told
         driver.feed(EndpointListReceived(ListKind.TIMED_OUT))
-        assert len(driver.actions_of(WatchEndpoints)) == before + silent
+        assert len(driver.actions_of(WatchEndpoints)) == before + unanswered
     driver.feed(
         EndpointListReceived(ListKind.TIMED_OUT)
     )  # a service that is overbooked is not asked in step by all
--- a/tests/policy/test_overrides.py
+++ b/tests/policy/test_overrides.py
@@ -18,11 +18,11 @@
     return driver
 
 
-def override(driver: BalancerDriver, server: str, excluded: bool) -> bool:
+def override(driver: BalancerDriver, server: str, disabled: bool) -> bool:
     """Request the override; return whether it was applied."""
     return any(
         isinstance(each, ApplyDisabledServers)
-        for each in driver.feed(ServerOverrideRequested(server, excluded))
+        for each in driver.feed(ServerOverrideRequested(server, disabled))
     )
 
 
@@ -38,8 +38,8 @@
     driver = driver_with_servers()
     assert override(driver, SERVERS[0], True)
     assert servers_used(driver) == set(SERVERS[1:])
-    lines = [ListedServer(each, zone="east", started_at=driver.now) for each in SERVERS[:1]]
-    driver.receive_list([*lines, *SERVERS[1:]], kind)
+    entries = [ListedServer(each, zone="east", started_at=driver.now) for each in SERVERS[:1]]
+    driver.receive_list([*entries, *SERVERS[1:]], kind)
     driver.advance(20 * S)  # its slow start is over
     assert servers_used(driver) == set(SERVERS[1:])
 
@@ -85,14 +85,14 @@
     assert SERVERS[0] in servers_used(driver)  # 1.6 s of fifty requests a second
 
 
-@pytest.mark.parametrize(("told", "waited_s"), [(False, 10), (True, 5)])
+@pytest.mark.parametrize(("is_listed", "waited_s"), [(False, 10), (True, 5)])
 def test_an_enabled_server_warms_up_from_its_listed_restart_or_else_from_now(
-    told: bool, waited_s: int
+    is_listed: bool, waited_s: int
 ) -> None:
     driver = driver_with_servers()
     driver.receive_list([ListedServer(SERVERS[0], "east", started_at=driver.now - 1 * S)], ListKind.DELTA)
     override(driver, SERVERS[0], True)
-    if told:
+    if is_listed:
         driver.receive_list([ListedServer(SERVERS[0], "east", started_at=driver.now)], ListKind.DELTA)
     driver.advance(5 * S)
     override(driver, SERVERS[0], False)
@@ -135,8 +135,8 @@
 
 def test_only_overrides_of_servers_that_were_never_listed_are_ignored() -> None:
     driver = driver_with_servers()
-    for excluded in (True, False):
-        assert not override(driver, "10.9.9.9:80", excluded)
+    for disabled in (True, False):
+        assert not override(driver, "10.9.9.9:80", disabled)
     driver.receive_list(SERVERS[1:])  # the first is removed and forgotten
     assert SERVERS[0] not in driver.balancer.servers
     assert override(driver, SERVERS[0], True)
@@ -179,9 +179,9 @@
         """Ten seconds of a hundred requests a second, dealt out in turn; one of four servers warms up."""
         until, count = drivers[0].now + 10 * S, 0
         out: list[tuple[BalancerDriver, int]] = []
-        cold = ListedServer("cold", zone="east", started_at=drivers[0].now)
+        warming = ListedServer("cold", zone="east", started_at=drivers[0].now)
         for driver in drivers:
-            driver.receive_list([cold], ListKind.DELTA)
+            driver.receive_list([warming], ListKind.DELTA)
         while drivers[0].now < until:
             for turn in drivers:
                 request = turn.request()
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -69,8 +69,8 @@
     driver.end_attempt(request, Outcome.CANCELLED, answered=True)
     other = driver.request("pay")
     assert driver.target_of(other) != unresponsive
-    again = driver.request("pay")
-    assert driver.target_of(again) in server_names(2)
+    third = driver.request("pay")
+    assert driver.target_of(third) in server_names(2)
     driver.advance(S)
     assert driver.balancer.servers[unresponsive].load(driver.now) <= 1
 
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -22,8 +22,8 @@
     driver.serve_traffic(300, every_us=10 * MS)
     capacity_per_s = 100 / 6
     began = driver.now
-    cold = ListedServer("10.0.0.6:80", zone="east", started_at=began)
-    driver.receive_list([cold], ListKind.DELTA)
+    warming = ListedServer("10.0.0.6:80", zone="east", started_at=began)
+    driver.receive_list([warming], ListKind.DELTA)
     while driver.now < began + 10 * S:
         requests = [driver.request() for _ in range(burst)]
         driver.advance(every_us)
@@ -65,18 +65,18 @@
 def test_a_warming_server_gets_about_what_its_weight_permits() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(5))
-    cold = ListedServer("10.0.0.9:80", zone="east", started_at=START + 15 * S)
+    warming = ListedServer("10.0.0.9:80", zone="east", started_at=START + 15 * S)
     while driver.now < START + 25 * S:
         if driver.now == START + 20 * S:
-            driver.receive_list([cold], ListKind.DELTA)
+            driver.receive_list([warming], ListKind.DELTA)
         requests = [driver.request() for _ in range(10)]
         driver.advance(50 * MS)
         for each in requests:
             driver.end_attempt(each)
     sent = [each.server for at, each in driver.attempts() if at >= START + 20 * S]
-    per_warm_server = sum(name != cold.server for name in sent) / 5
+    per_warm_server = sum(name != warming.server for name in sent) / 5
     weight = 0.2 + 0.8 * 7.5 / 10  # on average
-    assert 1.0 < sent.count(cold.server) / (per_warm_server * weight) < 1.6
+    assert 1.0 < sent.count(warming.server) / (per_warm_server * weight) < 1.6
 
 
 def test_balancers_with_little_traffic_start_sending_to_a_warming_server_at_different_times() -> None:
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -1,4 +1,4 @@
-"""A cold server under a whole fleet: what all balancers send it together stays within what it bears.
+"""Slow start under a whole fleet: what all balancers send a warming server stays within its capacity.
 
 The operators put only 2 x root of N + 2 requests beyond the budget of N down to chance, also with thirty
 processes, so the ramp has to hold for their sum.
@@ -15,8 +15,8 @@
 from sidecar_balancer.policy.events import ListedServer
 from sidecar_balancer.policy.types import ListKind
 
-WARMING_MIN_RATIO = 0.2  # of its capacity: where a cold server begins
-WARMING_US = 10 * S  # and until when it is warm
+WARMING_MIN_RATIO = 0.2  # of its capacity, at its start
+WARMING_US = 10 * S  # until it is warm
 FALL_MULTIPLE = 3.0
 FALL_US = 2 * S
 TAKING_US = 60 * MS
@@ -45,7 +45,7 @@
 
 
 def play_fleet(drivers: list[BalancerDriver], requests: list[tuple[int, int]], until: int) -> None:
-    """Let all balancers live through the same time; each request is answered after the same time."""
+    """Advance all balancers together; each request is delivered after the same latency."""
     ends: list[tuple[int, int, int]] = []
     while requests and requests[0][0] <= until:
         now, index = requests.pop(0)
@@ -64,16 +64,16 @@
     [(5, 60.0, 1.0), (20, 60.0, 1.0), (30, 60.0, 2.5), (30, 240.0, 2.5)],
     ids=["few", "twenty", "thirty in a burst", "thirty busy ones in a burst"],
 )
-def test_what_all_send_a_cold_server_stays_within_its_budget(
+def test_all_balancers_together_stay_within_the_budget_of_a_warming_server(
     processes: int, per_s: float, burst: float, seed: int
 ) -> None:
     given = settings(
         fleet_size=processes, rules={"slow_start_min_ratio": WARMING_MIN_RATIO, "slow_start_us": WARMING_US}
     )
     drivers = [BalancerDriver(given, seed=100 * seed + number) for number in range(processes)]
-    warm = server_names(10)
+    warm_servers = server_names(10)
     for driver in drivers:
-        driver.receive_list(warm)
+        driver.receive_list(warm_servers)
     joined = START + 15 * S
     play_fleet(drivers, arrivals(drivers, per_s, seed, joined), joined)
     for driver in drivers:
@@ -84,6 +84,7 @@
     sent = sorted(at for driver in drivers for at, each in driver.attempts() if each.server == JOINER)
     assert sent, "it is used while it warms up"
     for at in sent:
-        bound = budget(at - joined, per_s / len(warm))  # of the usual load: a burst makes no server stronger
+        # The budget follows the usual load: a burst does not raise a server's capacity.
+        bound = budget(at - joined, per_s / len(warm_servers))
         inside = sum(at - FALL_US < each <= at for each in sent)
         assert inside <= bound + chance(bound)
--- a/tests/policy/test_zone_evacuation.py
+++ b/tests/policy/test_zone_evacuation.py
@@ -46,22 +46,22 @@
     driver: BalancerDriver, count: int, failing: str = "", every_us: int = 20 * MS
 ) -> Counter[str]:
     """Requests one by one, each answered after 10 ms, but failed at once by the servers of zone `failing`."""
-    drawn: Counter[str] = Counter()
+    requests_by_zone: Counter[str] = Counter()
     for _ in range(count):
         driver.advance(every_us)
         request = driver.request()
         while driver.attempts(request) and zone_of(driver, request) == failing:
-            drawn[failing] += 1
+            requests_by_zone[failing] += 1
             driver.end_attempt(request, Outcome.CONNECT_FAILED)
             if len(driver.attempts(request)) >= 5 or (
-                zone_of(driver, request) == failing and drawn[failing] > 10**4
+                zone_of(driver, request) == failing and requests_by_zone[failing] > 10**4
             ):
                 break
         if driver.attempts(request) and zone_of(driver, request) != failing:
-            drawn[zone_of(driver, request)] += 1
+            requests_by_zone[zone_of(driver, request)] += 1
             driver.advance(10 * MS)
             driver.end_attempt(request)
-    return drawn
+    return requests_by_zone
 
 
 def evacuated_zones(driver: BalancerDriver) -> set[str]:
@@ -75,15 +75,15 @@
 
 def test_all_zones_are_used_if_the_own_zone_is_unknown() -> None:
     driver = driver_with_zones({"a": 4, "b": 4}, here="")
-    drawn = serve_zones(driver, 300)
-    assert min(drawn["a"], drawn["b"]) > 60
+    requests_by_zone = serve_zones(driver, 300)
+    assert min(requests_by_zone["a"], requests_by_zone["b"]) > 60
 
 
 def test_an_own_zone_of_one_server_does_not_get_all_traffic() -> None:
-    drawn = serve_zones(driver_with_zones({"a": 1, "b": 6}), 300)
+    requests_by_zone = serve_zones(driver_with_zones({"a": 1, "b": 6}), 300)
     # at least two servers are sampled
-    assert drawn["a"] > 0
-    assert drawn["b"] >= 100
+    assert requests_by_zone["a"] > 0
+    assert requests_by_zone["b"] >= 100
 
 
 def test_the_own_region_is_preferred_to_others() -> None:
@@ -108,9 +108,9 @@
 def test_a_failing_zone_is_evacuated_after_a_few_failures() -> None:
     driver = driver_with_zones({"a": 4, "b": 4})
     serve_zones(driver, 50)
-    drawn = serve_zones(driver, 40, failing="a")
+    requests_by_zone = serve_zones(driver, 40, failing="a")
     assert evacuated_zones(driver) == {"a"}
-    assert drawn["a"] <= 6
+    assert requests_by_zone["a"] <= 6
     assert (ZoneVerdict.EVACUATED, "a") in [
         (e.verdict, e.zone) for e in driver.actions_of(PublishZoneVerdict)
     ]
@@ -124,9 +124,9 @@
     assert evacuated_zones(driver) == set()  # its servers respond, which counts more
     driver.advance(5 * SECOND)
     driver.feed(PeerVerdictsReceived(evacuated_zones={"a": 2}))
-    drawn = serve_zones(driver, 5, failing="a")
+    requests_by_zone = serve_zones(driver, 5, failing="a")
     assert evacuated_zones(driver) == {"a"}
-    assert drawn["a"] == 1
+    assert requests_by_zone["a"] == 1
 
 
 def test_a_flapping_zone_is_evacuated_for_longer_each_time() -> None:
@@ -216,21 +216,23 @@
 
 
 def test_a_peer_verdict_lowers_odds_until_an_own_response_and_makes_one_failure_eject() -> None:
-    def drawn(peers: int, seed: int) -> int:
+    def requests_to_first_server(peers: int, seed: int) -> int:
         driver = BalancerDriver(settings(), seed=seed)
         driver.receive_list([f"s-{n}" for n in range(8)])
-        told = [PeerServerVerdict("s-0", ServerVerdict.EJECTED, None, peers)] if peers else []
+        verdicts = [PeerServerVerdict("s-0", ServerVerdict.EJECTED, None, peers)] if peers else []
         total = 0
         for _ in range(60):
             driver.feed(PeerVerdictsReceived([]))
-            driver.feed(PeerVerdictsReceived(told))
+            driver.feed(PeerVerdictsReceived(verdicts))
             request = driver.request()
             total += driver.target_of(request) == "s-0"
             driver.advance(10 * MS)
             driver.end_attempt(request)
         return total
 
-    plain, one, many = (sum(drawn(peers, seed) for seed in range(6)) for peers in (0, 1, 50))
+    plain, one, many = (
+        sum(requests_to_first_server(peers, seed) for seed in range(6)) for peers in (0, 1, 50)
+    )
     assert plain > one > many > plain / 8  # less, but never none: a peer that lies does no more than two
     driver = BalancerDriver(settings())
     driver.receive_list([f"s-{n}" for n in range(8)])
@@ -255,22 +257,22 @@
     failed = driver.target_of(request)
     driver.end_attempt(request, Outcome.APPLICATION_ERROR)
     assert driver.balancer.servers[failed].rejections[Flow("look", None)].until > driver.now
-    told = [
+    verdicts = [
         action
         for action in driver.actions_of(PublishServerVerdict)
         if action.verdict is ServerVerdict.FAILING
     ]
-    assert [(each.server, each.service_class) for each in told] == [(failed, "look")]
+    assert [(each.server, each.service_class) for each in verdicts] == [(failed, "look")]
 
 
 def test_the_demand_of_the_tier_reduces_the_weight_of_a_tenant_beyond_its_quota() -> None:
     driver = BalancerDriver(
         settings(tenants=[{"name": "t", "share": 1.0, "quota_per_s": 10.0}], over_share_weight=0.1)
     )
-    worth = driver.balancer.components.priorities.weight(Flow("look", "t"), 5 / SECOND, 5 / SECOND)
+    weight = driver.balancer.components.priorities.weight(Flow("look", "t"), 5 / SECOND, 5 / SECOND)
     driver.feed(TierDemandReceived({"t": 95.0}))
     over = driver.balancer.components.priorities.weight(Flow("look", "t"), 5 / SECOND, 5 / SECOND)
-    assert worth == pytest.approx(1.0)
+    assert weight == pytest.approx(1.0)
     assert over == pytest.approx(0.1 + 0.9 * 0.1)
 
 
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -75,16 +75,22 @@
 
 
 class BalancerDriver:
-    """Plays events to one balancer; timers fire by themselves as time moves on."""
+    """Feeds events to one balancer; its timers fire as time advances.
 
-    def __init__(self, given: Settings | None = None, seed: int = 7, now: int = START) -> None:
+    Attributes:
+        now: clock time in microseconds.
+        timeline: all actions with the time at which they were produced.
+    """
+
+    def __init__(self, balancer_settings: Settings | None = None, seed: int = 7, now: int = START) -> None:
         self.now = now
-        self.balancer = Balancer(given or settings(), seed)
+        self.balancer = Balancer(balancer_settings or settings(), seed)
         self.timeline: list[tuple[int, Action]] = []
         self._timers: list[tuple[int, str]] = []
-        self._next = 1
+        self._next_request = 1
 
     def feed(self, event: Event) -> list[Action]:
+        """Have the balancer handle an event now; return its actions."""
         actions = self.balancer.handle(self.now, event)
         for action in actions:
             self.timeline.append((self.now, action))
@@ -95,10 +101,12 @@
     def receive_list(
         self, listed: Iterable[str | ListedServer], kind: ListKind = ListKind.SNAPSHOT
     ) -> list[Action]:
-        lines = [ListedServer(each, zone="east") if isinstance(each, str) else each for each in listed]
-        return self.feed(EndpointListReceived(kind, lines, 1))
+        """Receive an endpoint list; names stand for ready servers in the own zone."""
+        entries = [ListedServer(entry, zone="east") if isinstance(entry, str) else entry for entry in listed]
+        return self.feed(EndpointListReceived(kind, entries, 1))
 
     def drain(self, server: str, state: ServerState = ServerState.DRAINING) -> list[Action]:
+        """Receive another state of one server."""
         return self.receive_list([ListedServer(server, zone="east", state=state)], ListKind.DELTA)
 
     def request(
@@ -109,7 +117,8 @@
         key: int | None = None,
         tenant: str | None = None,
     ) -> int:
-        number, self._next = self._next, self._next + 1
+        """Receive a request; return its number."""
+        number, self._next_request = self._next_request, self._next_request + 1
         self.feed(RequestReceived(number, name, tenant, key, remaining_us, cost_us))
         return number
 
@@ -121,54 +130,59 @@
         answered: bool | None = None,
         report: dict[str, float] | None = None,
     ) -> list[Action]:
-        sends = self.attempts(request)
-        index = len(sends) - 1 if attempt is None else attempt
-        sent_at, send = sends[index]
-        done = outcome is Outcome.DELIVERED if answered is None else answered
-        took = self.now - sent_at
-        return self.feed(AttemptEnded(request, index, send.server, outcome, took, done, report))
+        """End an attempt, the latest one by default."""
+        attempts = self.attempts(request)
+        index = len(attempts) - 1 if attempt is None else attempt
+        sent_at, sent = attempts[index]
+        is_answered = outcome is Outcome.DELIVERED if answered is None else answered
+        elapsed_us = self.now - sent_at
+        return self.feed(AttemptEnded(request, index, sent.server, outcome, elapsed_us, is_answered, report))
 
     def advance(self, span_us: int) -> None:
-        """Let time pass; due timers fire on the way."""
+        """Let time pass; timers fire when they are due."""
         until = self.now + span_us
         while True:
-            due = sorted(each for each in self._timers if each[0] <= until)
+            due = [timer for timer in self._timers if timer[0] <= until]
             if not due:
                 break
-            self._timers.remove(due[0])
-            self.now = max(self.now, due[0][0])
-            self.feed(TimerFired(due[0][1]))
+            timer = min(due)
+            self._timers.remove(timer)
+            self.now = max(self.now, timer[0])
+            self.feed(TimerFired(timer[1]))
         self.now = until
 
     def attempts(self, request: int | None = None) -> list[tuple[int, SendAttempt]]:
+        """The attempts sent, with their times: of one request, or all."""
         return [
-            (at, each)
-            for at, each in self.timeline
-            if isinstance(each, SendAttempt) and (request is None or each.request == request)
+            (at, action)
+            for at, action in self.timeline
+            if isinstance(action, SendAttempt) and (request is None or action.request == request)
         ]
 
     def target_of(self, request: int) -> str:
+        """The server of the request's latest attempt."""
         return self.attempts(request)[-1][1].server
 
     def actions_of(self, kind: type[_Kind]) -> list[_Kind]:
-        return [attempt for _, attempt in self.timeline if isinstance(attempt, kind)]
+        """All actions of one type so far."""
+        return [action for _, action in self.timeline if isinstance(action, kind)]
 
     def serve_traffic(
         self, count: int, every_us: int = 20 * MS, taking_us: int = 50 * MS, name: str = "look"
     ) -> None:
-        """Traffic in good health: a request every so often, each answered after the same time."""
+        """Receive requests at a fixed interval, each delivered after the same latency."""
         pending: list[tuple[int, int]] = []
         for _ in range(count):
             self.advance(every_us)
             pending.append((self.now + taking_us, self.request(name)))
             while pending and pending[0][0] <= self.now:
-                done = pending.pop(0)[1]
-                if self.attempts(done):
-                    self.end_attempt(done)
-        for _, done in pending:
+                request = pending.pop(0)[1]
+                if self.attempts(request):
+                    self.end_attempt(request)
+        for _, request in pending:
             self.advance(every_us)
-            if self.attempts(done):
-                self.end_attempt(done)
+            if self.attempts(request):
+                self.end_attempt(request)
 
 
 def serve_one_at_a_time(
