--- a/tests/discovery/test_poll_timing.py
+++ b/tests/discovery/test_poll_timing.py
@@ -12,7 +12,7 @@
 import pytest
 
 from discovery_world import balancer_of, served
-from helpers import START, S, Stage, names, settings
+from helpers import START, BalancerDriver, S, server_names, settings
 from loopback import answer, ask, request, until, world
 from sidecar_balancer.discovery import watch_state
 from sidecar_balancer.policy.actions import WatchEndpoints
@@ -28,12 +28,12 @@
 READINESS_REQUEST = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-def seconds_to_next_poll(stage: Stage) -> float:
+def seconds_to_next_poll(driver: BalancerDriver) -> float:
     """Let time pass until discovery is polled once more; return how long that took."""
-    started_at, polls = stage.now, len(stage.said(WatchEndpoints))
-    while len(stage.said(WatchEndpoints)) == polls:
-        stage.wait(S // 100)
-    return (stage.now - started_at) / S
+    started_at, polls = driver.now, len(driver.actions_of(WatchEndpoints))
+    while len(driver.actions_of(WatchEndpoints)) == polls:
+        driver.advance(S // 100)
+    return (driver.now - started_at) / S
 
 
 @pytest.mark.parametrize("poll_interval_us", [1 * S, 10 * S, 60 * S])
@@ -43,14 +43,14 @@
 ) -> None:
     longest_s = 0.0
     for seed in range(12):
-        stage = Stage(
+        driver = BalancerDriver(
             settings(fleet_size=fleet_size, rules={"poll_interval_us": poll_interval_us}), seed=seed
         )
-        stage.servers(names(2), ListKind.CACHED)
-        longest_s = max(longest_s, 0.0 if stage.said(WatchEndpoints) else seconds_to_next_poll(stage))
+        driver.receive_list(server_names(2), ListKind.CACHED)
+        longest_s = max(longest_s, 0.0 if driver.actions_of(WatchEndpoints) else seconds_to_next_poll(driver))
         for _ in range(FAILED_POLLS):
-            stage.play(EndpointListReceived(ListKind.FAILED))
-            longest_s = max(longest_s, seconds_to_next_poll(stage))
+            driver.feed(EndpointListReceived(ListKind.FAILED))
+            longest_s = max(longest_s, seconds_to_next_poll(driver))
     # Discovery comes back just after a poll failed: the wait, the next poll and its response follow.
     assert longest_s + RESPONSE_S + MARGIN_S <= IN_FORCE_S
 
@@ -59,10 +59,10 @@
 def test_waits_after_failures_spread_the_polls_of_a_large_fleet(fleet_size: int) -> None:
     polled_at = []
     for seed in range(100):
-        stage = Stage(settings(fleet_size=fleet_size), seed=seed)
-        stage.servers(names(2))
-        stage.play(EndpointListReceived(ListKind.FAILED))  # all watches end together as discovery goes down
-        polled_at.append(seconds_to_next_poll(stage))
+        driver = BalancerDriver(settings(fleet_size=fleet_size), seed=seed)
+        driver.receive_list(server_names(2))
+        driver.feed(EndpointListReceived(ListKind.FAILED))  # all watches end together as discovery goes down
+        polled_at.append(seconds_to_next_poll(driver))
     busiest = max(sum(start <= at < start + 0.5 for at in polled_at) for start in polled_at)
     assert busiest <= 35  # of 100 in any half second
 
@@ -138,8 +138,8 @@
 @pytest.mark.parametrize("fleet_size", FLEET_SIZES)
 def test_the_first_poll_of_a_fleet_of_any_size_comes_within_the_bound(fleet_size: int) -> None:
     for seed in range(20):
-        stage = Stage(settings(fleet_size=fleet_size), seed=seed)
-        stage.servers(names(2), ListKind.CACHED)
-        if not stage.said(WatchEndpoints):
-            seconds_to_next_poll(stage)
-        assert (stage.now - START) / S + RESPONSE_S + MARGIN_S <= IN_FORCE_S
+        driver = BalancerDriver(settings(fleet_size=fleet_size), seed=seed)
+        driver.receive_list(server_names(2), ListKind.CACHED)
+        if not driver.actions_of(WatchEndpoints):
+            seconds_to_next_poll(driver)
+        assert (driver.now - START) / S + RESPONSE_S + MARGIN_S <= IN_FORCE_S
