--- a/bench/logging_cost.py
+++ b/bench/logging_cost.py
@@ -22,7 +22,8 @@
 from earlier import ROOT, cpu_s, sources
 
 from sidecar_balancer.observability.logs import LogConfig, configure_logging
-from world import Catalogue, world
+from stub_cluster import running_cluster
+from stub_servers import StubServer
 
 _log = logging.getLogger(__name__)
 BEFORE = "51ec53d"  # the last version that logged plain text alone
@@ -32,22 +33,24 @@
     program: Path, changes: dict[str, Any], failing: bool, requests: int
 ) -> tuple[float, float]:
     """CPU us a request, and lines of log a second."""
-    servers = [Catalogue(f"a-{number}", "a", work_s=0.002, slots=16) for number in range(6)]
+    servers = [StubServer(f"a-{number}", "a", work_s=0.002, slots=16) for number in range(6)]
     for each in servers if failing else ():
-        each.fails = {"pay"}
+        each.failing_classes = {"pay"}
     with tempfile.TemporaryDirectory() as folder:
-        async with world(Path(folder), 1, servers, "a", clients=16, changes=changes, program=program) as made:
+        async with running_cluster(
+            Path(folder), 1, servers, "a", clients=16, config_changes=changes, program_folder=program
+        ) as made:
             pid = made.tier.processes[0].pid
-            made.load.pay_every = 3
+            made.load.requests_per_payment = 3
             made.load.start()
-            while len(made.load.answers) < requests // 4:  # past the start
+            while len(made.load.responses) < requests // 4:  # past the start
                 await asyncio.sleep(0.01)
             loop = asyncio.get_running_loop()
-            began, cpu, count = loop.time(), cpu_s(pid), len(made.load.answers)
-            while len(made.load.answers) < count + requests:
+            began, cpu, count = loop.time(), cpu_s(pid), len(made.load.responses)
+            while len(made.load.responses) < count + requests:
                 await asyncio.sleep(0.01)
             took, spent = loop.time() - began, cpu_s(pid) - cpu
-            done = len(made.load.answers) - count
+            done = len(made.load.responses) - count
             await made.load.stop()
             lines = (Path(folder) / "n0" / "log").read_bytes().count(b"\n")
             return 1e6 * spent / done, lines / took
--- a/bench/membership_processes.py
+++ b/bench/membership_processes.py
@@ -1,8 +1,9 @@
-"""The peer plane with many sidecar processes on one core: membership, a tier-wide ban, load, false deaths.
+"""The membership plane with many sidecar processes on one core: convergence, load and false deaths.
 
-`--size` processes (64) are pinned to one core of this machine.  Printed: seconds until every sidecar holds
-every other alive, ms until a ban at one door holds at all, and then, over `--span` seconds at rest, CPU
-share and bytes a second of a process, and how many members were held dead though they live.
+`--size` processes (64) are pinned to one core of this machine.  Printed: seconds until every sidecar has
+every other alive, ms until a server disabled at one sidecar is disabled at all, and then, over `--span`
+seconds at rest, CPU share and bytes a second of a process, and how many members were dead in a view though
+they live.
 
     .venv/bin/python bench/membership_processes.py [--size N] [--span S] [--period MS]
 """
@@ -20,82 +21,101 @@
 
 from earlier import cpu_s, revision
 
-from harness import PLANE, Tier
+from harness import MEMBERSHIP_ON, Tier
 
-PATIENCE_S = 120.0
+TIMEOUT_S = 120.0
+POLL_INTERVAL_S = 1.0
+DISABLING_SIDECAR = 3
 
 
 async def views(tier: Tier) -> list[dict[str, Any]]:
-    """What each door that answers tells of its members."""
-    told = await asyncio.gather(*(tier.members(number) for number in range(tier.size)))
-    return [each for each in told if each is not None]
+    """The member views of the sidecars that answer."""
+    answers = await asyncio.gather(*(tier.members(number) for number in range(tier.size)))
+    return [view for view in answers if view is not None]
 
 
-async def play(size: int, span: float, period_ms: int) -> None:
-    plane = {**PLANE, "period_ms": period_ms, "probe_timeout_ms": period_ms // 2}
+async def false_deaths(tier: Tier) -> int:
+    """How often a member is dead in a view."""
+    return sum(status == "dead" for view in await views(tier) for status, _ in view["members"].values())
+
+
+async def run(size: int, span_s: float, period_ms: int) -> None:
+    """Start the tier and print its figures."""
+    membership = {**MEMBERSHIP_ON, "period_ms": period_ms, "probe_timeout_ms": period_ms // 2}
     with tempfile.TemporaryDirectory() as folder:
         tier = Tier(size, Path(folder))
         await tier.open()
         try:
-            await measure(tier, plane, span)
+            await measure_start(tier, membership)
+            await measure_disabling(tier)
+            await measure_rest(tier, span_s)
         finally:
             await tier.close()
 
 
-async def measure(tier: Tier, plane: dict[str, Any], span: float) -> None:
+async def measure_start(tier: Tier, membership: dict[str, Any]) -> None:
+    """Start all sidecars and wait until every one has all others alive."""
     loop, core = asyncio.get_running_loop(), max(os.sched_getaffinity(0))
-    began = loop.time()
+    started_s = loop.time()
     for number in range(tier.size):
-        await tier.start(number, plane)
+        await tier.start(number, membership)
         os.sched_setaffinity(tier.processes[number].pid, {core})
 
     async def all_alive() -> bool:
         seen = await views(tier)
-        alive = [all(s == "alive" for s, _ in each["members"].values()) for each in seen]
+        alive = [all(status == "alive" for status, _ in view["members"].values()) for view in seen]
         return len(alive) == tier.size and all(alive)
 
-    await tier.until(all_alive, PATIENCE_S)
-    print(f"{revision()}: {tier.size} processes on one core, period {plane['period_ms']} ms")
-    print(f"all hold all alive     {loop.time() - began:8.1f} s after the first start")
-    began = loop.time()
-    status, _ = await tier.call(3, "PUT", "/api/exclude/s-1")
+    await tier.wait_until(all_alive, TIMEOUT_S)
+    period_ms = membership["period_ms"]
+    print(f"{revision()}: {tier.size} processes on one core, period {period_ms} ms")
+    print(f"all hold all alive     {loop.time() - started_s:8.1f} s after the first start")
+
+
+async def measure_disabling(tier: Tier) -> None:
+    """Disable a server at one sidecar and wait until it is disabled at all that answer."""
+    loop = asyncio.get_running_loop()
+    started_s = loop.time()
+    response = await tier.call_admin(DISABLING_SIDECAR, "PUT", "/api/exclude/s-1")
 
-    async def banned() -> bool:
-        return all(each["excluded"] == ["s-1"] for each in await views(tier)) and status == 200
+    async def disabled() -> bool:
+        return all(view["excluded"] == ["s-1"] for view in await views(tier)) and response.status == 200
 
-    await tier.until(banned, PATIENCE_S)
-    took_ms = 1000 * (loop.time() - began)
+    await tier.wait_until(disabled, TIMEOUT_S)
+    took_ms = 1000 * (loop.time() - started_s)
     print(f"a ban holds at all     {took_ms:8.0f} ms after its yes, as all {tier.size} doors tell")
+
+
+async def measure_rest(tier: Tier, span_s: float) -> None:
+    """Measure CPU, bytes and false deaths over `span_s` seconds."""
+    loop = asyncio.get_running_loop()
     pids = [tier.processes[number].pid for number in range(tier.size)]
-    cpu, before, at = [cpu_s(pid) for pid in pids], await views(tier), loop.time()
+    cpu_before_s, before, started_s = [cpu_s(pid) for pid in pids], await views(tier), loop.time()
     dead = 0
-    while loop.time() < at + span:
-        await asyncio.sleep(1.0)
-        dead = max(dead, await held_dead(tier))
-    took, after = loop.time() - at, await views(tier)
-    share = [(cpu_s(pid) - was) / took for pid, was in zip(pids, cpu, strict=True)]
-    rate = [(b["sent"][1] - a["sent"][1]) / took for a, b in zip(before, after, strict=True)]
-    print(
-        f"CPU share of a process {statistics.median(share):8.2%} median, {sum(share):.0%} of the core in all"
-    )
-    print(f"sent by a process      {statistics.median(rate):8.0f} bytes/s median, {max(rate):.0f} most")
-    print(f"held dead though alive {dead:8} at once at most, over {span:.0f} s")
-    dropped = [json.dumps(each["dropped"]) for each in after if each["dropped"]]
+    while loop.time() < started_s + span_s:
+        await asyncio.sleep(POLL_INTERVAL_S)
+        dead = max(dead, await false_deaths(tier))
+    took_s, after = loop.time() - started_s, await views(tier)
+    cpu_ratios = [(cpu_s(pid) - earlier) / took_s for pid, earlier in zip(pids, cpu_before_s, strict=True)]
+    rates = [
+        (later["sent"][1] - earlier["sent"][1]) / took_s for earlier, later in zip(before, after, strict=True)
+    ]
+    median_cpu, total_cpu = statistics.median(cpu_ratios), sum(cpu_ratios)
+    print(f"CPU share of a process {median_cpu:8.2%} median, {total_cpu:.0%} of the core in all")
+    print(f"sent by a process      {statistics.median(rates):8.0f} bytes/s median, {max(rates):.0f} most")
+    print(f"held dead though alive {dead:8} at once at most, over {span_s:.0f} s")
+    dropped = [json.dumps(view["dropped"]) for view in after if view["dropped"]]
     print(f"doors with drops       {len(dropped):8} {dropped[0] if dropped else ''}")
 
 
-async def held_dead(tier: Tier) -> int:
-    seen = await views(tier)
-    return sum(status == "dead" for each in seen for status, _ in each["members"].values())
-
-
 def main() -> None:
+    """Run the bench that the command line describes."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n\n")[0])
     parser.add_argument("--size", type=int, default=64)
     parser.add_argument("--span", type=float, default=10.0)
     parser.add_argument("--period", type=int, default=1000)
     args = parser.parse_args()
-    asyncio.run(play(args.size, args.span, args.period))
+    asyncio.run(run(args.size, args.span, args.period))
 
 
 if __name__ == "__main__":
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -19,8 +19,9 @@
 
 from earlier import revision
 
-from harness import PLANE
-from world import Catalogue, world
+from harness import MEMBERSHIP_ON
+from stub_cluster import running_cluster
+from stub_servers import StubServer
 
 ON = {"state": {"on": True, "every_ms": 100, "warm_ms": 400}}
 VARIANTS: dict[str, dict[str, Any]] = {"cold": {}, "snapshot": ON, "peers": ON}
@@ -29,21 +30,21 @@
 
 async def trial(variant: str, seed: int, span: float) -> tuple[float, float, int, int, int]:
     """ms to ready, ms to the first good answer, failed of how many, its attempts at silent servers."""
-    servers = [Catalogue(f"a-{number}", "a", work_s=0.01) for number in range(12)]
+    servers = [StubServer(f"a-{number}", "a", work_s=0.01) for number in range(12)]
     with tempfile.TemporaryDirectory() as folder:
-        given = world(Path(folder), 3, servers, "a", seed, PLANE, 8, VARIANTS[variant])
+        given = running_cluster(Path(folder), 3, servers, "a", seed, MEMBERSHIP_ON, 8, VARIANTS[variant])
         async with given as made:
-            made.load.pay_every = 2
+            made.load.requests_per_payment = 2
             made.load.start()
-            while len(made.load.answers) < 600:
+            while len(made.load.responses) < 600:
                 await asyncio.sleep(0.01)
             for each in servers[:3]:
-                each.silent = True
+                each.unresponsive = True
             at = asyncio.get_running_loop().time()
             while asyncio.get_running_loop().time() < at + 4.0:  # they learn of it, and keep it
                 await asyncio.sleep(0.05)
             await made.tier.kill(0)
-            before = sum(each.met[0] for each in servers[:3])
+            before = sum(each.attempts_by_sidecar[0] for each in servers[:3])
             for path in (Path(folder) / "n0").glob("state-*") if variant == "peers" else ():
                 path.unlink()
             loop = asyncio.get_running_loop()
@@ -51,14 +52,14 @@
             await made.tier.start(0)
             ready = None
             while loop.time() < began + span:
-                if ready is None and (await made.tier.call(0, "GET", "/api/ready"))[0] == 200:
+                if ready is None and (await made.tier.call_admin(0, "GET", "/api/ready")).status == 200:
                     ready = 1000 * (loop.time() - began)
                 await asyncio.sleep(0.005 if ready is None else 0.1)
-            met = sum(each.met[0] for each in servers[:3]) - before
+            met = sum(each.attempts_by_sidecar[0] for each in servers[:3]) - before
             await made.load.stop()
             mine = [each for each in made.load.since(began) if each.sidecar == 0 and each.status]
             good = [each for each in mine if each.status == 200 and each.took_s <= AIM_S]
-            first = 1000 * (min(each.at for each in good) - began)
+            first = 1000 * (min(each.at_s for each in good) - began)
             return ready or float("nan"), first, len(mine) - len(good), len(mine), met
 
 
--- a/bench/zones.py
+++ b/bench/zones.py
@@ -1,10 +1,10 @@
-"""Zones before and after, on real processes: the same tier, servers, load and seeds, played by two versions.
+"""Zones before and after, on real processes: the same tier, servers, load and seeds, run by two versions.
 
-Two sidecars, one in each of two zones, four servers a zone.  Scenes: steady; a zone lost for some seconds
-and back cold; a zone that falls silent; a zone that flaps.  Printed for each: requests answered from
-another zone, p50 and p99 latency in ms, failed requests, the most that a returning cold server was sent of
-what pushes it over (`over`, 1.0 tips it), and for this version how long the sidecar of the lost zone took
-to leave it.
+Two sidecars, one in each of two zones, four servers a zone.  Scenarios: steady; a zone that fails for some
+seconds and restarts; a zone that becomes unresponsive; a zone that flaps.  Printed for each: requests
+answered from another zone, p50 and p99 latency in ms, failed requests, the most that a server which warms
+up was sent of what overloads it (`over`; at 1.0 it is overloaded), and for this version how long the
+sidecar of the failed zone took to evacuate it.
 
     .venv/bin/python bench/zones.py [--before REV] [--seeds K] [--span S]
 """
@@ -22,95 +22,154 @@
 
 from earlier import ROOT, sources
 
-from harness import PLANE
-from world import Catalogue, World, world
+from harness import MEMBERSHIP_ON
+from load_generator import ResponseRecord
+from stub_cluster import Cluster, running_cluster
+from stub_servers import StubServer
 
 BEFORE = "51ec53d"  # the last version without zones
-ON: dict[str, Any] = {"locality": {"on": True, "ramp_ms": 4000}}
+ZONES_ON: dict[str, Any] = {"locality": {"on": True, "ramp_ms": 4000}}
+ZONES = "ab"  # of the sidecars, in order
+SERVERS_PER_ZONE = 4
+CLIENTS = 6
+WARM_UP_RESPONSES = 300
+POLL_INTERVAL_S = 0.05
+
+Scenario = Callable[[Cluster, float], Awaitable[float | None]]
 
 
 @dataclass
-class Figures:
-    cross: float
-    p50_ms: float
-    p99_ms: float
-    failed: int
-    asked: int
-    over: float
-    leave_ms: float | None
+class Version:
+    """A version of the program and its configuration."""
 
+    name: str
+    program_folder: Path
+    config_changes: dict[str, Any]
 
-Scene = Callable[[World, float], Awaitable[float | None]]
 
+@dataclass
+class Figures:
+    """What one run of a scenario gave."""
 
-async def steady(made: World, span: float) -> float | None:
-    await asyncio.sleep(2 * span)
+    cross_zone_ratio: float
+    p50_ms: float
+    p99_ms: float
+    failed: int
+    requests: int
+    peak_overload_ratio: float
+    evacuation_ms: float | None
+
+    def row(self) -> str:
+        """The figures as columns."""
+        evacuation = "-" if self.evacuation_ms is None else f"{self.evacuation_ms:.0f} ms"
+        failed = f"{self.failed} of {self.requests}"
+        return (
+            f"{self.cross_zone_ratio:6.1%} {self.p50_ms:5.0f} {self.p99_ms:6.0f} "
+            f"{failed:>12} {self.peak_overload_ratio:5.2f} {evacuation}"
+        )
+
+
+async def steady(_cluster: Cluster, span_s: float) -> float | None:
+    """No fault."""
+    await asyncio.sleep(2 * span_s)
     return None
 
 
-async def lost(made: World, span: float) -> float | None:
-    await made.kill_zone("b")
-    took = await left_after(made, span)
-    await made.return_zone("b")
-    await asyncio.sleep(span)
-    return took
+async def failed_zone(cluster: Cluster, span_s: float) -> float | None:
+    """The servers of zone b crash and restart."""
+    await cluster.crash_zone("b")
+    evacuation_ms = await evacuation_time(cluster, span_s)
+    await cluster.restart_zone("b")
+    await asyncio.sleep(span_s)
+    return evacuation_ms
 
 
-async def silent(made: World, span: float) -> float | None:
-    for each in made.zone("b"):
-        each.silent = True
-    took = await left_after(made, span)
-    for each in made.zone("b"):
-        each.silent = False
-    await asyncio.sleep(span)
-    return took
+async def unresponsive_zone(cluster: Cluster, span_s: float) -> float | None:
+    """The servers of zone b answer nothing for a while."""
+    for server in cluster.servers_in("b"):
+        server.unresponsive = True
+    evacuation_ms = await evacuation_time(cluster, span_s)
+    for server in cluster.servers_in("b"):
+        server.unresponsive = False
+    await asyncio.sleep(span_s)
+    return evacuation_ms
 
 
-async def flaps(made: World, span: float) -> float | None:
+async def flapping_zone(cluster: Cluster, span_s: float) -> float | None:
+    """The servers of zone b crash and restart four times."""
     for _ in range(4):
-        await made.kill_zone("b")
-        await asyncio.sleep(span / 4)
-        await made.return_zone("b", tell=False)
-        await asyncio.sleep(span / 4)
+        await cluster.crash_zone("b")
+        await asyncio.sleep(span_s / 4)
+        await cluster.restart_zone("b", notify=False)
+        await asyncio.sleep(span_s / 4)
     return None
 
 
-SCENES: dict[str, Scene] = {"steady": steady, "lost": lost, "silent": silent, "flaps": flaps}
+SCENARIOS: dict[str, Scenario] = {
+    "steady": steady,
+    "lost": failed_zone,
+    "silent": unresponsive_zone,
+    "flaps": flapping_zone,
+}
 
 
-async def left_after(made: World, span: float) -> float | None:
-    """Wait `span` seconds; ms after which sidecar 1 had left the zone, as its door tells."""
+async def evacuation_time(cluster: Cluster, span_s: float) -> float | None:
+    """Wait `span_s` seconds; the ms after which sidecar 1 evacuated zone b, by its own account."""
     loop = asyncio.get_running_loop()
-    began, found = loop.time(), None
-    while loop.time() < began + span:
-        told = (await made.zones(1)).get("zones", {}).get("b")
-        if found is None and told and told["left_for_ms"] is not None:
-            found = 1000 * (loop.time() - began) - told["left_for_ms"]
-        await asyncio.sleep(0.05)
-    return found
-
-
-async def measure(program: Path, changes: dict[str, Any], scene: Scene, seed: int, span: float) -> Figures:
-    servers = [Catalogue(f"{zone}-{number}", zone) for zone in "ab" for number in range(4)]
+    started_s, found_ms = loop.time(), None
+    while loop.time() < started_s + span_s:
+        view = (await cluster.zones(1)).get("zones", {}).get("b")
+        if found_ms is None and view and view["left_for_ms"] is not None:
+            found_ms = 1000 * (loop.time() - started_s) - view["left_for_ms"]
+        await asyncio.sleep(POLL_INTERVAL_S)
+    return found_ms
+
+
+async def measure(version: Version, scenario: Scenario, seed: int, span_s: float) -> Figures:
+    """Run one scenario with one version."""
+    servers = [StubServer(f"{zone}-{number}", zone) for zone in ZONES for number in range(SERVERS_PER_ZONE)]
     with tempfile.TemporaryDirectory() as folder:
-        given = world(Path(folder), 2, servers, "ab", seed, PLANE, 6, changes, program=program)
-        async with given as made:
-            made.load.start()
-            while len(made.load.answers) < 300:
-                await asyncio.sleep(0.01)
-            at = asyncio.get_running_loop().time()
-            leave = await scene(made, span)
-            await made.load.stop()
-            heard = made.load.since(at)
-    good = [each for each in heard if each.status == 200]
-    took = sorted(1000 * each.took_s for each in good)
-    cross = sum(each.server[0] != "ab"[each.sidecar] for each in good) / max(len(good), 1)
-    over = max(each.over for each in servers)
-    p99 = took[int(0.99 * (len(took) - 1))]
-    return Figures(cross, statistics.median(took), p99, len(heard) - len(good), len(heard), over, leave)
+        starting = running_cluster(
+            Path(folder),
+            len(ZONES),
+            servers,
+            ZONES,
+            seed,
+            MEMBERSHIP_ON,
+            CLIENTS,
+            version.config_changes,
+            program_folder=version.program_folder,
+        )
+        async with starting as cluster:
+            cluster.load.start()
+            await cluster.load.wait_for_responses(WARM_UP_RESPONSES)
+            started_s = asyncio.get_running_loop().time()
+            evacuation_ms = await scenario(cluster, span_s)
+            await cluster.load.stop()
+            responses = cluster.load.since(started_s)
+    return figures(responses, servers, evacuation_ms)
+
+
+def figures(
+    responses: list[ResponseRecord], servers: list[StubServer], evacuation_ms: float | None
+) -> Figures:
+    """Sum up a run."""
+    successes = [response for response in responses if response.status == 200]
+    times_ms = sorted(1000 * response.took_s for response in successes)
+    cross_zone = sum(response.server[0] != ZONES[response.sidecar] for response in successes)
+    return Figures(
+        cross_zone_ratio=cross_zone / max(len(successes), 1),
+        p50_ms=statistics.median(times_ms),
+        p99_ms=times_ms[int(0.99 * (len(times_ms) - 1))],
+        failed=len(responses) - len(successes),
+        requests=len(responses),
+        peak_overload_ratio=max(server.peak_overload_ratio for server in servers),
+        evacuation_ms=evacuation_ms,
+    )
 
 
 def main() -> None:
+    """Run every scenario with both versions."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n\n")[0])
     parser.add_argument("--before", default=BEFORE)
     parser.add_argument("--seeds", type=int, default=2)
@@ -118,18 +177,16 @@
     args = parser.parse_args()
     columns = f"{'cross':>6} {'p50':>5} {'p99':>6} {'failed':>12} {'over':>5} leave"
     print(f"{'scene':8} {'version':16} {'seed':>4} {columns}")
-    with sources(args.before) as old:
-        for name, scene in SCENES.items():
+    with sources(args.before) as before_folder:
+        versions = [
+            Version(f"before {args.before}", before_folder, {}),
+            Version("now, on", ROOT, ZONES_ON),
+        ]
+        for name, scenario in SCENARIOS.items():
             for seed in range(1, args.seeds + 1):
-                for version, program, changes in ((f"before {args.before}", old, {}), ("now, on", ROOT, ON)):
-                    f = asyncio.run(measure(program, changes, scene, seed, args.span))
-                    leave = "-" if f.leave_ms is None else f"{f.leave_ms:.0f} ms"
-                    share = f"{f.failed} of {f.asked}"
-                    print(
-                        f"{name:8} {version:16} {seed:4} {f.cross:6.1%} {f.p50_ms:5.0f} {f.p99_ms:6.0f} "
-                        f"{share:>12} {f.over:5.2f} {leave}",
-                        flush=True,
-                    )
+                for version in versions:
+                    row = asyncio.run(measure(version, scenario, seed, args.span)).row()
+                    print(f"{name:8} {version.name:16} {seed:4} {row}", flush=True)
 
 
 if __name__ == "__main__":
--- a/tests/cluster/test_cli.py
+++ b/tests/cluster/test_cli.py
@@ -8,8 +8,9 @@
 from pathlib import Path
 from typing import Any
 
-from harness import ROOT, Tier, free_ports, new_host, play, text, tier
-from world import Catalogue, world
+from harness import ROOT, Tier, free_ports, new_host, run_scenario, running_tier, text
+from stub_cluster import running_cluster
+from stub_servers import StubServer
 
 
 async def weirlock(*arguments: str) -> tuple[int, str, str]:
@@ -29,9 +30,9 @@
 
 def test_the_command_calls_the_door_and_says_what_is_wrong(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with tier(2, tmp_path, seed=17) as made:
-            door = text(made.doors[0])
-            await made.until(lambda: _answers(made))
+        async with running_tier(2, tmp_path, seed=17) as made:
+            door = text(made.admin_addresses[0])
+            await made.wait_until(lambda: _answers(made))
             code, out, _ = await weirlock("members", "--door", door)
             assert code == 0 and json.loads(out)["me"] == 0
             assert (await weirlock("ban", "s-1", "--door", door))[:2] == (0, "yes\n")
@@ -44,22 +45,22 @@
         code, _, err = await weirlock("drain")
         assert code == 2 and err.startswith("no door")
 
-    play(scene())
+    run_scenario(scene())
 
 
 def test_status_servers_and_zones_show_what_a_sidecar_under_load_holds(tmp_path: Path) -> None:
     async def scene() -> None:
-        servers = [Catalogue("a-0", "a"), Catalogue("b-0", "b")]
+        servers = [StubServer("a-0", "a"), StubServer("b-0", "b")]
         locality = {"locality": {"on": True}}
-        async with world(tmp_path, 1, servers, "a", changes=locality) as made:
-            door = text(made.tier.doors[0])
+        async with running_cluster(tmp_path, 1, servers, "a", config_changes=locality) as made:
+            door = text(made.tier.admin_addresses[0])
             made.load.start()
-            while len(made.load.answers) < 100:
+            while len(made.load.responses) < 100:
                 await asyncio.sleep(0.01)
             await made.load.stop()
             code, out, _ = await weirlock("status", "--door", door, "--json")
             told = json.loads(out)
-            good = sum(each.status == 200 for each in made.load.answers)
+            good = sum(each.status == 200 for each in made.load.responses)
             assert code == 0 and told["ready"] and told["answered"]["200"] == good
             assert sum(each["count"] for each in told["latency_ms"].values()) == good
             for each in told["latency_ms"].values():
@@ -70,7 +71,7 @@
             assert code == 0 and "here: a" in out and "failed_share" in out
             assert (await weirlock("duties", "--door", door))[:1] == (1,)  # there are none here
 
-    play(scene())
+    run_scenario(scene())
 
 
 def test_check_config_says_ok_or_a_line_for_each_fault(tmp_path: Path) -> None:
@@ -96,7 +97,7 @@
                 assert line.startswith("bad configuration: ") and name in line
         await made.close()
 
-    play(scene())
+    run_scenario(scene())
 
 
 def test_a_door_that_never_answers_is_waited_for_no_longer_than_told(tmp_path: Path) -> None:
@@ -111,7 +112,7 @@
         assert (code, out, len(err.splitlines())) == (1, "", 1) and "timed out" in err
         server.close()
 
-    play(scene())
+    run_scenario(scene())
 
 
 async def _answers(made: Tier) -> bool:
--- a/tests/cluster/test_recovery.py
+++ b/tests/cluster/test_recovery.py
@@ -6,83 +6,88 @@
 import shutil
 from pathlib import Path
 
-from harness import PLANE, play
-from world import Catalogue, World, world
+from harness import MEMBERSHIP_ON, run_scenario
+from stub_cluster import Cluster, running_cluster
+from stub_servers import StubServer
 
 STATE = {"state": {"on": True, "every_ms": 50, "warm_ms": 400}}
 
 
-def servers(count: int = 4) -> list[Catalogue]:
-    return [Catalogue(f"a-{number}", "a") for number in range(count)]
+def servers(count: int = 4) -> list[StubServer]:
+    return [StubServer(f"a-{number}", "a") for number in range(count)]
 
 
 def log_of(folder: Path, number: int) -> str:
     return (folder / f"n{number}" / "log").read_text(encoding="utf-8")
 
 
-async def again(made: World, number: int) -> None:
+async def again(made: Cluster, number: int) -> None:
     """kill -9 and a new start."""
     await made.tier.kill(number)
     await made.tier.start(number)
-    await made.tier.until(made.tier.all_ready)
+    await made.tier.wait_until(made.tier.all_ready)
 
 
 def test_after_kill_9_under_load_it_goes_on_from_its_disk_and_nothing_ran_twice(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with world(tmp_path, 1, servers(), "a", changes=STATE) as made:
+        async with running_cluster(tmp_path, 1, servers(), "a", config_changes=STATE) as made:
             made.load.start()
-            await made.load.answered(200)
+            await made.load.wait_for_responses(200)
             dead = made.servers[0]
-            dead.die()
-            await made.tier.until(lambda: logged(tmp_path, 0, "ejected a-0"))
-            await made.tier.until(lambda: kept(tmp_path))
+            dead.crash()
+            await made.tier.wait_until(lambda: logged(tmp_path, 0, "ejected a-0"))
+            await made.tier.wait_until(lambda: kept(tmp_path))
             await again(made, 0)
             assert "servers and 0 verdicts recalled" in log_of(tmp_path, 0)
             assert "ejected a-0: recalled" in log_of(tmp_path, 0)
             at = asyncio.get_running_loop().time()
-            await made.load.answered(100)
+            await made.load.wait_for_responses(100)
             assert sum(each.status == 200 for each in made.load.since(at)) >= 90
             await made.load.stop()
-            assert not made.ran_twice()
+            assert not made.executed_twice()
 
-    play(scene())
+    run_scenario(scene())
 
 
 def test_one_that_kept_nothing_is_told_by_its_peers_before_it_says_ready(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with world(tmp_path, 3, servers(), "a", plane=PLANE, changes=STATE) as made:
+        async with running_cluster(
+            tmp_path, 3, servers(), "a", membership=MEMBERSHIP_ON, config_changes=STATE
+        ) as made:
             made.load.start()
-            await made.load.answered(300)
-            made.servers[0].die()
-            await made.tier.until(lambda: held(made, 1, "a-0"))
-            await made.tier.until(lambda: held(made, 2, "a-0"))
+            await made.load.wait_for_responses(300)
+            made.servers[0].crash()
+            await made.tier.wait_until(lambda: held(made, 1, "a-0"))
+            await made.tier.wait_until(lambda: held(made, 2, "a-0"))
             await made.tier.kill(0)
             for path in (tmp_path / "n0").glob("state-*"):
                 path.unlink()
             await made.tier.start(0)
-            await made.tier.until(made.tier.all_ready)
+            await made.tier.wait_until(made.tier.all_ready)
             assert "warm start: all that a peer held" in log_of(tmp_path, 0)
             told = await made.tier.members(0)
             assert told is not None
             assert {each[1] for each in told["verdicts"] if each[2] == "ejected"} == {"a-0"}
 
-    play(scene())
+    run_scenario(scene())
 
 
 def test_one_cut_off_from_its_peers_starts_cold_within_its_bound(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with world(tmp_path, 3, servers(), "a", plane=PLANE, changes=STATE) as made:
-            made.tier.faults.cut = {frozenset((0, each)) for each in (1, 2)}
+        async with running_cluster(
+            tmp_path, 3, servers(), "a", membership=MEMBERSHIP_ON, config_changes=STATE
+        ) as made:
+            made.tier.faults.cut_links = {frozenset((0, each)) for each in (1, 2)}
             await made.tier.kill(0)
             shutil.rmtree(tmp_path / "n0")
             await made.tier.start(0)
-            await made.tier.until(made.tier.all_ready)
+            await made.tier.wait_until(made.tier.all_ready)
             assert "warm start: no whole answer" in log_of(tmp_path, 0)
             made.load.start([0])
-            await made.load.answered(50)
-            assert {each.status for each in made.load.answers} == {200}
+            await made.load.wait_for_responses(50)
+            assert {each.status for each in made.load.responses} == {200}
 
-    play(scene())
+    run_scenario(scene())
 
 
 async def logged(folder: Path, number: int, what: str) -> bool:
@@ -102,6 +107,6 @@
     return each is not None and each.ejected_us > 0
 
 
-async def held(made: World, number: int, server: str) -> bool:
+async def held(made: Cluster, number: int, server: str) -> bool:
     told = await made.tier.members(number)
     return told is not None and told["told"].get(f"{server} -1") == "ejected"
--- a/tests/cluster/test_zones.py
+++ b/tests/cluster/test_zones.py
@@ -1,117 +1,141 @@
-"""Zones across sidecar processes: a lost zone, a silent one, orders, and the way back (docs/zones.md)."""
+"""Zones across sidecar processes: failed and unresponsive ones, operators' overrides, recovery
+(docs/zones.md)."""
 
 from __future__ import annotations
 
 import asyncio
 from pathlib import Path
 
-from harness import PLANE, play
-from world import Catalogue, world
+import pytest
+
+from harness import MEMBERSHIP_ON, scenario
+from stub_cluster import running_cluster
+from stub_servers import StubServer
 
 LOCALITY = {"locality": {"on": True, "ramp_ms": 2000}}
 
 
-def two_zones(each: int = 3) -> list[Catalogue]:
-    return [Catalogue(f"{zone}-{number}", zone) for zone in "ab" for number in range(each)]
-
-
-def test_a_lost_zone_is_left_and_returns_cold_without_being_pushed_over(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with world(tmp_path, 2, two_zones(), "ab", plane=PLANE, changes=LOCALITY) as made:
-            made.load.start()
-            await made.load.answered(300)
-            await made.kill_zone("b")
-            await made.tier.until(lambda: made.left("b", [1]))  # the other one draws from its own zone
-            at = asyncio.get_running_loop().time()
-            await made.load.answered(300)
-            assert {each.server[0] for each in made.load.since(at) if each.status == 200} == {"a"}
-            await made.return_zone("b")
-            await made.tier.until(lambda: made.all_in("b"))
-            before = sum(each.answered for each in made.zone("b"))
-            while sum(each.answered for each in made.zone("b")) < before + 100:
-                await made.load.answered(20)
-            assert max(each.over for each in made.zone("b")) <= 1.0
-            assert 0.0 < max(each.over for each in made.zone("b"))  # it was measured while cold
-
-    play(scene())
-
-
-def test_a_silent_zone_is_left_and_requests_there_are_answered_elsewhere(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with world(tmp_path, 1, two_zones(), "a", changes=LOCALITY) as made:
-            made.load.pay_every = 10**9  # of what may be repeated
-            made.load.start()
-            await made.load.answered(200)
-            for each in made.zone("a"):  # its own zone: cut off from the rest, alive inside
-                each.silent = True
-            await made.tier.until(lambda: made.left("a"))
-            at = asyncio.get_running_loop().time()
-            await made.load.answered(200)
-            assert {each.status for each in made.load.since(at)} == {200}
-
-    play(scene())
-
-
-def test_operators_drain_a_zone_and_pin_one(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with world(tmp_path, 1, two_zones(), "a", changes=LOCALITY) as made:
-            assert (await made.tier.call(0, "PUT", "/api/drain-zone/nowhere"))[0] == 404
-            assert (await made.tier.call(0, "PUT", "/api/drain-zone/a"))[0] == 200
-            made.load.start()
-            await made.load.answered(200)
-            assert {each.server[0] for each in made.load.answers if each.status == 200} == {"b"}
-            await made.tier.kill(0)
-            await made.tier.start(0)  # the order outlasts the process
-            await made.tier.until(made.tier.all_ready)
-            assert (await made.zones(0))["zones"]["a"]["order"] == "drain"
-            assert (await made.tier.call(0, "PUT", "/api/free-zone/a"))[0] == 200
-            assert (await made.tier.call(0, "PUT", "/api/pin-zone/b"))[0] == 200
-            at = asyncio.get_running_loop().time()
-            while not any(each.server.startswith("a") for each in made.load.since(at)):
-                await made.load.answered(50)
-            await made.kill_zone("b")
-            await made.load.answered(300)
-            told = (await made.zones(0))["zones"]["b"]
-            assert told["order"] == "pin" and told["left_for_ms"] is None
-
-    play(scene())
-
-
-def test_a_zone_that_flaps_is_left_each_time_and_no_request_is_lost_to_it(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with world(tmp_path, 1, two_zones(), "b", changes=LOCALITY) as made:
-            made.load.pay_every = 10**9  # of what may be repeated
-            made.load.start()
-            await made.load.answered(200)
-            for _ in range(3):
-                await made.kill_zone("b")
-                await made.tier.until(lambda: made.left("b"))
-                await made.load.answered(50)
-                await made.return_zone("b", tell=False)
-                await made.tier.until(lambda: made.all_in("b"))
-                await made.load.answered(50)
-            await made.load.stop()
-            assert {each.status for each in made.load.answers} == {200}
-            log = (tmp_path / "n0" / "log").read_text("utf-8")
-            assert log.count('"zone_left"') == log.count('"zone_back"') == 3
-
-    play(scene())
-
-
-def test_where_every_zone_fails_all_stay_in_use(tmp_path: Path) -> None:
-    async def scene() -> None:
-        servers = two_zones()
-        async with world(tmp_path, 1, servers, "a", changes=LOCALITY) as made:
-            made.load.start()
-            await made.load.answered(100)
-            await made.kill_zone("a")
-            await made.tier.until(lambda: made.left("a"))
-            await made.kill_zone("b")
-            await made.load.answered(100)
-            assert not await made.left("b")
-            await made.return_zone("b")
-            at = asyncio.get_running_loop().time()
-            while not any(each.status == 200 for each in made.load.since(at)):
-                await made.load.answered(10)
-
-    play(scene())
+@pytest.fixture
+def servers() -> list[StubServer]:
+    """Three servers in each of two zones."""
+    return [StubServer(f"{zone}-{number}", zone) for zone in "ab" for number in range(3)]
+
+
+@scenario
+async def test_a_failed_zone_is_evacuated_and_recovers_without_overload(
+    tmp_path: Path, servers: list[StubServer]
+) -> None:
+    async with running_cluster(
+        tmp_path, 2, servers, "ab", membership=MEMBERSHIP_ON, config_changes=LOCALITY
+    ) as cluster:
+        cluster.load.start()
+        await cluster.load.wait_for_responses(300)
+        await cluster.crash_zone("b")
+        await cluster.tier.wait_until(lambda: cluster.zone_evacuated("b", [1]))  # sidecar 0 is in zone a
+        evacuated_s = asyncio.get_running_loop().time()
+        await cluster.load.wait_for_responses(300)
+        responses = cluster.load.since(evacuated_s)
+        assert {response.server[0] for response in responses if response.status == 200} == {"a"}
+        await cluster.restart_zone("b")
+        await cluster.tier.wait_until(lambda: cluster.zone_in_use("b"))
+        returned = cluster.servers_in("b")
+        before = sum(server.response_count for server in returned)
+        while sum(server.response_count for server in returned) < before + 100:
+            await cluster.load.wait_for_responses(20)
+        peak_overload_ratio = max(server.peak_overload_ratio for server in returned)
+        assert peak_overload_ratio <= 1.0
+        assert peak_overload_ratio > 0.0  # it was measured while the servers warmed up
+
+
+@scenario
+async def test_an_unresponsive_zone_is_evacuated_and_its_requests_succeed_elsewhere(
+    tmp_path: Path, servers: list[StubServer]
+) -> None:
+    async with running_cluster(tmp_path, 1, servers, "a", config_changes=LOCALITY) as cluster:
+        cluster.load.only_idempotent()
+        cluster.load.start()
+        await cluster.load.wait_for_responses(200)
+        for server in cluster.servers_in("a"):
+            server.unresponsive = True
+        await cluster.tier.wait_until(lambda: cluster.zone_evacuated("a"))
+        evacuated_s = asyncio.get_running_loop().time()
+        await cluster.load.wait_for_responses(200)
+        assert {response.status for response in cluster.load.since(evacuated_s)} == {200}
+
+
+@scenario
+async def test_an_unknown_zone_cannot_be_drained(tmp_path: Path, servers: list[StubServer]) -> None:
+    async with running_cluster(tmp_path, 1, servers, "a", config_changes=LOCALITY) as cluster:
+        assert (await cluster.tier.call_admin(0, "PUT", "/api/drain-zone/nowhere")).status == 404
+
+
+@scenario
+async def test_a_drained_zone_gets_no_requests_and_stays_drained_after_a_restart(
+    tmp_path: Path, servers: list[StubServer]
+) -> None:
+    async with running_cluster(tmp_path, 1, servers, "a", config_changes=LOCALITY) as cluster:
+        assert (await cluster.tier.call_admin(0, "PUT", "/api/drain-zone/a")).status == 200
+        cluster.load.start()
+        await cluster.load.wait_for_responses(200)
+        responses = cluster.load.responses
+        assert {response.server[0] for response in responses if response.status == 200} == {"b"}
+        await cluster.tier.restart(0)
+        assert (await cluster.zones(0))["zones"]["a"]["order"] == "drain"
+
+
+@scenario
+async def test_a_zone_released_from_draining_gets_requests_and_a_sticky_one_is_not_evacuated(
+    tmp_path: Path, servers: list[StubServer]
+) -> None:
+    async with running_cluster(tmp_path, 1, servers, "a", config_changes=LOCALITY) as cluster:
+        assert (await cluster.tier.call_admin(0, "PUT", "/api/drain-zone/a")).status == 200
+        cluster.load.start()
+        await cluster.load.wait_for_responses(200)
+        await cluster.tier.restart(0)
+        assert (await cluster.tier.call_admin(0, "PUT", "/api/free-zone/a")).status == 200
+        assert (await cluster.tier.call_admin(0, "PUT", "/api/pin-zone/b")).status == 200
+        released_s = asyncio.get_running_loop().time()
+        while not any(response.server.startswith("a") for response in cluster.load.since(released_s)):
+            await cluster.load.wait_for_responses(50)
+        await cluster.crash_zone("b")
+        await cluster.load.wait_for_responses(300)
+        zone = (await cluster.zones(0))["zones"]["b"]
+        assert zone["order"] == "pin"
+        assert zone["left_for_ms"] is None
+
+
+@scenario
+async def test_a_flapping_zone_is_evacuated_each_time_and_no_request_fails(
+    tmp_path: Path, servers: list[StubServer]
+) -> None:
+    async with running_cluster(tmp_path, 1, servers, "b", config_changes=LOCALITY) as cluster:
+        cluster.load.only_idempotent()
+        cluster.load.start()
+        await cluster.load.wait_for_responses(200)
+        for _ in range(3):
+            await cluster.crash_zone("b")
+            await cluster.tier.wait_until(lambda: cluster.zone_evacuated("b"))
+            await cluster.load.wait_for_responses(50)
+            await cluster.restart_zone("b", notify=False)
+            await cluster.tier.wait_until(lambda: cluster.zone_in_use("b"))
+            await cluster.load.wait_for_responses(50)
+        await cluster.load.stop()
+        assert {response.status for response in cluster.load.responses} == {200}
+        log = cluster.tier.log(0)
+        assert log.count('"zone_left"') == log.count('"zone_back"') == 3
+
+
+@scenario
+async def test_the_last_zone_stays_in_use_though_it_fails(tmp_path: Path, servers: list[StubServer]) -> None:
+    async with running_cluster(tmp_path, 1, servers, "a", config_changes=LOCALITY) as cluster:
+        cluster.load.start()
+        await cluster.load.wait_for_responses(100)
+        await cluster.crash_zone("a")
+        await cluster.tier.wait_until(lambda: cluster.zone_evacuated("a"))
+        await cluster.crash_zone("b")
+        await cluster.load.wait_for_responses(100)
+        assert not await cluster.zone_evacuated("b")
+        await cluster.restart_zone("b")
+        restarted_s = asyncio.get_running_loop().time()
+        while not any(response.status == 200 for response in cluster.load.since(restarted_s)):
+            await cluster.load.wait_for_responses(10)
--- a/tests/membership/test_verdict_table.py
+++ b/tests/membership/test_verdict_table.py
@@ -5,6 +5,8 @@
 import random
 
 import pytest
+from hypothesis import given
+from hypothesis import strategies as st
 
 from sidecar_balancer.membership.messages import VerdictUpdate, WireVerdict
 from sidecar_balancer.membership.verdict_table import VerdictTable
@@ -49,3 +51,12 @@
         table.merge(origin * _US_PER_MS, update)
     assert len(table) == 2
     assert table.evicted_count == 3
+
+
+@given(st.lists(st.tuples(st.integers(0, 3), st.integers(0, 5)), min_size=1, max_size=30))
+def test_the_highest_version_of_an_origin_remains(versions: list[tuple[int, int]]) -> None:
+    table = VerdictTable(100)
+    for incarnation, counter in versions:
+        table.merge(0, VerdictUpdate(0, incarnation, counter, "s", WireVerdict.SLOW, 1, 5000))
+    [(update, _)] = table.live(0)
+    assert (update.incarnation, update.counter) == max(versions)
--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -1,8 +1,8 @@
 """A tier of sidecars as separate OS processes on loopback, with a UDP fault proxy between them.
 
-Each sidecar `i` listens for peers at its own address R_i; the tier's `peers` list names the proxy's socket
-Q_i for each.  A datagram that comes to Q_i from R_j goes on to R_i from Q_j, so each sidecar sees its peers
-at the addresses its configuration names, and the proxy may drop, duplicate, delay, corrupt or cut it.
+Sidecar `i` listens for peers at its own address R_i; the tier's `peers` list names the proxy's socket Q_i of
+each.  A datagram that comes to Q_i from R_j goes on to R_i from Q_j, so each sidecar sees its peers at the
+addresses that its configuration names, and the proxy may drop, duplicate, delay, corrupt or cut it.
 Faults are drawn from a fixed seed; processes are ended by their own id when the tier closes.
 """
 
@@ -10,6 +10,7 @@
 
 import asyncio
 import contextlib
+import functools
 import itertools
 import json
 import os
@@ -17,168 +18,166 @@
 import signal
 import socket
 import sys
-from collections.abc import AsyncIterator, Callable
+from collections.abc import AsyncIterator, Awaitable, Callable, Coroutine
 from dataclasses import dataclass, field
-from functools import partial
 from pathlib import Path
-from typing import Any, cast
+from typing import Any, NamedTuple, ParamSpec, cast
 
 ROOT = Path(__file__).parent.parent.parent
-PATIENCE_S = 30.0  # for what must come; no test takes it as proof of anything
-LANES = [{"name": "look", "giveUpUs": 2_000_000, "repeat": "read_like"}]
-PLANE = {"on": True, "period_ms": 100, "probe_timeout_ms": 40}
+PATIENCE_S = 30.0  # the timeout for what must happen; no test takes it as proof of anything
+SCENARIO_TIMEOUT_S = 120.0
+ADMIN_TIMEOUT_S = 1.0
+POLL_INTERVAL_S = 0.05
+SERVICE_CLASSES = [{"name": "look", "giveUpUs": 2_000_000, "repeat": "read_like"}]
+MEMBERSHIP_ON = {"on": True, "period_ms": 100, "probe_timeout_ms": 40}  # the `peer_plane` object
 SERVER = {"name": "s-1", "address": "127.0.0.1:9", "zone": "a", "type": "m", "group": 1, "status": "active"}
 
 Address = tuple[str, int]
+Condition = Callable[[], Awaitable[bool]]
+_P = ParamSpec("_P")
 
-
-_hosts = itertools.count(1)
+_host_numbers = itertools.count(1)
 
 
 def new_host() -> str:
     """A loopback address that nothing else of this machine's tests listens on or connects from."""
-    number = next(_hosts)
+    number = next(_host_numbers)
     return f"127.{64 + os.getpid() % 128}.{os.getpid() // 128 % 256}.{1 + number % 254}"
 
 
 def free_ports(host: str, count: int, kind: socket.SocketKind = socket.SOCK_STREAM) -> list[Address]:
-    """Ports that are free on `host`, all picked before any is given back, so that they differ."""
-    with contextlib.ExitStack() as held:
-        found = []
+    """Different ports that are free on `host`: all are bound before any is released."""
+    with contextlib.ExitStack() as bound:
+        addresses = []
         for _ in range(count):
-            sock = held.enter_context(socket.socket(socket.AF_INET, kind))
+            sock = bound.enter_context(socket.socket(socket.AF_INET, kind))
             sock.bind((host, 0))
-            found.append((host, int(sock.getsockname()[1])))
-        return found
+            addresses.append((host, int(sock.getsockname()[1])))
+        return addresses
 
 
 def text(address: Address) -> str:
+    """The address as HOST:PORT."""
     return "{}:{}".format(*address)
 
 
 @dataclass
-class Faults:
-    """What the proxy does to each datagram; `cut` holds pairs of members that do not hear each other."""
+class NetworkFaults:
+    """What the proxy does to datagrams; `cut_links` holds pairs of members that do not reach each other."""
 
     loss: float = 0.0
-    duplicate: float = 0.0
-    corrupt: float = 0.0
+    duplication: float = 0.0
+    corruption: float = 0.0
     delay_ms: tuple[int, int] = (0, 0)
-    cut: set[frozenset[int]] = field(default_factory=set)
+    cut_links: set[frozenset[int]] = field(default_factory=set)
+
+    def isolate(self, member: int, size: int) -> None:
+        """Cut every link of one member of a tier of `size`."""
+        self.cut_links = {frozenset((member, other)) for other in range(size) if other != member}
+
+
+class AdminResponse(NamedTuple):
+    """The answer of a sidecar's admin server; status 0 where none came."""
 
+    status: int
+    body: bytes
+
+    def json(self) -> dict[str, Any] | None:
+        """The body of a 200, else None."""
+        if self.status != 200:
+            return None
+        value: dict[str, Any] = json.loads(self.body)
+        return value
 
-class Proxy(asyncio.DatagramProtocol):
-    """The socket Q_i of member `i`."""
 
-    def __init__(self, me: int, tier: Tier) -> None:
-        self.me, self.tier = me, tier
+class FaultProxy(asyncio.DatagramProtocol):
+    """The socket Q_i of one member; `forward` takes each datagram with its sender's address."""
+
+    def __init__(self, forward: Callable[[Address, bytes], None]) -> None:
+        self._forward = forward
         self.transport: asyncio.DatagramTransport | None = None
 
+    @property
+    def address(self) -> Address:
+        """Where the proxy listens."""
+        assert self.transport is not None
+        host, port = self.transport.get_extra_info("sockname")[:2]
+        return host, port
+
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[Any, int]) -> None:
-        sender = self.tier.by_listen.get((addr[0], addr[1]))
-        if sender is not None:
-            self.tier.carry(sender, self.me, data)
-
-
-def _same(proxy: Proxy) -> Proxy:
-    return proxy
+        self._forward((addr[0], addr[1]), data)
 
 
 class Tier:
-    """N sidecar processes, their fault proxy, and their doors."""
+    """`size` sidecar processes, their fault proxy, and their admin servers."""
 
     def __init__(self, size: int, folder: Path, seed: int = 7) -> None:
-        self.size, self.folder = size, folder
-        self.faults = Faults()
+        self.size = size
+        self.folder = folder
+        self.faults = NetworkFaults()
         host = new_host()
-        tcp = free_ports(host, 2 * size)
-        self.listens = free_ports(host, size, socket.SOCK_DGRAM)
-        self.doors, self.clients = tcp[:size], tcp[size:]  # where operators and clients connect
-        self.program = ROOT  # where the program lies: an earlier version's folder in benchmarks
-        self.changes: Callable[[int], dict[str, Any]] = lambda _: {}  # of a sidecar's configuration
-        self.by_listen = {address: number for number, address in enumerate(self.listens)}
-        self.proxies: list[Proxy] = []
+        tcp_addresses = free_ports(host, 2 * size)
+        self.peer_addresses = free_ports(host, size, socket.SOCK_DGRAM)
+        self.admin_addresses = tcp_addresses[:size]
+        self.client_addresses = tcp_addresses[size:]
+        self.program_folder = ROOT  # benchmarks set that of an earlier version
+        self.config_changes: Callable[[int], dict[str, Any]] = lambda _: {}  # by sidecar
+        self.proxies: list[FaultProxy] = []
         self.processes: dict[int, asyncio.subprocess.Process] = {}
-        self.carried = 0
+        self._member_by_address = {address: number for number, address in enumerate(self.peer_addresses)}
         self._random = random.Random(seed)
 
+    # -- Lifecycle --------------------------------------------------------------------------------------
+
     async def open(self) -> None:
+        """Start the proxies."""
         loop = asyncio.get_running_loop()
         for number in range(self.size):
-            proxy = Proxy(number, self)
-            await loop.create_datagram_endpoint(partial(_same, proxy), local_addr=("127.0.0.1", 0))
+            proxy = FaultProxy(functools.partial(self._forward, number))
+            await loop.create_datagram_endpoint(
+                functools.partial(_itself, proxy), local_addr=("127.0.0.1", 0)
+            )
             self.proxies.append(proxy)
 
-    def peers(self) -> list[str]:
-        out = []
-        for proxy in self.proxies:
-            assert proxy.transport is not None
-            out.append(text(proxy.transport.get_extra_info("sockname")[:2]))
-        return out
-
-    def carry(self, sender: int, target: int, data: bytes) -> None:
-        faults = self.faults
-        if frozenset((sender, target)) in faults.cut or self._random.random() < faults.loss:
-            return
-        if self._random.random() < faults.corrupt and data:
-            at = self._random.randrange(len(data))
-            data = data[:at] + bytes([data[at] ^ 0xFF]) + data[at + 1 :]
-        copies = 2 if self._random.random() < faults.duplicate else 1
-        for _ in range(copies):
-            delay = self._random.randint(*faults.delay_ms) / 1000
-            asyncio.get_running_loop().call_later(delay, self._deliver, sender, target, data)
-
-    def _deliver(self, sender: int, target: int, data: bytes) -> None:
-        transport = self.proxies[sender].transport
-        if transport is not None and not transport.is_closing():
-            self.carried += 1
-            transport.sendto(data, self.listens[target])
-
-    def config(self, number: int, plane: dict[str, Any] | None = None) -> dict[str, Any]:
-        settings = {"lanes": LANES, "me": number, "groupSize": self.size, "zone": "a"}
-        return {
-            "name": f"n{number}",
-            "listen": text(self.clients[number]),
-            "discovery": "127.0.0.1:1",
-            "seed": f"{1000 + number:x}",
-            "known": {"index": 1, "snapshot": True, "endpoints": [SERVER]},
-            "settings": settings,
-            "mgmt": text(self.doors[number]),
-            "peer_listen": text(self.listens[number]),
-            "peers": self.peers(),
-            "peer_plane": PLANE if plane is None else plane,
-        } | self.changes(number)
-
-    async def start(self, number: int, plane: dict[str, Any] | None = None) -> None:
+    async def start(self, number: int, membership: dict[str, Any] | None = None) -> None:
+        """Start sidecar `number` with its configuration; `membership`: its `peer_plane` object."""
         folder = self.folder / f"n{number}"
         folder.mkdir(exist_ok=True)
         path = folder / "config.json"
-        path.write_text(json.dumps(self.config(number, plane)), encoding="utf-8")
+        path.write_text(json.dumps(self.config(number, membership)), encoding="utf-8")
         environ = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
-        log = open(folder / "log", "ab")
-        self.processes[number] = await asyncio.create_subprocess_exec(
-            sys.executable,
-            "-m",
-            "sidecar_balancer",
-            cwd=self.program,
-            env=environ | {"RELAY_CONFIG": str(path), "TMPDIR": str(folder)},
-            stderr=log,
-        )
-        log.close()
+        with (folder / "log").open("ab") as log:
+            self.processes[number] = await asyncio.create_subprocess_exec(
+                sys.executable,
+                "-m",
+                "sidecar_balancer",
+                cwd=self.program_folder,
+                env=environ | {"RELAY_CONFIG": str(path), "TMPDIR": str(folder)},
+                stderr=log,
+            )
 
     def signal(self, number: int, which: signal.Signals) -> None:
+        """Send a signal to sidecar `number`."""
         self.processes[number].send_signal(which)
 
     async def kill(self, number: int) -> None:
+        """End sidecar `number` with SIGKILL."""
         process = self.processes.pop(number)
-        with contextlib.suppress(ProcessLookupError):  # it ended by itself: what waits for it says so
+        with contextlib.suppress(ProcessLookupError):  # it ended by itself: what waits for it reports that
             process.kill()
         await process.wait()
 
+    async def restart(self, number: int) -> None:
+        """Kill sidecar `number`, start it again and wait until the tier is ready."""
+        await self.kill(number)
+        await self.start(number)
+        await self.wait_until(self.all_ready)
+
     async def close(self) -> None:
+        """End all processes and close the proxies."""
         for number in list(self.processes):
             with contextlib.suppress(ProcessLookupError):
                 self.signal(number, signal.SIGCONT)
@@ -187,66 +186,129 @@
             if proxy.transport is not None:
                 proxy.transport.close()
 
-    async def call(self, number: int, method: str, path: str) -> tuple[int, bytes]:
-        """Call sidecar `number`'s door; status 0 where it does not answer within a second."""
+    # -- Configuration ----------------------------------------------------------------------------------
+
+    def config(self, number: int, membership: dict[str, Any] | None = None) -> dict[str, Any]:
+        """The configuration of sidecar `number`."""
+        settings = {"lanes": SERVICE_CLASSES, "me": number, "groupSize": self.size, "zone": "a"}
+        return {
+            "name": f"n{number}",
+            "listen": text(self.client_addresses[number]),
+            "discovery": "127.0.0.1:1",
+            "seed": f"{1000 + number:x}",
+            "known": {"index": 1, "snapshot": True, "endpoints": [SERVER]},
+            "settings": settings,
+            "mgmt": text(self.admin_addresses[number]),
+            "peer_listen": text(self.peer_addresses[number]),
+            "peers": [text(proxy.address) for proxy in self.proxies],
+            "peer_plane": MEMBERSHIP_ON if membership is None else membership,
+        } | self.config_changes(number)
+
+    # -- The fault proxy --------------------------------------------------------------------------------
+
+    def _forward(self, target: int, source: Address, data: bytes) -> None:
+        sender = self._member_by_address.get(source)
+        faults = self.faults
+        if sender is None:
+            return
+        if frozenset((sender, target)) in faults.cut_links or self._random.random() < faults.loss:
+            return
+        if self._random.random() < faults.corruption and data:
+            index = self._random.randrange(len(data))
+            data = data[:index] + bytes([data[index] ^ 0xFF]) + data[index + 1 :]
+        copies = 2 if self._random.random() < faults.duplication else 1
+        for _ in range(copies):
+            delay_s = self._random.randint(*faults.delay_ms) / 1000
+            asyncio.get_running_loop().call_later(delay_s, self._deliver, sender, target, data)
+
+    def _deliver(self, sender: int, target: int, data: bytes) -> None:
+        transport = self.proxies[sender].transport
+        if transport is not None and not transport.is_closing():
+            transport.sendto(data, self.peer_addresses[target])
+
+    # -- Admin API --------------------------------------------------------------------------------------
+
+    async def call_admin(self, number: int, method: str, path: str) -> AdminResponse:
+        """Call sidecar `number`'s admin server."""
+        request = f"{method} {path} HTTP/1.1\r\nHost: door\r\nConnection: close\r\n\r\n"
         try:
-            async with asyncio.timeout(1.0):
-                reader, writer = await asyncio.open_connection(*self.doors[number])
-                writer.write(f"{method} {path} HTTP/1.1\r\nHost: door\r\nConnection: close\r\n\r\n".encode())
+            async with asyncio.timeout(ADMIN_TIMEOUT_S):
+                reader, writer = await asyncio.open_connection(*self.admin_addresses[number])
+                writer.write(request.encode())
                 data = await reader.read()
                 writer.close()
         except (OSError, TimeoutError):
-            return 0, b""
+            return AdminResponse(0, b"")
         head, _, body = data.partition(b"\r\n\r\n")
-        return int(head.split(b" ")[1]) if head.startswith(b"HTTP/1.1 ") else 0, body
+        return AdminResponse(int(head.split(b" ")[1]) if head.startswith(b"HTTP/1.1 ") else 0, body)
 
     async def members(self, number: int) -> dict[str, Any] | None:
-        """What sidecar `number`'s door tells of the plane; None while it does not answer."""
-        status, body = await self.call(number, "GET", "/api/members")
-        if status != 200:
-            return None
-        told: dict[str, Any] = json.loads(body)
-        return told
+        """Sidecar `number`'s view of the members; None while it does not answer."""
+        return (await self.call_admin(number, "GET", "/api/members")).json()
+
+    async def responds(self, number: int) -> bool:
+        """Whether sidecar `number` answers with its view of the members."""
+        return await self.members(number) is not None
 
     async def all_ready(self) -> bool:
+        """Whether every sidecar that runs is ready."""
         for number in self.processes:
-            if (await self.call(number, "GET", "/api/ready"))[0] != 200:
+            if (await self.call_admin(number, "GET", "/api/ready")).status != 200:
                 return False
         return True
 
-    async def until(self, condition: Any, patience_s: float = PATIENCE_S) -> float:
-        """Wait until the coroutine function `condition` is true; give the seconds it took."""
+    async def wait_until(self, condition: Condition, timeout_s: float = PATIENCE_S) -> float:
+        """Wait until `condition` is true; return the seconds it took."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_s = loop.time()
         while not await condition():
-            if loop.time() - began > patience_s:
-                raise AssertionError(f"it did not come in {patience_s} s; logs end:\n{self.logs()}")
-            await asyncio.sleep(0.05)
-        return loop.time() - began
+            if loop.time() - started_s > timeout_s:
+                raise AssertionError(f"not within {timeout_s} s; the logs end:\n{self.log_tails()}")
+            await asyncio.sleep(POLL_INTERVAL_S)
+        return loop.time() - started_s
 
-    def logs(self, lines: int = 6) -> str:
+    def log(self, number: int) -> str:
+        """Sidecar `number`'s log."""
+        return (self.folder / f"n{number}" / "log").read_text(encoding="utf-8")
+
+    def log_tails(self, lines: int = 6) -> str:
         """The last lines of each sidecar's log."""
-        paths = [self.folder / f"n{number}" / "log" for number in range(self.size)]
-        ends = [path.read_text("utf-8").splitlines()[-lines:] for path in paths if path.exists()]
-        return "\n".join(line for end in ends for line in end)
+        numbers = [number for number in range(self.size) if (self.folder / f"n{number}" / "log").exists()]
+        return "\n".join(line for number in numbers for line in self.log(number).splitlines()[-lines:])
+
+
+def _itself(proxy: FaultProxy) -> FaultProxy:
+    return proxy
 
 
 @contextlib.asynccontextmanager
-async def tier(size: int, folder: Path, seed: int = 7) -> AsyncIterator[Tier]:
-    """A tier of `size` sidecars, each started, all ended on leaving."""
-    made = Tier(size, folder, seed)
-    await made.open()
+async def running_tier(size: int, folder: Path, seed: int = 7) -> AsyncIterator[Tier]:
+    """A tier of `size` sidecars, all started; ended on leaving."""
+    tier = Tier(size, folder, seed)
+    await tier.open()
     try:
         for number in range(size):
-            await made.start(number)
-        yield made
+            await tier.start(number)
+        yield tier
     finally:
-        await made.close()
+        await tier.close()
 
 
-def play(scene: Any) -> None:
+def run_scenario(coroutine: Coroutine[Any, Any, None]) -> None:
+    """Run a coroutine in a loop of its own within `SCENARIO_TIMEOUT_S`."""
+
     async def bounded() -> None:
-        async with asyncio.timeout(120.0):
-            await scene
+        async with asyncio.timeout(SCENARIO_TIMEOUT_S):
+            await coroutine
 
     asyncio.run(bounded())
+
+
+def scenario(test: Callable[_P, Coroutine[Any, Any, None]]) -> Callable[_P, None]:
+    """Make a test of a coroutine function (see `run_scenario`)."""
+
+    @functools.wraps(test)
+    def run(*args: _P.args, **kwargs: _P.kwargs) -> None:
+        run_scenario(test(*args, **kwargs))
+
+    return run
--- /dev/null
+++ b/tests/support/stub_servers.py
@@ -0,0 +1,205 @@
+"""Stand-ins for the servers and the discovery service of a tier, in the test's own process."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import json
+import socket
+import struct
+import time
+from collections import Counter, deque
+from typing import Any, NamedTuple
+
+from harness import Address, text
+
+WARM_UP_S = 4.0  # from a start until a server works at full speed
+INITIAL_SPEED_RATIO = 0.2
+OVERLOAD_WINDOW_S = 2.0
+OVERLOAD_MULTIPLE = 3.0
+WATCH_TIMEOUT_S = 20.0
+GUARANTEES = {  # as the settings state them to the sidecars
+    "coldFrom": INITIAL_SPEED_RATIO,
+    "coldUs": int(WARM_UP_S * 1e6),
+    "fallMultiple": OVERLOAD_MULTIPLE,
+    "fallUs": int(OVERLOAD_WINDOW_S * 1e6),
+    "drainGraceUs": 500_000,
+}
+_BACKLOG = 256
+
+
+class HttpMessage(NamedTuple):
+    """A request or response with its first line, its headers by lower-case name, and its body."""
+
+    first_line: str
+    headers: dict[str, str]
+    body: bytes
+
+
+async def read_message(reader: asyncio.StreamReader) -> HttpMessage:
+    """Read one request or response."""
+    head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
+    first_line, *lines = head.strip().split("\r\n")
+    headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
+    body = await reader.readexactly(int(headers.get("content-length", "0")))
+    return HttpMessage(first_line, headers, body)
+
+
+def http_response(status: int, body: bytes = b"done") -> bytes:
+    """The bytes of a response."""
+    return f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
+
+
+def reset_connection(writer: asyncio.StreamWriter) -> None:
+    """Break a connection as a process does that dies."""
+    sock = writer.get_extra_info("socket")
+    if sock is not None and sock.fileno() >= 0:
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        writer.transport.abort()
+
+
+class StubServer:
+    """One server: it works on `slots` requests at a time, each for `work_s` divided by its speed.
+
+    It is up, crashed (connections are reset, new ones refused) or unresponsive (it accepts everything and
+    answers nothing).
+    """
+
+    def __init__(self, name: str, zone: str, work_s: float = 0.02, slots: int = 4) -> None:
+        self.name = name
+        self.zone = zone
+        self.address: Address = ("127.0.0.1", 0)
+        self.unresponsive = False
+        self.failing_classes: set[str] = set()  # answered with 500
+        self.started_ms = 0  # Unix time of its last start; 0: long ago
+        self.response_count = 0
+        self.attempts_by_sidecar: Counter[int] = Counter()
+        self.executions: Counter[str] = Counter()  # of requests that are not idempotent, by call id
+        self.peak_overload_ratio = (
+            0.0  # the largest part, of what overloads it while it warms up, it was sent
+        )
+        self._work_s = work_s
+        self._slots = slots
+        self._arrivals_s: deque[float] = deque()
+        self._server: asyncio.Server | None = None
+        self._writers: set[asyncio.StreamWriter] = set()
+        self._slot_semaphore = asyncio.Semaphore(slots)
+
+    async def start(self) -> None:
+        """Listen, at the same address again after a crash."""
+        self._server = await asyncio.start_server(self._serve, *self.address, backlog=_BACKLOG)
+        self.address = self._server.sockets[0].getsockname()[:2]
+
+    def crash(self) -> None:
+        """Stop listening and reset every connection."""
+        assert self._server is not None
+        self._server.close()
+        for writer in list(self._writers):
+            reset_connection(writer)
+
+    async def restart(self) -> None:
+        """Start again and warm up."""
+        self.started_ms = time.time_ns() // 1_000_000
+        self._slot_semaphore = asyncio.Semaphore(self._slots)
+        await self.start()
+
+    def endpoint_entry(self) -> dict[str, Any]:
+        """The server's entry in discovery's list."""
+        return {
+            "name": self.name,
+            "address": text(self.address),
+            "zone": self.zone,
+            "type": "m",
+            "group": 1,
+            "status": "active",
+            "weight": 1.0,
+            "since_ms": self.started_ms,
+        }
+
+    def _speed_ratio(self) -> float:
+        age_s = time.time() - self.started_ms / 1000
+        return min(1.0, INITIAL_SPEED_RATIO + (1.0 - INITIAL_SPEED_RATIO) * age_s / WARM_UP_S)
+
+    def _note_arrival(self) -> None:
+        """Compare the arrivals of the last window with what overloads the server in that time."""
+        now_s, speed_ratio = time.time(), self._speed_ratio()
+        self._arrivals_s.append(now_s)
+        while self._arrivals_s[0] < now_s - OVERLOAD_WINDOW_S:
+            self._arrivals_s.popleft()
+        if speed_ratio < 1.0:
+            rate = OVERLOAD_MULTIPLE * speed_ratio * self._slots / self._work_s
+            limit = rate * OVERLOAD_WINDOW_S
+            overload_ratio = len(self._arrivals_s) / (limit + 3 * limit**0.5 + 3)
+            self.peak_overload_ratio = max(self.peak_overload_ratio, overload_ratio)
+
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self._writers.add(writer)
+        try:
+            while True:
+                request = await read_message(reader)
+                if "/health/live" in request.first_line:
+                    if not self.unresponsive:
+                        writer.write(http_response(200))
+                    continue
+                self._note_request(request)
+                if self.unresponsive:
+                    await reader.read()  # until the client closes
+                    return
+                async with self._slot_semaphore:
+                    await asyncio.sleep(self._work_s / self._speed_ratio())
+                fails = request.headers.get("x-call-class") in self.failing_classes
+                writer.write(http_response(500 if fails else 200, self.name.encode()))
+                self.response_count += 1
+        except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
+            pass
+        finally:
+            self._writers.discard(writer)
+            writer.close()
+
+    def _note_request(self, request: HttpMessage) -> None:
+        self._note_arrival()
+        self.attempts_by_sidecar[int(request.headers.get("x-call-id", "0")[:2], 16)] += 1
+        if request.headers.get("x-call-class") == "pay":
+            self.executions[request.headers.get("x-call-id", "")] += 1
+
+
+class StubDiscovery:
+    """The discovery service: the complete list, and watches that wait for changes."""
+
+    def __init__(self, servers: list[StubServer]) -> None:
+        self.address: Address = ("127.0.0.1", 0)
+        self._servers = servers
+        self._version = 1
+        self._changed = asyncio.Event()
+        self._server: asyncio.Server | None = None
+
+    async def start(self) -> None:
+        """Listen on a free port."""
+        self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0, backlog=_BACKLOG)
+        self.address = self._server.sockets[0].getsockname()[:2]
+
+    def stop(self) -> None:
+        """Stop listening."""
+        if self._server is not None:
+            self._server.close()
+
+    def notify_watches(self) -> None:
+        """Answer all watches with the present list, under a new version."""
+        self._version += 1
+        self._changed.set()
+        self._changed = asyncio.Event()
+
+    def endpoint_list(self) -> dict[str, Any]:
+        """The complete list."""
+        endpoints = [server.endpoint_entry() for server in self._servers]
+        return {"index": self._version, "snapshot": True, "endpoints": endpoints}
+
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
+            while True:
+                request = await read_message(reader)
+                if f"after={self._version}" in request.first_line:
+                    with contextlib.suppress(TimeoutError):
+                        await asyncio.wait_for(self._changed.wait(), WATCH_TIMEOUT_S)
+                writer.write(http_response(200, json.dumps(self.endpoint_list()).encode()))
+        writer.close()
