--- a/bench/scale_edge.py
+++ b/bench/scale_edge.py
@@ -82,11 +82,11 @@
     list_us = []
     for _ in range(TRIALS):
         began = time.process_time()
-        sidecar._apply_endpoint_list(ListKind.SNAPSHOT, read_list(body))
+        sidecar._endpoint_updates.apply(ListKind.SNAPSHOT, read_list(body))
         list_us.append(1e6 * (time.process_time() - began))
     memory = resident_bytes() - before
     change_us = [_changes(sidecar, size, trial) for trial in range(TRIALS)]
-    await sidecar._end()
+    await sidecar._close()
     return Cost(change_us, list_us, memory, len(body))
 
 
@@ -99,7 +99,7 @@
         updates.append(change(2, entry(server, status=status)))
     began = time.process_time()
     for each in updates:
-        sidecar._apply_endpoint_list(ListKind.DELTA, each)
+        sidecar._endpoint_updates.apply(ListKind.DELTA, each)
     return 1e6 * (time.process_time() - began) / CHANGES
 
 
--- a/sidecar_balancer/__main__.py
+++ b/sidecar_balancer/__main__.py
@@ -270,7 +270,7 @@
     for each in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(each, stop.set)  # before clients can connect: none is left without an answer
     sidecar = Sidecar(config)
-    sidecar.operations.log_rate_limiter = limiter
+    sidecar.admin_handlers.log_rate_limiter = limiter
     loop.add_signal_handler(signal.SIGHUP, reload, sidecar)
     await sidecar.run(stop)
 
--- /dev/null
+++ b/sidecar_balancer/runtime/shutdown.py
@@ -0,0 +1,51 @@
+"""The graceful shutdown of the clients' side."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+
+from sidecar_balancer.admin.handlers import EVACUATION_KEPT_S
+from sidecar_balancer.downstream.frontend import Frontend
+from sidecar_balancer.runtime.proxy import Proxy
+
+log = logging.getLogger(__name__)
+
+_ACCEPT_WHILE_DRAINING_S = 0.5  # clients connect for up to 0.4 s after SIGTERM
+_UNUSED_CONNECTION_GRACE_S = 0.65  # from then on, connections that carried no request are closed too
+_MAX_DEADLINE_S = 3.0  # the platform waits for no longer deadline than this
+_DRAIN_MARGIN_S = 0.62  # after the longest deadline; the platform kills after 0.7 s
+_FLUSH_TIMEOUT_S = 0.05  # for the last responses, from there on
+_POLL_S = 0.02
+
+
+async def drain_clients(
+    frontend: Frontend, proxy: Proxy, longest_deadline_s: float, is_takeover: bool
+) -> None:
+    """Serve the requests in flight and those of clients that connect late, then end all connections.
+
+    Args:
+        frontend: The clients' connections.
+        proxy: The requests in flight; those without a response at the end are failed.
+        longest_deadline_s: The longest deadline of a service class.
+        is_takeover: Whether the next process shares the listening socket: nothing more is accepted here then.
+    """
+    loop = asyncio.get_running_loop()
+    started_at = loop.time()
+    in_flight = len(proxy.by_client_request)
+    log.info("draining: %d requests in flight", in_flight, extra={"event": "drain_started"})
+    if is_takeover:
+        frontend.stop_listening(accept_pending=False)
+        frontend.drain(EVACUATION_KEPT_S)
+    else:
+        frontend.drain()
+        await asyncio.sleep(_ACCEPT_WHILE_DRAINING_S)
+        frontend.stop_listening()
+    deadline = started_at + min(longest_deadline_s, _MAX_DEADLINE_S) + _DRAIN_MARGIN_S
+    while not frontend.is_empty() and loop.time() < deadline:
+        await asyncio.sleep(_POLL_S)
+        if loop.time() >= started_at + _UNUSED_CONNECTION_GRACE_S:
+            frontend.close_idle(only_used=False)
+    proxy.fail_all()
+    await frontend.close(_FLUSH_TIMEOUT_S)
+    log.info("drained", extra={"event": "drain_completed"})
--- /dev/null
+++ b/sidecar_balancer/runtime/state_persistence.py
@@ -0,0 +1,87 @@
+"""Restores what an earlier incarnation persisted, and persists what this one has learned."""
+
+from __future__ import annotations
+
+import logging
+from typing import TYPE_CHECKING
+
+from sidecar_balancer.config.sidecar import SidecarConfig
+from sidecar_balancer.discovery.client import DiscoveryClient
+from sidecar_balancer.discovery.endpoint_list import EndpointList, ListUpdate, parse_list
+from sidecar_balancer.runtime.engine import Engine
+
+if TYPE_CHECKING:
+    from sidecar_balancer.membership.bridge import MembershipBridge
+    from sidecar_balancer.persistence.persister import StatePersister
+    from sidecar_balancer.persistence.state_records import RestoredState
+
+log = logging.getLogger(__name__)
+
+
+class StatePersistence:
+    """The state that survives a crash of this sidecar.
+
+    Attributes:
+        interval_s: How often to persist.
+        warm_start_timeout_s: How long to wait for the state of peers where nothing was persisted.
+        restored: What an earlier incarnation persisted.
+    """
+
+    def __init__(self, persister: StatePersister, interval_s: float, warm_start_timeout_s: float) -> None:
+        """Use an unopened persister."""
+        self.interval_s = interval_s
+        self.warm_start_timeout_s = warm_start_timeout_s
+        self.restored: RestoredState | None = None
+        self._persister = persister
+
+    def restore(self, discovery: DiscoveryClient, initial: ListUpdate) -> ListUpdate:
+        """Read what was persisted; return the newer of its endpoint list and the initial one."""
+        self.restored = restored = self._persister.restore()
+        record = restored.endpoint_list
+        if record is None or record.source != discovery.source_key():
+            return initial
+        try:
+            update = parse_list(record.content)
+        except ValueError as error:
+            extra = {"event": "persisted_endpoint_list_invalid"}
+            log.warning("state: the persisted endpoint list is not used: %s", error, extra=extra)
+            return initial
+        if update.version <= initial.version or not update.entries:
+            return initial
+        discovery.resume_from(update.version)
+        return update
+
+    def resume_membership(self, membership: MembershipBridge) -> None:
+        """Continue as the member that the earlier incarnation was."""
+        if self.restored is not None:
+            from sidecar_balancer.persistence.persister import resume_membership
+
+            resume_membership(membership.transport, self.restored)
+
+    def persist(
+        self,
+        engine: Engine,
+        membership: MembershipBridge | None,
+        discovery: DiscoveryClient,
+        endpoint_list: EndpointList,
+    ) -> None:
+        """Collect and write the state; a full or broken disk does not end the service."""
+        from sidecar_balancer.persistence.state_records import EndpointListRecord
+
+        transport = membership.transport if membership is not None else None
+        record = None
+        if endpoint_list.version:
+            record = EndpointListRecord(discovery.source_key(), endpoint_list.to_json())
+        self._persister.persist(engine.balancer, engine.clock.now(), transport, record)
+
+
+def create_state_persistence(config: SidecarConfig) -> StatePersistence | None:
+    """Create the persistence where it is configured; its modules are loaded only then."""
+    state = config.state
+    if state is None:
+        return None
+    from sidecar_balancer.persistence.persister import StatePersister
+    from sidecar_balancer.persistence.store import Store
+
+    persister = StatePersister(Store(state.folder, state.max_bytes), state.tier_folder)
+    return StatePersistence(persister, state.interval_ms / 1000, state.warm_start_timeout_ms / 1000)
--- /dev/null
+++ b/sidecar_balancer/runtime/status_log.py
@@ -0,0 +1,70 @@
+"""Logs the state of the sidecar each second, and when the event loop was late."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import time
+from collections import Counter
+
+from sidecar_balancer.admin.views import state_summary
+from sidecar_balancer.downstream.frontend import Frontend
+from sidecar_balancer.policy.balancer import Balancer
+from sidecar_balancer.runtime.proxy import Proxy, count_by_status
+from sidecar_balancer.upstream.endpoint_pool import EndpointPool
+
+log = logging.getLogger(__name__)
+
+_LAG_CHECK_INTERVAL_S = 0.25
+_LAG_WARNING_S = 0.05
+_STATE_INTERVAL_S = 1.0
+
+
+class StatusLog:
+    """Logs state and event loop lag while it runs."""
+
+    def __init__(
+        self, balancer: Balancer, proxy: Proxy, frontend: Frontend, endpoint_pool: EndpointPool
+    ) -> None:
+        """Log the state of these."""
+        self._balancer = balancer
+        self._proxy = proxy
+        self._frontend = frontend
+        self._endpoint_pool = endpoint_pool
+        self._logged_response_counts: Counter[int] = Counter()
+        self._logged_cpu_s = 0.0
+
+    async def run(self) -> None:
+        """Log until cancelled."""
+        loop = asyncio.get_running_loop()
+        logged_at = loop.time()
+        while True:
+            due_at = loop.time() + _LAG_CHECK_INTERVAL_S
+            await asyncio.sleep(_LAG_CHECK_INTERVAL_S)
+            lag_s = loop.time() - due_at
+            if lag_s > _LAG_WARNING_S:
+                extra = {"event": "event_loop_lag"}
+                log.warning("the event loop was %.0f ms late", lag_s * 1000, extra=extra)
+            if loop.time() >= logged_at + _STATE_INTERVAL_S:
+                logged_at = loop.time()
+                self._log_state()
+
+    def _log_state(self) -> None:
+        """Log the state if there were responses since the last time."""
+        self._proxy.request_log.reset_quota()
+        new_responses = count_by_status(self._proxy.response_counts - self._logged_response_counts)
+        if not new_responses:
+            return
+        self._logged_response_counts = self._proxy.response_counts.copy()
+        cpu_s = time.process_time() - self._logged_cpu_s
+        self._logged_cpu_s += cpu_s
+        log.info(
+            "answered %s; %d clients, %d in flight, %d connections to servers, %.2f s of CPU; %s",
+            ", ".join(f"{count} x {status}" for status, count in new_responses.items()),
+            len(self._frontend.connections),
+            len(self._proxy.by_client_request),
+            self._endpoint_pool.open_count,
+            cpu_s,
+            state_summary(self._balancer),
+            extra={"event": "state", "answered": new_responses},
+        )
--- a/tests/admin/test_operators.py
+++ b/tests/admin/test_operators.py
@@ -20,9 +20,9 @@
 
 
 async def call(w: World, method: str, path: str, head: str = "") -> int:
-    assert w.sidecar.door is not None
+    assert w.sidecar.admin_server is not None
     data = f"{method} {path} HTTP/1.1\r\nHost: ops\r\n{head}\r\n".encode()
-    return (await ask(w.sidecar.door.address, data))[0]
+    return (await ask(w.sidecar.admin_server.address, data))[0]
 
 
 @pytest.mark.parametrize(
@@ -56,8 +56,8 @@
 def test_a_call_has_its_connection_to_itself_and_a_large_body_is_refused(tmp_path: Path) -> None:
     async def scene() -> None:
         async with world(served, orders=tmp_path) as w:
-            assert w.sidecar.door is not None
-            reader, writer = await asyncio.open_connection(*w.sidecar.door.address)
+            assert w.sidecar.admin_server is not None
+            reader, writer = await asyncio.open_connection(*w.sidecar.admin_server.address)
             writer.write(b"GET /api/ready HTTP/1.1\r\nHost: ops\r\n\r\n" * 2)
             assert (await read_answer(reader))[0] == 200
             assert await is_closed(reader)
@@ -65,7 +65,7 @@
             data = b"PUT /api/exclude/s-0 HTTP/1.1\r\nHost: ops\r\nContent-Length: 100000\r\n\r\n" + bytes(
                 100_000
             )
-            assert (await ask(w.sidecar.door.address, data))[0] == 413
+            assert (await ask(w.sidecar.admin_server.address, data))[0] == 413
             assert OperatorOverrides(tmp_path).load() == (frozenset(), False)
 
     play(scene())
@@ -76,16 +76,16 @@
 ) -> None:
     async def scene() -> None:
         async with world(served, orders=tmp_path) as w:
-            assert w.sidecar.door is not None
+            assert w.sidecar.admin_server is not None
             held = [
-                await asyncio.open_connection(*w.sidecar.door.address)
+                await asyncio.open_connection(*w.sidecar.admin_server.address)
                 for _ in range(3 * admin.CONNECTIONS_MOST)
             ]
             for _, writer in held:
                 with contextlib.suppress(ConnectionError):
                     writer.write(b"PUT /api/evac")
             assert await call(w, "GET", "/api/ready") == 200
-            assert len(w.sidecar.door._callers) <= admin.CONNECTIONS_MOST
+            assert len(w.sidecar.admin_server._callers) <= admin.CONNECTIONS_MOST
             for _, writer in held:
                 writer.close()
 
@@ -98,7 +98,7 @@
 
     async def scene() -> None:
         async with world(served, orders=tmp_path) as w:
-            door = w.sidecar.door
+            door = w.sidecar.admin_server
             assert door is not None
             reader, writer = await asyncio.open_connection(*door.address)
             writer.write(b"PUT /api/evac")
@@ -112,7 +112,7 @@
 def test_without_an_address_there_is_no_door() -> None:
     async def scene() -> None:
         async with world(served) as w:
-            assert w.sidecar.door is None
+            assert w.sidecar.admin_server is None
 
     play(scene())
 
@@ -277,9 +277,9 @@
             assert await health(w) == 503
             assert await call(w, "PUT", "/api/exclude/s-0") == 200  # bans go on during a drain
             w.stop.set()
-            await until(lambda: w.sidecar.operations.is_shutting_down)
+            await until(lambda: w.sidecar.admin_handlers.is_shutting_down)
             OperatorOverrides(tmp_path).end_drain()
-            w.sidecar.operations.apply_stored_overrides()
+            w.sidecar.admin_handlers.apply_stored_overrides()
             assert w.sidecar.frontend.draining
 
     play(scene())
--- a/tests/runtime/test_close_range.py
+++ b/tests/runtime/test_close_range.py
@@ -984,14 +984,14 @@
 ) -> None:
     async def scene() -> None:
         async with world(served, drained=True, orders=tmp_path) as w:
-            real, failed = w.sidecar.operations._overrides.load, list[bool]()
+            real, failed = w.sidecar.admin_handlers._overrides.load, list[bool]()
 
             def fails() -> Any:
-                monkeypatch.setattr(w.sidecar.operations._overrides, "load", real)
+                monkeypatch.setattr(w.sidecar.admin_handlers._overrides, "load", real)
                 failed.append(True)
                 raise ZeroDivisionError
 
-            monkeypatch.setattr(w.sidecar.operations._overrides, "load", fails)
+            monkeypatch.setattr(w.sidecar.admin_handlers._overrides, "load", fails)
             with told_to_the_loop() as faults:
                 await until(lambda: failed)
                 await asyncio.sleep(0)
@@ -1051,8 +1051,8 @@
 
         async with world(served, drained=True, discovery=mode) as w:
             await until(lambda: w.discovery.targets)
-            whose: object = w.sidecar._discovery if where == "reading" else w.sidecar
-            what = "_read" if where == "reading" else "_apply_endpoint_list"
+            whose: object = w.sidecar._discovery if where == "reading" else w.sidecar._endpoint_updates
+            what = "_read" if where == "reading" else "apply"
             real = getattr(whose, what)
             monkeypatch.setattr(whose, what, fails)
             for _ in range(1 + (where == "reading")):  # the call under way reads as it was begun
--- a/tests/runtime/test_life.py
+++ b/tests/runtime/test_life.py
@@ -31,7 +31,7 @@
 )
 from sidecar_balancer.addresses import Address
 from sidecar_balancer.observability.logs import LogConfig, LogRateLimiter, configure_logging
-from sidecar_balancer.runtime import sidecar
+from sidecar_balancer.runtime import shutdown
 
 ROOT = Path(__file__).parent.parent.parent
 SETTINGS: dict[str, Any] = {
@@ -259,7 +259,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Guards the 0.4 s in which connections still come; made long, so that a slow machine can't miss them.
-    monkeypatch.setattr(sidecar, "_ACCEPT_WHILE_DRAINING_S", 600.0)
+    monkeypatch.setattr(shutdown, "_ACCEPT_WHILE_DRAINING_S", 600.0)
 
     async def scene() -> None:
         async with world(lambda *_: answer(200, b"served")) as w:
--- a/tests/support/virtual.py
+++ b/tests/support/virtual.py
@@ -17,7 +17,7 @@
 import pytest
 
 from sidecar_balancer.admin import handlers as operations
-from sidecar_balancer.runtime import clock, sidecar
+from sidecar_balancer.runtime import clock, status_log
 from sidecar_balancer.runtime.queueing import PollTimes
 
 _REAL_WAIT_S = 0.001  # before the clock moves on: what is under way in the kernel arrives by then
@@ -85,7 +85,7 @@
         time_ns=lambda: round((loop.time() + offset) * 1e9),
         process_time=time.process_time,
     )
-    for module in (clock, operations, sidecar):
+    for module in (clock, operations, status_log):
         monkeypatch.setattr(module, "time", virtual)
     gc.collect()
     before = descriptors()
