--- a/sidecar_balancer/downstream/client_connection.py
+++ b/sidecar_balancer/downstream/client_connection.py
@@ -23,7 +23,6 @@
     RequestHandler,
     check_framing,
     parse_request,
-    path_of,
 )
 from sidecar_balancer.downstream.request_deadline import RequestDeadline
 from sidecar_balancer.policy.settings import Settings
@@ -365,7 +364,7 @@
         self.has_served = True
         if self._upload is not None:
             self._complete_upload()
-        elif path_of(head) == _READINESS_PATH:
+        elif head.target.partition(b"?")[0] == _READINESS_PATH:
             self.respond(503 if self._owner.draining else 200, [], b"")
         else:
             self._request = client_request = self._parse_request(head, bytes(self._body))
--- a/sidecar_balancer/downstream/request.py
+++ b/sidecar_balancer/downstream/request.py
@@ -88,11 +88,6 @@
         """Note that nobody waits for the response any more."""
 
 
-def path_of(head: h11.Request) -> bytes:
-    """Return the target without its query."""
-    return head.target.partition(b"?")[0]
-
-
 def check_framing(head: h11.Request) -> None:
     """Check that the end of the body is unambiguous (RFC 9112, 6.1).
 
@@ -115,7 +110,7 @@
         RequestError: If the path is no API path, a header is missing or makes no sense, or the settings do
             not know the class or the tenant.
     """
-    path = path_of(head)
+    path = head.target.partition(b"?")[0]
     if path != _API_PATH and not path.startswith(_API_PATH + b"/"):
         raise RequestError(404, "no such path")
     headers = {name: value.decode("latin-1").strip() for name, value in head.headers}
--- a/sidecar_balancer/runtime/headers.py
+++ b/sidecar_balancer/runtime/headers.py
@@ -18,4 +18,7 @@
 
 def content_length(headers: Iterable[tuple[bytes, bytes]]) -> int | None:
     """Return the length of the body in bytes; None where the headers do not announce it."""
-    return next((int(value) for name, value in headers if name == b"content-length"), None)
+    for name, value in headers:
+        if name == b"content-length":
+            return int(value)
+    return None
--- a/sidecar_balancer/runtime/proxy.py
+++ b/sidecar_balancer/runtime/proxy.py
@@ -216,7 +216,10 @@
         sent_at = self._engine.clock.now()
         on_outcome = partial(self._attempt_ended, request, attempt_index, action.server, sent_at)
         upstream_request = self._upstream_request(request, attempt_index, action.server, sent_at)
-        deadline = self._attempt_deadline(request, action)
+        deadline = math.inf  # before the end of the body
+        if request.deadline is not None:
+            deadline_us = min(action.deadline or request.deadline, request.deadline)
+            deadline = self._engine.clock.on_loop(deadline_us)
         try:
             exchange = self._endpoint_pool.send(action.server, upstream_request, deadline, on_outcome)
         except Exception:  # a defect: the request may have been executed
@@ -225,12 +228,6 @@
         if attempt_index in request.attempts:
             request.attempts[attempt_index] = exchange
 
-    def _attempt_deadline(self, request: InFlightRequest, action: SendAttempt) -> float:
-        """Return an attempt's deadline on the event loop's clock; there is none before the body's end."""
-        if request.deadline is None:
-            return math.inf
-        return self._engine.clock.on_loop(min(action.deadline or request.deadline, request.deadline))
-
     def _upstream_request(
         self, request: InFlightRequest, attempt_index: int, server: str, sent_at: int
     ) -> UpstreamRequest:
--- a/sidecar_balancer/runtime/streams.py
+++ b/sidecar_balancer/runtime/streams.py
@@ -27,12 +27,13 @@
     Attributes:
         active_streams: Long bodies that are being streamed.
         buffered_bytes: Bytes of bodies that are buffered.
+        read_view: Where all connections are read into, one at a time; valid until the next read.
     """
 
     def __init__(self, memory_mb: int = _DEFAULT_MEMORY_MB) -> None:
         """Divide a memory limit in MiB."""
         self._max_bytes = int(memory_mb * 1024 * 1024 * _BODY_MEMORY_RATIO)
-        self._read_view = memoryview(bytearray(_MAX_READ_BYTES))  # shared: one connection is read at a time
+        self.read_view = memoryview(bytearray(_MAX_READ_BYTES))
         self.active_streams = 0
         self.buffered_bytes = 0
 
@@ -41,10 +42,6 @@
         fair_share = self._max_bytes // (_BUFFERS_PER_STREAM * max(self.active_streams, 1))
         return max(_MIN_READ_BYTES, min(_MAX_READ_BYTES, fair_share))
 
-    def read_buffer(self) -> memoryview:
-        """Return the buffer for the next read; its content is valid until the next one."""
-        return self._read_view[: self.read_size()]
-
     def may_buffer(self, size: int) -> bool:
         """Return whether a body that has grown to this size may stay buffered."""
         return size <= MAX_BUFFERED_BODY_BYTES and self.buffered_bytes <= self._max_bytes
@@ -62,11 +59,11 @@
 
     def get_buffer(self, _sizehint: int) -> memoryview:
         """Return where asyncio writes the next bytes."""
-        return self.body_memory.read_buffer()
+        return self.body_memory.read_view[: self.body_memory.read_size()]
 
     def buffer_updated(self, nbytes: int) -> None:
         """Take the bytes that asyncio has written."""
-        self.data_received(bytes(self.body_memory.read_buffer()[:nbytes]))
+        self.data_received(bytes(self.body_memory.read_view[:nbytes]))
 
     def data_received(self, data: bytes) -> None:
         """Handle input."""
--- a/sidecar_balancer/upstream/server_connection.py
+++ b/sidecar_balancer/upstream/server_connection.py
@@ -60,6 +60,7 @@
         self._request_sent_at = 0.0  # on the event loop's clock
         self._upload: Upload | None = None  # the rest of a long request body
         self._response_head: h11.Response | None = None
+        self._announced_length: int | None = None  # of the response's body
         self._start_streaming: StartStreaming | None = None
         self._sink: ResponseSink | None = None  # set while a response is streamed
         self._unforwarded = bytearray()  # of the streamed response, parsed in this turn of the event loop
@@ -229,7 +230,7 @@
             log.info("response without framing", extra={"event": "response_without_framing"})
             self._finish(None)
             return False
-        length = content_length(head.headers)
+        self._announced_length = length = content_length(head.headers)
         if length is not None and length > self._max_body_bytes:
             return self._begin_streaming(length)
         return True
@@ -238,19 +239,16 @@
         if self._sink is not None:
             self._unforwarded += data
             return True
-        if not self._body and self._start_streaming is not None and self._announced_length() is None:
+        if not self._body and self._start_streaming is not None and self._announced_length is None:
             loop = asyncio.get_running_loop()
             self._buffering_timer = loop.call_later(_MAX_RESPONSE_BUFFERING_S, self._stream_slow_response)
         self._buffer_body(data)
         if len(self._body) > self._max_body_bytes or (
             self._start_streaming is not None and not self.body_memory.may_buffer(len(self._body))
         ):
-            return self._begin_streaming(self._announced_length())
+            return self._begin_streaming(self._announced_length)
         return True
 
-    def _announced_length(self) -> int | None:
-        return None if self._response_head is None else content_length(self._response_head.headers)
-
     def _buffered_response(self) -> Response | None:
         head = self._response_head
         return None if head is None else Response(head.status_code, list(head.headers), bytes(self._body))
