--- a/sidecar_balancer/persistence/state_records.py
+++ b/sidecar_balancer/persistence/state_records.py
@@ -23,7 +23,8 @@
 import msgpack  # type: ignore[import-untyped]
 
 from sidecar_balancer.membership import codec
-from sidecar_balancer.membership.codec import MalformedDatagramError, Status, VerdictUpdate
+from sidecar_balancer.membership.errors import MalformedDatagramError
+from sidecar_balancer.membership.messages import MemberStatus, VerdictScope, VerdictUpdate
 from sidecar_balancer.membership.swim import Swim
 from sidecar_balancer.membership.transport import MembershipTransport
 from sidecar_balancer.policy.balancer import Balancer
@@ -66,7 +67,7 @@
 class RestoredMember(NamedTuple):
     """A member of the tier as it was last known."""
 
-    status: Status
+    status: MemberStatus
     incarnation: int
 
 
@@ -91,9 +92,7 @@
     """Return the records of the current state; `now_us` is the balancer's clock."""
     records = dict(_balancer_records(balancer, now_us))
     if transport is not None:
-        records.update(
-            transport.with_core(lambda swim, swim_now_us: dict(_member_records(swim, swim_now_us)))
-        )
+        records.update(_member_records(transport.swim, transport.now_us()))
         records.update(_lease_records(transport))
     if endpoint_list is not None:
         records["list"] = msgpack.packb(endpoint_list)
@@ -129,14 +128,14 @@
 
 
 def _member_records(swim: Swim, now_us: int) -> Iterator[tuple[str, bytes]]:
-    yield "plane", msgpack.packb([swim.incarnation, swim.counter])
-    for number, (status, incarnation) in swim.view().items():
+    yield "plane", msgpack.packb([swim.members.incarnation, swim.verdict_counter])
+    for number, (status, incarnation) in swim.members.view().items():
         yield f"member/{number}", msgpack.packb([int(status), incarnation])
     for update, ttl_ms in swim.verdicts.live(now_us):
-        if update.slot != codec.ASKED:
+        if update.scope != VerdictScope.TENANT_DEMAND:
             rounded_ttl_ms = max(ttl_ms // _MS_PER_S * _MS_PER_S, 1)
-            key = f"verdict/{update.origin}/{update.slot}/{update.server}"
-            yield key, msgpack.packb(codec.flat(replace(update, ttl_ms=rounded_ttl_ms)))
+            key = f"verdict/{update.origin}/{update.scope}/{update.subject}"
+            yield key, msgpack.packb(codec.update_to_list(replace(update, ttl_ms=rounded_ttl_ms)))
 
 
 def _lease_records(transport: MembershipTransport) -> Iterator[tuple[str, bytes]]:
@@ -184,9 +183,9 @@
                 state.membership = MemberVersion(*_decode_pair(value))
             case "member":
                 status, incarnation = _decode_pair(value)
-                state.members[int(name)] = RestoredMember(Status(status), incarnation)
+                state.members[int(name)] = RestoredMember(MemberStatus(status), incarnation)
             case "verdict":
-                update = codec.update_from(value)
+                update = codec.update_from_list(value)
                 if isinstance(update, VerdictUpdate):
                     state.verdicts.append(update)
             case "lease":
--- /dev/null
+++ b/tests/discovery/test_client.py
@@ -0,0 +1,208 @@
+"""The discovery client over loopback, and how its updates reach the balancer and the connections."""
+
+from __future__ import annotations
+
+import pytest
+
+from discovery_world import balancer_of, client_of, consecutive_failures, now_us, pooled_servers, served
+from helpers import S
+from loopback import FakeDiscovery, answer, play, until, world
+from registry import entry
+from sidecar_balancer.discovery import watch_state
+from sidecar_balancer.discovery.client import EMPTY_POLL_PAUSE_S, DiscoveryClient
+from sidecar_balancer.discovery.watch_events import PollFailed, WatchEvent
+from sidecar_balancer.policy.types import ServerState
+
+
+def test_a_watch_polls_again_at_once_after_the_version_received() -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            for index in (42, 43, 44):
+                w.discovery.say(index, [])
+            await until(lambda: len(w.discovery.targets) == 4)
+            targets = [target.split("&")[0] for target in w.discovery.targets]
+            assert targets == [f"/registry/instances?after={index}" for index in (41, 42, 43, 44)]
+
+    play(scene())
+
+
+def test_the_pause_between_polls_is_shorter_than_that_between_watches() -> None:
+    assert EMPTY_POLL_PAUSE_S < 0.2  # a poll that comes later counts as a new watch
+
+
+def test_deltas_and_snapshots_reach_the_balancer() -> None:
+    async def scene() -> None:
+        async with world(served, served) as w:
+            listed = balancer_of(w).servers
+            first, second = w.servers
+            w.discovery.say(42, [first.entry(status="leaving")])
+            await until(lambda: listed["s-0"].state is ServerState.DRAINING)
+            for _ in range(10):
+                assert (await w.ask())[0] == 200
+            assert not first.requests
+            w.discovery.say(43, [first.entry()], snapshot=True)  # an absent server is renew_source
+            await until(lambda: "s-1" not in listed)
+            requests_before = len(second.requests)
+            for _ in range(10):
+                assert (await w.ask())[0] == 200
+            assert len(second.requests) == requests_before
+
+    play(scene())
+
+
+def test_renew_source_servers_are_forgotten() -> None:
+    async def scene() -> None:
+        async with world(served, served) as w:
+            first, second = w.servers
+            w.discovery.say(42, [first.entry(), {**first.entry(), "name": "s-9"}], snapshot=True)
+            await until(lambda: pooled_servers(w) == {"s-0", "s-9"})
+            assert (await w.ask())[0] == 200
+            w.discovery.say(
+                43, [first.entry(status="left"), {**first.entry(), "name": "s-9", "status": "left"}]
+            )
+            await until(lambda: not pooled_servers(w))
+            assert not balancer_of(w).servers
+            w.discovery.say(44, [second.entry()])
+            await until(lambda: len(pooled_servers(w)) == 1)
+            assert (await w.ask())[0] == 200
+
+    play(scene())
+
+
+def test_a_server_that_restarted_warms_up_again() -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            server = balancer_of(w).servers["s-0"]
+            since_ms = now_us(w) // 1000
+            w.discovery.say(42, [w.servers[0].entry(since_ms=since_ms)])
+            await until(lambda: server.started_at == since_ms * 1000)
+            assert balancer_of(w).is_warming_up(server)
+
+    play(scene())
+
+
+@pytest.mark.parametrize(
+    "malformed",
+    [
+        answer(503, b""),
+        answer(200, b"not json"),
+        answer(200, b'{"index": "x", "endpoints": []}'),
+        answer(200, b"[]"),
+        answer(200, b"[" * 100_000),
+        answer(200, b'{"index": 7, "endpoints": ' + b'{"a":' * 100_000),
+        b"HTTP/1.1 200 X\r\nContent-Length: 99\r\n\r\n{",
+    ],
+)
+def test_the_balancer_is_notified_of_a_failed_poll_and_polls_again(malformed: bytes) -> None:
+    async def scene() -> None:
+        async with world(served, rules={"poll_interval_us": 1 * S}) as w:
+            w.discovery.answers.put_nowait(malformed)
+            await until(lambda: len(w.discovery.targets) == 2)
+            assert consecutive_failures(w) == 1
+            assert (await w.ask())[0] == 200
+
+    play(scene())
+
+
+def test_an_unreachable_registry_is_a_failed_poll() -> None:
+    async def scene() -> None:
+        events: list[WatchEvent] = []
+        registry = FakeDiscovery()
+        await registry.start()
+        registry.stop()
+        discovery = DiscoveryClient([registry.address], 1, events.append)
+        discovery.set_watching(True)
+        await until(lambda: events == [PollFailed(timed_out=False)])
+        await until(lambda: not discovery.is_watching)
+        discovery.set_watching(True)  # another watch may begin
+        await until(lambda: events == [PollFailed(timed_out=False)] * 2)
+
+    play(scene())
+
+
+def test_a_watch_runs_once_and_can_be_ended() -> None:
+    async def scene() -> None:
+        service = FakeDiscovery()
+        await service.start()
+        events: list[WatchEvent] = []
+        discovery = DiscoveryClient([service.address], 1, events.append)
+        for _ in range(3):
+            discovery.set_watching(True)
+        await until(lambda: service.targets)
+        discovery.fetch()
+        await until(lambda: len(service.targets) == 2)
+        assert service.targets[1] == "/registry/instances"
+        service.say(7, [entry()], snapshot=True)
+        await until(lambda: events)
+        discovery.set_watching(False)
+        assert not discovery.is_watching
+        service.stop()
+
+    play(scene())
+
+
+def test_a_new_source_is_polled_for_the_full_list_and_then_watched() -> None:
+    async def scene() -> None:
+        async with world(served, served) as w:
+            await until(lambda: w.discovery.targets)
+            new_source = FakeDiscovery()
+            await new_source.start()
+            client_of(w).replace_sources([new_source.address])
+            new_source.say(7, [w.servers[1].entry()], snapshot=True)
+            await until(lambda: len(new_source.targets) == 2)
+            assert new_source.targets[0] == "/registry/instances"
+            assert new_source.targets[1].startswith("/registry/instances?after=7&")
+            assert "s-0" not in balancer_of(w).servers
+            assert len(w.discovery.targets) == 1
+            new_source.stop()
+
+    play(scene())
+
+
+def test_pushed_lists_are_watched_without_a_request_of_the_balancer() -> None:
+    async def scene() -> None:
+        async with world(served, discovery="pushed") as w:
+            w.discovery.answers.put_nowait(answer(503, b""))
+            w.discovery.say(42, [w.servers[0].entry(status="leaving")])
+            await until(lambda: balancer_of(w).servers["s-0"].state is ServerState.DRAINING)
+
+    play(scene())
+
+
+@pytest.mark.parametrize("status", ["leaving", "left"])
+def test_a_draining_or_renew_source_server_needs_no_address(status: str) -> None:
+    # Skipped as malformed, the entry would leave the server in use.
+    async def scene() -> None:
+        async with world(served) as w:
+            w.discovery.say(42, [w.servers[0].entry(status=status, address=None)])
+            await until(lambda: not balancer_of(w).ready_servers)
+            assert (await w.ask())[0] == 503
+            assert not w.sent()
+
+    play(scene())
+
+
+def test_a_registry_that_does_not_wait_is_polled_with_pauses() -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            for _ in range(4):
+                w.discovery.say(41, [])
+            await until(lambda: len(w.discovery.called_after_s) == 4)
+            assert min(w.discovery.called_after_s) >= 0.09
+
+    play(scene())
+
+
+def test_a_watch_that_timed_out_is_polled_again_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(watch_state, "MIN_WAIT_MS", 30)
+    monkeypatch.setattr(watch_state, "RESPONSE_TIMEOUT_S", 0.01)
+    monkeypatch.setattr(watch_state, "WATCH_SLACK_S", 0.01)
+
+    async def scene() -> None:
+        # A failed poll is repeated after 250 s here: nothing but the time-out brings the second one.
+        async with world(served, rules={"poll_interval_us": 1_000_000_000}) as w:
+            await until(lambda: len(w.discovery.targets) == 2)
+            first, second = (target.split("&wait_ms=") for target in w.discovery.targets)
+            assert first[0] == second[0]  # both request the changes since the same version
+
+    play(scene())
