--- a/sidecar_balancer/admin/handlers.py
+++ b/sidecar_balancer/admin/handlers.py
@@ -28,7 +28,7 @@
 from sidecar_balancer.upstream.connection import Upstream
 
 if TYPE_CHECKING:
-    from sidecar_balancer.membership.bridge import PeerLink
+    from sidecar_balancer.membership.bridge import MembershipBridge
     from sidecar_balancer.observability.latency import LatencyHistograms
     from sidecar_balancer.observability.logs import LogRateLimiter
 
@@ -48,7 +48,7 @@
         connections: Upstream,
         discovery: DiscoveryClient,
         overrides: OperatorOverrides,
-        link: PeerLink | None,
+        link: MembershipBridge | None,
         latencies: LatencyHistograms | None,
     ) -> None:
         self._engine = engine
@@ -126,7 +126,7 @@
         return json.dumps(zones_view(self._engine.balancer.zones, self._engine.clock.now()))
 
     def _tell_duties(self, _: str) -> str:
-        told = self._link.duties() if self._link is not None else None
+        told = self._link.describe_leases() if self._link is not None else None
         if told is None:
             raise RequestRejectedError(404, "there are no duties: the peer plane or its leases are off")
         return json.dumps(told)
@@ -173,7 +173,7 @@
         self._overrides_fault = False
         changed, self.disabled_servers = excluded != self.disabled_servers, excluded
         if changed and self._link is not None:
-            self._link.ban(excluded)
+            self._link.set_disabled_servers(excluded)
         self.apply_disabled_servers()
         self._hear_zone_orders()
         if evacuated == self._evacuated or self.is_shutting_down:
@@ -187,7 +187,9 @@
 
     def apply_disabled_servers(self) -> None:
         """The module hears this sidecar's own orders and the bans that the plane holds for the tier."""
-        wanted = self.disabled_servers | (self._link.bans() if self._link is not None else frozenset())
+        wanted = self.disabled_servers | (
+            self._link.disabled_servers() if self._link is not None else frozenset()
+        )
         if wanted != self._excluded:
             self._engine.handle(DisabledServersChanged(wanted))
 
--- a/sidecar_balancer/relay/config.py
+++ b/sidecar_balancer/relay/config.py
@@ -9,8 +9,12 @@
 from typing import Any
 
 from sidecar_balancer.addresses import Address
-from sidecar_balancer.config.addresses import read_address
-from sidecar_balancer.config.values import ConfigurationError, ValueReader, read_bounded_integer
+from sidecar_balancer.config.values import (
+    ConfigurationError,
+    ValueReader,
+    read_address,
+    read_bounded_integer,
+)
 from sidecar_balancer.observability.logs import LogConfig
 
 MAX_UPSTREAMS = 64
--- a/tests/compatibility/golden_subjects.py
+++ b/tests/compatibility/golden_subjects.py
@@ -15,12 +15,13 @@
 from sidecar_balancer.admin.overrides import OperatorOverrides
 from sidecar_balancer.config.wire_names import settings_from_wire
 from sidecar_balancer.discovery.endpoint_list import parse_list
-from sidecar_balancer.lease.core import Terms
+from sidecar_balancer.lease.protocol import LeaseTiming
 from sidecar_balancer.membership import codec
-from sidecar_balancer.membership.swim import Tuning
-from sidecar_balancer.membership.transport import PeerPlane
+from sidecar_balancer.membership.settings import MembershipSettings
+from sidecar_balancer.membership.transport import MembershipTransport
 from sidecar_balancer.persistence import tier_snapshot as tier
 from sidecar_balancer.persistence.persister import StatePersister, resume_membership
+from sidecar_balancer.persistence.state_records import EndpointListRecord
 from sidecar_balancer.persistence.store import Store
 from sidecar_balancer.policy.balancer import Balancer
 from sidecar_balancer.policy.events import EndpointListReceived
@@ -90,11 +91,13 @@
     balancer.handle(now, EndpointListReceived(ListKind.CACHED, servers, told.version))
     balancer.handle(now, kept.learned)
     peers = [("127.0.0.1", 1 + number) for number in range(4)]
-    plane = PeerPlane(peers[0], peers, 0, 7, Tuning(), Terms(), lambda: now)
+    plane = MembershipTransport(peers[0], peers, 0, 7, MembershipSettings(), LeaseTiming(), lambda: now)
     resume_membership(plane, kept)
     store = Store(target, _MOST)
     store.open()
-    StatePersister(store).persist(balancer, now, plane, ("192.0.2.1:8500", json.dumps(listed)))
+    StatePersister(store).persist(
+        balancer, now, plane, EndpointListRecord("192.0.2.1:8500", json.dumps(listed))
+    )
 
 
 # Orders
