--- a/bench/scale.py
+++ b/bench/scale.py
@@ -1,8 +1,8 @@
-"""What the parts of the tier cost by size, with fitted slopes and the values at the fleet to come.
+"""What the parts of the tier cost by size, with fitted slopes and the values at the planned fleet size.
 
     .venv/bin/python bench/scale.py [--edge] [--peers] [--fanout] [--sizes 100,400,1600]
 
-Without a choice all three are played, in some five minutes; docs/CAPACITY.md quotes a run.  The registry and
+Without a choice all three run, in some five minutes; docs/CAPACITY.md quotes a run.  The registry and
 the relays are processes, hollow sidecars share some: a few dozen in all.
 """
 
@@ -19,25 +19,30 @@
 from earlier import revision
 from scale_fit import Series, report
 
-TARGET = 22_000  # servers, each with its sidecar
-LISTED = [200, 2_000, 8_000, 22_000]
+TARGET_SERVERS = 22_000  # servers, each with its sidecar
+LISTED_SERVERS = [200, 2_000, 8_000, 22_000]
 MEMBERS = [64, 256, 1_000]
+RELAYS = 54  # of the planned fleet
 SIDECARS = [100, 400, 1_600]
-WITHOUT_RELAYS_MOST = 1_600
+MAX_SIDECARS_WITHOUT_RELAYS = 1_600
 
 
 def fanout(sizes: list[int]) -> None:
-    outcomes = asyncio.run(scale_fanout.run(sizes, WITHOUT_RELAYS_MOST))
-    steady = [each for each in outcomes if each.phase == "0.8 changes/s"]
-    direct = [each for each in outcomes if each.phase == "without relays"]
-    report(_series("registry calls with relays", "a second, by relay", steady, by_relay=True), 54)
-    report(_series("registry calls without relays", "a second", direct), TARGET)
-    per_relay = {each.sidecars // each.relays: [each.relay_core] for each in steady}
-    report(Series("a relay's part of a core by its sidecars", "cores", per_relay), 458)
+    outcomes = asyncio.run(scale_fanout.run(sizes, MAX_SIDECARS_WITHOUT_RELAYS))
+    steady = [outcome for outcome in outcomes if outcome.phase == scale_fanout.STEADY_PHASE]
+    direct = [outcome for outcome in outcomes if outcome.phase == scale_fanout.DIRECT_PHASE]
+    report(_series("registry calls with relays", "a second, by relay", steady, by_relay=True), RELAYS)
+    report(_series("registry calls without relays", "a second", direct), TARGET_SERVERS)
+    per_relay = {outcome.sidecars // outcome.relays: [outcome.relay_core] for outcome in steady}
+    report(
+        Series("a relay's part of a core by its sidecars", "cores", per_relay),
+        scale_fanout.SIDECARS_PER_RELAY,
+    )
 
 
 def _series(name: str, unit: str, outcomes: list[scale_fanout.Outcome], by_relay: bool = False) -> Series:
-    values = {(e.relays if by_relay else e.sidecars): [e.registry_calls_s] for e in outcomes}
+    sizes = [outcome.relays if by_relay else outcome.sidecars for outcome in outcomes]
+    values = {size: [outcome.registry_calls_s] for size, outcome in zip(sizes, outcomes, strict=True)}
     return Series(name, unit, values)
 
 
@@ -48,17 +53,17 @@
     parser.add_argument(
         "--sizes", default=",".join(map(str, SIDECARS)), help="hollow sidecars of the fan-out"
     )
-    chosen = parser.parse_args()
-    everything = not (chosen.edge or chosen.peers or chosen.fanout)
+    arguments = parser.parse_args()
+    runs_all = not (arguments.edge or arguments.peers or arguments.fanout)
     print(f"{revision()} on {os.cpu_count()} cores")
-    if chosen.edge or everything:
-        for series in scale_edge.run(LISTED) + scale_request.run(LISTED):
-            report(series, TARGET)
-    if chosen.peers or everything:
+    if arguments.edge or runs_all:
+        for series in scale_edge.run(LISTED_SERVERS) + scale_request.run(LISTED_SERVERS):
+            report(series, TARGET_SERVERS)
+    if arguments.peers or runs_all:
         for series in scale_membership.run(MEMBERS):
-            report(series, TARGET)
-    if chosen.fanout or everything:
-        fanout([int(each) for each in chosen.sizes.split(",")])
+            report(series, TARGET_SERVERS)
+    if arguments.fanout or runs_all:
+        fanout([int(size) for size in arguments.sizes.split(",")])
 
 
 if __name__ == "__main__":
--- a/bench/scale_edge.py
+++ b/bench/scale_edge.py
@@ -1,6 +1,6 @@
-"""What the list of servers costs one sidecar: a changed line, a whole list, memory.
+"""What the endpoint list costs one sidecar: a changed entry, a full list, memory.
 
-The real sidecar without its discovery, each size in a process of its own, so that memory tells.
+The real sidecar without its discovery client, each size in a process of its own, for its peak of memory.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
 from sidecar_balancer.runtime.sidecar import Sidecar
 
 TRIALS = 5
-CHANGES = 60  # a trial
-ZONES = 21
+CHANGES_PER_TRIAL = 60
+ZONE_COUNT = 21
 
 
 @dataclass(frozen=True)
@@ -34,27 +34,27 @@
     """Of one size; times in microseconds of CPU, memory in bytes."""
 
     change_us: list[float]
-    list_us: list[float]
-    memory: float
+    snapshot_us: list[float]
+    memory_bytes: float
     list_bytes: int
 
 
 def entry(number: int, **changes: Any) -> dict[str, Any]:
-    """An entry as a registry at that size would tell it, some 140 bytes."""
-    given = {
+    """Return an entry as a registry of that size lists it, some 140 bytes."""
+    members = {
         "name": f"s-{number:08x}",
         "address": f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:8443",
-        "zone": f"zone-{number % ZONES:02d}",
+        "zone": f"zone-{number % ZONE_COUNT:02d}",
         "type": "m2",
         "group": number % 40,
         "status": "active",
         "weight": 1.0,
         "since_ms": 0,
     }
-    return given | changes
+    return members | changes
 
 
-def whole(size: int) -> bytes:
+def snapshot_body(size: int) -> bytes:
     listed = [entry(number) for number in range(size)]
     return json.dumps({"index": 1, "snapshot": True, "endpoints": listed}).encode()
 
@@ -73,34 +73,34 @@
 
 
 async def _measure(size: int) -> Cost:
-    nothing = ListUpdate(0, True, [])
-    config = SidecarConfig(("127.0.0.1", 0), ("127.0.0.1", 1), 7, 256, settings(zone="zone-00"), nothing)
+    no_servers = ListUpdate(0, True, [])
+    config = SidecarConfig(("127.0.0.1", 0), ("127.0.0.1", 1), 7, 256, settings(zone="zone-00"), no_servers)
     sidecar = Sidecar(config)
-    body = whole(size)
+    body = snapshot_body(size)
     gc.collect()
     before = resident_bytes()
-    list_us = []
+    snapshot_us = []
     for _ in range(TRIALS):
-        began = time.process_time()
+        started_at = time.process_time()
         sidecar._list(ListKind.SNAPSHOT, read_list(body))
-        list_us.append(1e6 * (time.process_time() - began))
+        snapshot_us.append(1e6 * (time.process_time() - started_at))
     memory = resident_bytes() - before
-    change_us = [_changes(sidecar, size, trial) for trial in range(TRIALS)]
+    change_us = [_microseconds_per_change(sidecar, size, trial) for trial in range(TRIALS)]
     await sidecar._end()
-    return Cost(change_us, list_us, memory, len(body))
+    return Cost(change_us, snapshot_us, memory, len(body))
 
 
-def _changes(sidecar: Sidecar, size: int, trial: int) -> float:
-    """CPU microseconds a changed line: drains, returns and starts, by turns."""
+def _microseconds_per_change(sidecar: Sidecar, size: int, trial: int) -> float:
+    """Return the CPU time of a changed entry: drains and returns in turn."""
     updates = []
-    for number in range(CHANGES):
-        server = (trial * CHANGES + number // 2) * 7919 % size
+    for number in range(CHANGES_PER_TRIAL):
+        server = (trial * CHANGES_PER_TRIAL + number // 2) * 7919 % size
         status = "leaving" if number % 2 == 0 else "active"
         updates.append(change(2, entry(server, status=status)))
-    began = time.process_time()
-    for each in updates:
-        sidecar._list(ListKind.DELTA, each)
-    return 1e6 * (time.process_time() - began) / CHANGES
+    started_at = time.process_time()
+    for update in updates:
+        sidecar._list(ListKind.DELTA, update)
+    return 1e6 * (time.process_time() - started_at) / CHANGES_PER_TRIAL
 
 
 def run(sizes: list[int]) -> list[Series]:
@@ -111,8 +111,20 @@
         with context.Pool(1) as pool:
             costs[size] = pool.apply(measure, (size,))
     return [
-        Series("one changed line at a sidecar", "us of CPU", {s: c.change_us for s, c in costs.items()}),
-        Series("a whole list at a sidecar", "us of CPU", {s: c.list_us for s, c in costs.items()}),
-        Series("memory for the list, peak", "bytes", {s: [c.memory] for s, c in costs.items()}),
-        Series("a whole list on the wire", "bytes", {s: [float(c.list_bytes)] for s, c in costs.items()}),
+        Series(
+            "one changed entry at a sidecar",
+            "us of CPU",
+            {size: cost.change_us for size, cost in costs.items()},
+        ),
+        Series(
+            "a full list at a sidecar", "us of CPU", {size: cost.snapshot_us for size, cost in costs.items()}
+        ),
+        Series(
+            "memory for the list, peak", "bytes", {size: [cost.memory_bytes] for size, cost in costs.items()}
+        ),
+        Series(
+            "a full list on the wire",
+            "bytes",
+            {size: [float(cost.list_bytes)] for size, cost in costs.items()},
+        ),
     ]
--- a/bench/scale_fanout.py
+++ b/bench/scale_fanout.py
@@ -20,30 +20,33 @@
 
 from earlier import ROOT, cpu_s
 
-SIDECARS_A_RELAY = 458  # 22,000 over 54 machines, with a region's relays lost
-SIDECARS_A_PROCESS = 200
-SERVERS = 200  # on the list: what a sidecar calls, not the fleet
-EVERY_S = 1.25  # 0.8 changes a second
+SIDECARS_PER_RELAY = 458  # 22,000 over 54 machines, with a region's relays lost
+SIDECARS_PER_PROCESS = 200
+LISTED_SERVERS = 200  # what a sidecar calls, not the fleet
+CHANGE_INTERVAL_S = 1.25  # 0.8 changes a second
 SETTLE_S = 6.0  # after the start
-LATE_S = 8.0  # how long the last change may take before it is counted as missing
+LAST_CHANGE_TIMEOUT_S = 8.0  # then it is counted as missing
+REPLY_TIMEOUT_S = 120.0
+STEADY_PHASE = "0.8 changes/s"
+DIRECT_PHASE = "without relays"
 BENCH = Path(__file__).parent
 
 
 @dataclass
 class Worker:
-    """A process of the bench, spoken to by lines."""
+    """A process of the bench; it reads commands and writes JSON, a line each."""
 
     process: asyncio.subprocess.Process
 
-    async def ask(self, line: str) -> dict[str, Any]:
+    async def command(self, command: str) -> dict[str, Any]:
         assert self.process.stdin is not None
-        self.process.stdin.write(line.encode() + b"\n")
-        return await self.hear()
+        self.process.stdin.write(command.encode() + b"\n")
+        return await self.receive()
 
-    async def hear(self) -> dict[str, Any]:
+    async def receive(self) -> dict[str, Any]:
         assert self.process.stdout is not None
-        told = await asyncio.wait_for(self.process.stdout.readline(), 120.0)
-        return dict(json.loads(told))
+        reply = await asyncio.wait_for(self.process.stdout.readline(), REPLY_TIMEOUT_S)
+        return dict(json.loads(reply))
 
     async def end(self) -> None:
         with contextlib.suppress(ProcessLookupError):
@@ -66,11 +69,12 @@
     sidecar_bytes_s: float = 0.0  # bodies that relays sent, by sidecar
 
     def row(self) -> str:
-        ordered = sorted(self.latencies_s) or [math.nan]
+        latencies_s = sorted(self.latencies_s) or [math.nan]
+        p99_s = latencies_s[int(0.99 * (len(latencies_s) - 1))]
         return (
             f"{self.phase:<22}{self.sidecars:>7}{self.relays:>7}"
-            f"{1000 * statistics.median(ordered):>9.0f}{1000 * ordered[int(0.99 * (len(ordered) - 1))]:>9.0f}"
-            f"{1000 * ordered[-1]:>9.0f}{self.missing:>9}{self.registry_calls_s:>10.1f}"
+            f"{1000 * statistics.median(latencies_s):>9.0f}{1000 * p99_s:>9.0f}"
+            f"{1000 * latencies_s[-1]:>9.0f}{self.missing:>9}{self.registry_calls_s:>10.1f}"
             f"{self.relay_core:>9.1%}{self.sidecar_core:>10.2%}{self.sidecar_bytes_s:>9.0f}"
         )
 
@@ -82,33 +86,33 @@
 
 
 class Fleet:
-    """The registry, its relays (none: sidecars call it themselves) and the hollow sidecars."""
+    """The registry, its relays (none: sidecars poll it themselves) and the hollow sidecars."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.registry: Worker
         self.relays: list[Worker] = []
-        self.doors: list[str] = []
-        self.members: list[Worker] = []
+        self.admin_addresses: list[str] = []
+        self.sidecar_groups: list[Worker] = []
         self.sidecars = 0
 
     async def open(self, sidecars: int, relays: int) -> None:
         self.sidecars = sidecars
-        self.registry = await self._spawn("registry", str(SERVERS))
-        address = str((await self.registry.hear())["address"])
+        self.registry = await self._spawn("registry", str(LISTED_SERVERS))
+        address = str((await self.registry.receive())["address"])
         ports = _free_ports(2 * relays)
         addresses = [f"127.0.0.1:{port}" for port in ports[:relays]] or [address]
         for number in range(relays):
-            self.doors.append(f"127.0.0.1:{ports[relays + number]}")
+            self.admin_addresses.append(f"127.0.0.1:{ports[relays + number]}")
             self.relays.append(await self._start_relay(number, addresses[number], address))
         await asyncio.sleep(1.5 if relays else 0.0)
-        for first in range(0, sidecars, SIDECARS_A_PROCESS):
-            count = min(SIDECARS_A_PROCESS, sidecars - first)
-            self.members.append(
-                await self._spawn("sidecars", str(count), str(first), str(SERVERS), *addresses)
+        for first in range(0, sidecars, SIDECARS_PER_PROCESS):
+            count = min(SIDECARS_PER_PROCESS, sidecars - first)
+            self.sidecar_groups.append(
+                await self._spawn("sidecars", str(count), str(first), str(LISTED_SERVERS), *addresses)
             )
-        for each in self.members:
-            await each.hear()
+        for group in self.sidecar_groups:
+            await group.receive()
 
     async def _spawn(self, *arguments: str) -> Worker:
         return await self._process(str(BENCH / "scale_hollow.py"), *arguments)
@@ -128,119 +132,141 @@
     async def _start_relay(self, number: int, listen: str, upstream: str) -> Worker:
         path = self.folder / f"relay-{number}.toml"
         path.write_text(
-            f'listen = "{listen}"\nupstreams = ["{upstream}"]\nmgmt = "{self.doors[number]}"\n'
+            f'listen = "{listen}"\nupstreams = ["{upstream}"]\nmgmt = "{self.admin_addresses[number]}"\n'
             f'connections = 8192\n[logging]\nlevel = "error"\n'
         )
         return await self._process("-m", "sidecar_balancer.cli", "relay", "--config", str(path))
 
     async def relay_bytes(self) -> int:
-        told = [await _status(door) for door in self.doors]
-        return sum(int(each["counters"]["bytes_out"]) for each in told if each)
+        statuses = [await _status(address) for address in self.admin_addresses]
+        return sum(int(status["counters"]["bytes_out"]) for status in statuses if status)
 
     async def close(self) -> None:
-        for each in (*self.members, *self.relays, self.registry):
-            await each.end()
+        for worker in (*self.sidecar_groups, *self.relays, self.registry):
+            await worker.end()
 
 
 def _free_ports(count: int) -> list[int]:
-    with contextlib.ExitStack() as held:
-        found = []
+    with contextlib.ExitStack() as sockets:
+        ports = []
         for _ in range(count):
-            sock = held.enter_context(socket.socket())
+            sock = sockets.enter_context(socket.socket())
             sock.bind(("127.0.0.1", 0))
-            found.append(int(sock.getsockname()[1]))
-        return found
+            ports.append(int(sock.getsockname()[1]))
+        return ports
 
 
-async def _status(door: str) -> dict[str, Any] | None:
-    host, _, port = door.rpartition(":")
+async def _status(admin_address: str) -> dict[str, Any] | None:
+    host, _, port = admin_address.rpartition(":")
     try:
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(b"GET /api/status HTTP/1.1\r\nHost: x\r\n\r\n")
-        told = await asyncio.wait_for(reader.read(), 5.0)
+        response = await asyncio.wait_for(reader.read(), 5.0)
         writer.close()
     except (OSError, TimeoutError):
         return None
-    return dict(json.loads(told.partition(b"\r\n\r\n")[2]))
+    return dict(json.loads(response.partition(b"\r\n\r\n")[2]))
 
 
 @contextlib.asynccontextmanager
 async def fleet(sidecars: int, relays: int) -> AsyncIterator[Fleet]:
     with tempfile.TemporaryDirectory() as folder:
-        made = Fleet(Path(folder))
+        started = Fleet(Path(folder))
         try:
-            await made.open(sidecars, relays)
+            await started.open(sidecars, relays)
             await asyncio.sleep(SETTLE_S)
-            yield made
+            yield started
         finally:
-            await made.close()
+            await started.close()
+
+
+@dataclass
+class Usage:
+    """What the processes of a fleet have used at one moment."""
+
+    at: float
+    registry_requests: int
+    relay_cpu_s: list[float]
+    sidecar_cpu_s: float
+    relay_bytes: int
+
+
+async def usage(of: Fleet) -> Usage:
+    return Usage(
+        at=asyncio.get_running_loop().time(),
+        registry_requests=(await of.registry.command("calls"))["calls"],
+        relay_cpu_s=[cpu_s(relay.process.pid) for relay in of.relays],
+        sidecar_cpu_s=sum(cpu_s(group.process.pid) for group in of.sidecar_groups),
+        relay_bytes=await of.relay_bytes(),
+    )
 
 
 async def phase(of: Fleet, name: str, changes: list[int], kill: bool = False) -> Outcome:
-    """Make changes at the rate of the fleet to come, `changes[n]` at once; measure until all have them."""
-    loop = asyncio.get_running_loop()
+    """Make changes at the planned fleet's rate, `changes[n]` at once; measure until all are applied."""
     outcome = Outcome(name, of.sidecars, len(of.relays))
-    for each in of.members:
-        await each.ask("report")  # what came before does not count
-    calls = (await of.registry.ask("calls"))["calls"]
-    cpu = [cpu_s(each.process.pid) for each in of.relays]
-    member_cpu = sum(cpu_s(each.process.pid) for each in of.members)
-    sent, began = await of.relay_bytes(), loop.time()
-    times: dict[int, float] = {}
+    for group in of.sidecar_groups:
+        await group.command("report")  # what came before does not count
+    before = await usage(of)
+    changed_at: dict[int, float] = {}
     for turn, count in enumerate(changes):
         if kill and turn == len(changes) // 2:
             await of.relays.pop().end()
-            of.doors.pop()
-            cpu.pop()
-            sent = await of.relay_bytes()
-        told = await of.registry.ask(f"change {count}")
-        times |= {int(index): at for index, at in told["changed"].items()}
-        await asyncio.sleep(EVERY_S)
-    took = loop.time() - began
-    outcome.relay_core = max(
-        ((cpu_s(r.process.pid) - was) / took for r, was in zip(of.relays, cpu, strict=True)), default=0.0
-    )
-    outcome.sidecar_core = (sum(cpu_s(e.process.pid) for e in of.members) - member_cpu) / took / of.sidecars
-    outcome.registry_calls_s = ((await of.registry.ask("calls"))["calls"] - calls) / took
-    outcome.sidecar_bytes_s = (await of.relay_bytes() - sent) / took / of.sidecars
-    await _gather(of, outcome, times)
+            of.admin_addresses.pop()
+            before.relay_cpu_s.pop()
+            before.relay_bytes = await of.relay_bytes()
+        reply = await of.registry.command(f"change {count}")
+        changed_at |= {int(index): at for index, at in reply["changed"].items()}
+        await asyncio.sleep(CHANGE_INTERVAL_S)
+    record_usage(outcome, before, await usage(of))
+    await collect_latencies(of, outcome, changed_at)
     return outcome
 
 
-async def _gather(of: Fleet, outcome: Outcome, times: dict[int, float]) -> None:
-    last = max(times)
+def record_usage(outcome: Outcome, before: Usage, after: Usage) -> None:
+    elapsed_s = after.at - before.at
+    relay_cpu_s = [now - then for now, then in zip(after.relay_cpu_s, before.relay_cpu_s, strict=True)]
+    sidecar_s = elapsed_s * outcome.sidecars
+    outcome.relay_core = max(relay_cpu_s, default=0.0) / elapsed_s
+    outcome.sidecar_core = (after.sidecar_cpu_s - before.sidecar_cpu_s) / sidecar_s
+    outcome.registry_calls_s = (after.registry_requests - before.registry_requests) / elapsed_s
+    outcome.sidecar_bytes_s = (after.relay_bytes - before.relay_bytes) / sidecar_s
+
+
+async def collect_latencies(of: Fleet, outcome: Outcome, changed_at: dict[int, float]) -> None:
+    """Collect the sidecars' reports until all have the last change, or it is late."""
+    last_index = max(changed_at)
     loop = asyncio.get_running_loop()
-    until = loop.time() + LATE_S
+    late_at = loop.time() + LAST_CHANGE_TIMEOUT_S
     while True:
         indexes: list[int] = []
-        for each in of.members:
-            told = await each.ask("report")
-            indexes += told["index"]
-            for at, earlier_index, index in (one for applied in told["applied"] for one in applied):
-                known = range(earlier_index + 1, index + 1)
-                outcome.latencies_s += [at - times[each_index] for each_index in known if each_index in times]
-        outcome.missing = sum(index < last for index in indexes)
-        if not outcome.missing or loop.time() > until:
+        for group in of.sidecar_groups:
+            reply = await group.command("report")
+            indexes += reply["index"]
+            for at, from_index, to_index in (update for applied in reply["applied"] for update in applied):
+                applied_indexes = changed_at.keys() & set(range(from_index + 1, to_index + 1))
+                outcome.latencies_s += [at - changed_at[index] for index in applied_indexes]
+        outcome.missing = sum(index < last_index for index in indexes)
+        if not outcome.missing or loop.time() > late_at:
             return
         await asyncio.sleep(0.5)
 
 
-async def run(sizes: list[int], without_most: int) -> list[Outcome]:
-    """Play each size with relays, and the smaller ones without; print a row a phase as it ends."""
+async def run(sizes: list[int], max_without_relays: int) -> list[Outcome]:
+    """Measure each size with relays, and the smaller ones without; print a row a phase as it ends."""
     outcomes = []
     print(HEADER)
     for size in sizes:
-        relays = max(math.ceil(size / SIDECARS_A_RELAY), 2)
+        relays = max(math.ceil(size / SIDECARS_PER_RELAY), 2)
         async with fleet(size, relays) as of:
             for name, changes, kill in (
-                ("0.8 changes/s", [1] * 8, False),
+                (STEADY_PHASE, [1] * 8, False),
                 ("burst of 1,050", [1050, 1, 1, 1], False),
                 ("a relay killed", [1] * 8, True),
             ):
                 outcomes.append(await phase(of, name, changes, kill))
                 print(outcomes[-1].row(), flush=True)
-        if size <= without_most:
+        if size <= max_without_relays:
             async with fleet(size, 0) as of:
-                outcomes.append(await phase(of, "without relays", [1] * 8))
+                outcomes.append(await phase(of, DIRECT_PHASE, [1] * 8))
                 print(outcomes[-1].row(), flush=True)
     return outcomes
--- a/bench/scale_fit.py
+++ b/bench/scale_fit.py
@@ -1,4 +1,4 @@
-"""Slopes of the scale bench: a line through the medians of each size, and how far single trials lie apart."""
+"""Slopes of the scale bench: a line through the medians of each size, and the spread of single trials."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 @dataclass(frozen=True)
 class Fit:
-    """A line through the medians; `slope_least` and `slope_most` are those of single trials."""
+    """A line through the medians; `min_slope` and `max_slope` are those of single trials."""
 
     slope: float
     intercept: float
-    slope_least: float
-    slope_most: float
+    min_slope: float
+    max_slope: float
 
     def at(self, size: float) -> float:
         return self.intercept + self.slope * size
@@ -34,13 +34,13 @@
 def fit(series: Series) -> Fit:
     """Fit a line by least squares, over at least two sizes."""
     sizes = sorted(series.values)
-    line = statistics.linear_regression(sizes, [series.median(size) for size in sizes])
-    trials = min(len(each) for each in series.values.values())
+    regression = statistics.linear_regression(sizes, [series.median(size) for size in sizes])
+    trials = min(len(values) for values in series.values.values())
     slopes = [
         statistics.linear_regression(sizes, [series.values[size][trial] for size in sizes]).slope
         for trial in range(trials)
     ]
-    return Fit(line.slope, line.intercept, min(slopes), max(slopes))
+    return Fit(regression.slope, regression.intercept, min(slopes), max(slopes))
 
 
 def report(series: Series, target: int) -> None:
@@ -50,7 +50,7 @@
     print(f"{series.name} ({series.unit})")
     print(f"  measured   {measured}")
     if len(sizes) > 1:
-        found = fit(series)
-        spread = f"{found.slope_least:.4g} to {found.slope_most:.4g}"
-        print(f"  slope      {found.slope:.4g} ({spread} by trial), intercept {found.intercept:.4g}")
-        print(f"  at {target:>7} {found.at(target):.4g}")
+        fitted = fit(series)
+        spread = f"{fitted.min_slope:.4g} to {fitted.max_slope:.4g}"
+        print(f"  slope      {fitted.slope:.4g} ({spread} by trial), intercept {fitted.intercept:.4g}")
+        print(f"  at {target:>7} {fitted.at(target):.4g}")
--- a/bench/scale_hollow.py
+++ b/bench/scale_hollow.py
@@ -3,7 +3,7 @@
     scale_hollow.py registry SERVERS           # reads commands, writes JSON lines
     scale_hollow.py sidecars COUNT FIRST SERVERS ADDRESS...
 
-A hollow sidecar is the real module, the real discovery client and the list; it has no clients and no servers.
+A hollow sidecar is the real balancer, the real discovery client and the list, without clients and servers.
 Clocks are the system's monotonic one, the same in all processes of a machine.
 """
 
@@ -16,7 +16,7 @@
 import sys
 import time
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
 import earlier  # noqa: F401  # makes the tests' stand-ins known
 from scale_edge import change, entry
@@ -32,15 +32,15 @@
 from sidecar_balancer.policy.events import EndpointListReceived
 from sidecar_balancer.policy.types import ListKind
 
-START_SPREAD_S = 3.0  # over which the members of a process begin
-RETRY_S = 3.0  # after all sources failed, as the module bounds it
+START_SPREAD_S = 3.0  # over which the sidecars of a process start
+RETRY_S = 3.0  # after all sources failed, as the balancer bounds it
 
 
-def say(**told: Any) -> None:
-    print(json.dumps(told), flush=True)
+def report(**values: Any) -> None:
+    print(json.dumps(values), flush=True)
 
 
-async def lines() -> asyncio.StreamReader:
+async def input_lines() -> asyncio.StreamReader:
     reader = asyncio.StreamReader()
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
@@ -48,33 +48,41 @@
 
 
 async def run_registry(servers: int) -> None:
-    """Hold a list until the input ends: `change N` changes N entries one by one, `calls` tells the calls."""
+    """Serve a list until the input ends: `change N` changes N entries in turn, `calls` reports the requests."""
     registry = FakeRegistry([entry(number) for number in range(servers)], index=1)
     await registry.start()
-    say(address="{}:{}".format(*registry.address))
-    reader, turn = await lines(), 0
-    while line := (await reader.readline()).decode().split():
-        if line[0] == "calls":
-            say(calls=registry.request_count, cpu_s=time.process_time())
+    report(address="{}:{}".format(*registry.address))
+    reader, change_count = await input_lines(), 0
+    while command := (await reader.readline()).decode().split():
+        if command[0] == "calls":
+            report(calls=registry.request_count, cpu_s=time.process_time())
             continue
-        times = {}
-        for _ in range(int(line[1])):
-            turn += 1
-            status = "leaving" if (turn // servers) % 2 == 0 else "active"
-            index = registry.change(entry(turn * 7919 % servers, status=status))
-            times[index] = time.monotonic()
-        say(changed=times)
+        changed_at = {}
+        for _ in range(int(command[1])):
+            change_count += 1
+            status = "leaving" if (change_count // servers) % 2 == 0 else "active"
+            index = registry.change(entry(change_count * 7919 % servers, status=status))
+            changed_at[index] = time.monotonic()
+        report(changed=changed_at)
     await registry.end()
 
 
+class AppliedUpdate(NamedTuple):
+    """When a sidecar went from one index to another."""
+
+    at: float
+    from_index: int
+    to_index: int
+
+
 @dataclass
-class Member:
-    """A hollow sidecar, and when it had which index."""
+class HollowSidecar:
+    """A sidecar without clients and servers, and when it applied which index."""
 
     number: int
     sources: list[Address]
     balancer: Balancer
-    applied: list[tuple[float, int, int]] = field(default_factory=list)  # when, from which index, to which
+    applied: list[AppliedUpdate] = field(default_factory=list)  # since the last report
     index: int = 1
     client: DiscoveryClient | None = None
 
@@ -82,51 +90,51 @@
         self.client = DiscoveryClient(self.sources, 1, self._on_watch_event)
         self.client.set_watching(True)
 
-    def _on_watch_event(self, update: WatchEvent) -> None:
+    def _on_watch_event(self, event: WatchEvent) -> None:
         loop = asyncio.get_running_loop()
-        if not isinstance(update, ListUpdate):
+        if not isinstance(event, ListUpdate):
             assert self.client is not None
             loop.call_later(RETRY_S * random.random(), self.client.set_watching, True)
             return
-        kind = ListKind.SNAPSHOT if update.complete else ListKind.DELTA
-        servers = [each.server for each in update.entries]
-        self.balancer.handle(int(loop.time() * 1e6), EndpointListReceived(kind, servers, update.version))
-        if update.version != self.index:
-            self.applied.append((time.monotonic(), self.index, update.version))
-            self.index = update.version
+        kind = ListKind.SNAPSHOT if event.complete else ListKind.DELTA
+        servers = [listed.server for listed in event.entries]
+        self.balancer.handle(int(loop.time() * 1e6), EndpointListReceived(kind, servers, event.version))
+        if event.version != self.index:
+            self.applied.append(AppliedUpdate(time.monotonic(), self.index, event.version))
+            self.index = event.version
 
 
 async def run_sidecars(count: int, first: int, servers: int, addresses: list[Address]) -> None:
-    """Run members of the tier; `report` tells what each applied since the last report."""
-    relays = [RelayAddress(each) for each in addresses]
-    given = settings(fleet_size=count)
+    """Run hollow sidecars; at each line of input they report what each applied since the last report."""
+    relays = [RelayAddress(address) for address in addresses]
+    balancer_settings = settings(fleet_size=count)
     known = [entry(number) for number in range(servers)]
-    listed = [each.server for each in change(1, *known).entries]
-    members = []
+    servers_known = [listed.server for listed in change(1, *known).entries]
+    sidecars = []
     for number in range(first, first + count):
-        balancer = Balancer(given, number)
-        balancer.handle(0, EndpointListReceived(ListKind.CACHED, listed, 1))
-        members.append(Member(number, rank_relays(relays, f"n{number}", ""), balancer))
+        balancer = Balancer(balancer_settings, number)
+        balancer.handle(0, EndpointListReceived(ListKind.CACHED, servers_known, 1))
+        sidecars.append(HollowSidecar(number, rank_relays(relays, f"n{number}", ""), balancer))
     loop = asyncio.get_running_loop()
-    for each in members:
-        loop.call_later(START_SPREAD_S * random.random(), each.start)
-    say(started=count)
-    reader = await lines()
+    for sidecar in sidecars:
+        loop.call_later(START_SPREAD_S * random.random(), sidecar.start)
+    report(started=count)
+    reader = await input_lines()
     while await reader.readline():
-        applied = [each.applied for each in members]
-        say(applied=applied, cpu_s=time.process_time(), index=[each.index for each in members])
-        for each in members:
-            each.applied = []
+        applied = [sidecar.applied for sidecar in sidecars]
+        report(applied=applied, cpu_s=time.process_time(), index=[sidecar.index for sidecar in sidecars])
+        for sidecar in sidecars:
+            sidecar.applied = []
 
 
 def main() -> None:
     logging.disable(logging.CRITICAL)
-    role, *given = sys.argv[1:]
+    role, *arguments = sys.argv[1:]
     if role == "registry":
-        asyncio.run(run_registry(int(given[0])))
+        asyncio.run(run_registry(int(arguments[0])))
     else:
-        addresses = [parse_address(each) for each in given[3:]]
-        asyncio.run(run_sidecars(int(given[0]), int(given[1]), int(given[2]), addresses))
+        addresses = [parse_address(argument) for argument in arguments[3:]]
+        asyncio.run(run_sidecars(int(arguments[0]), int(arguments[1]), int(arguments[2]), addresses))
 
 
 if __name__ == "__main__":
--- a/sidecar_balancer/discovery/client.py
+++ b/sidecar_balancer/discovery/client.py
@@ -289,7 +289,7 @@
 
     def _apply(self, update: ListUpdate, tag: str | None) -> bool:
         """Notify the owner of an update; return whether it was applied."""
-        self._state.hold(update.version, tag)
+        self._state.record_list(update.version, tag)
         try:
             self._notify(update)
         except Exception:
@@ -297,7 +297,7 @@
                 "the list could not be applied: the full list is requested",
                 extra={"event": "discovery_update_failed"},
             )
-            self._state.hold(None, None)
+            self._state.record_list(None, None)
             self._notify_failure_soon(timed_out=False)
             return False
         return True
--- a/sidecar_balancer/discovery/watch_state.py
+++ b/sidecar_balancer/discovery/watch_state.py
@@ -110,7 +110,7 @@
         """Note that the list held, with an answer applied, was current at that time."""
         self.as_of = max(self.as_of, as_of)
 
-    def hold(self, version: int | None, tag: str | None) -> None:
+    def record_list(self, version: int | None, tag: str | None) -> None:
         """Note the version and the tag of the list now held; version None: the full list is needed."""
         self.version, self.tag = version, tag
 
