--- a/bench/scale_edge.py
+++ b/bench/scale_edge.py
@@ -110,21 +110,13 @@
     for size in sizes:
         with context.Pool(1) as pool:
             costs[size] = pool.apply(measure, (size,))
+    change_us = {size: cost.change_us for size, cost in costs.items()}
+    snapshot_us = {size: cost.snapshot_us for size, cost in costs.items()}
+    memory_bytes = {size: [cost.memory_bytes] for size, cost in costs.items()}
+    list_bytes = {size: [float(cost.list_bytes)] for size, cost in costs.items()}
     return [
-        Series(
-            "one changed entry at a sidecar",
-            "us of CPU",
-            {size: cost.change_us for size, cost in costs.items()},
-        ),
-        Series(
-            "a full list at a sidecar", "us of CPU", {size: cost.snapshot_us for size, cost in costs.items()}
-        ),
-        Series(
-            "memory for the list, peak", "bytes", {size: [cost.memory_bytes] for size, cost in costs.items()}
-        ),
-        Series(
-            "a full list on the wire",
-            "bytes",
-            {size: [float(cost.list_bytes)] for size, cost in costs.items()},
-        ),
+        Series("one changed entry at a sidecar", "us of CPU", change_us),
+        Series("a full list at a sidecar", "us of CPU", snapshot_us),
+        Series("memory for the list, peak", "bytes", memory_bytes),
+        Series("a full list on the wire", "bytes", list_bytes),
     ]
--- a/bench/scale_hollow.py
+++ b/bench/scale_hollow.py
@@ -48,7 +48,7 @@
 
 
 async def run_registry(servers: int) -> None:
-    """Serve a list until the input ends: `change N` changes N entries in turn, `calls` reports the requests."""
+    """Serve a list until the input ends: `change N` changes N entries in turn, `calls` reports requests."""
     registry = FakeRegistry([entry(number) for number in range(servers)], index=1)
     await registry.start()
     report(address="{}:{}".format(*registry.address))
