--- a/sidecar_balancer/runtime/clock.py
+++ b/sidecar_balancer/runtime/clock.py
@@ -1,4 +1,4 @@
-"""The clock of one process: what the module and discovery count in."""
+"""The clock of one process, in whole microseconds."""
 
 from __future__ import annotations
 
@@ -7,28 +7,30 @@
 
 
 class Clock:
-    """Microseconds of Unix time, anchored once: monotonic, and comparable with discovery's `since_ms`."""
+    """Unix time in microseconds, anchored once: monotonic, and comparable with the list's start times."""
 
     def __init__(self) -> None:
         self._offset_us = time.time_ns() // 1000 - time.monotonic_ns() // 1000
-        self._step: int | None = None
+        self._turn_time_us: int | None = None
 
     def now(self) -> int:
+        """Return the current time in microseconds."""
         return time.monotonic_ns() // 1000 + self._offset_us
 
     def step(self) -> int:
-        """The time of this step of the event loop, one for all that the loop found at once.
+        """Return the time of the event loop's current turn in microseconds, one for all of its input.
 
-        The balancer tells by it what came together: after a stall, it learns nothing from such times.
+        After a stall, input of one turn came at unknown times; equal times keep the balancer from learning
+        from them.
         """
-        if self._step is None:
-            self._step = self.now()
-            asyncio.get_running_loop().call_soon(self._next_step)  # before what the next step finds
-        return self._step
+        if self._turn_time_us is None:
+            self._turn_time_us = self.now()
+            asyncio.get_running_loop().call_soon(self._end_turn)  # before the input of the next turn
+        return self._turn_time_us
 
-    def _next_step(self) -> None:
-        self._step = None
+    def _end_turn(self) -> None:
+        self._turn_time_us = None
 
     def on_loop(self, at_us: int) -> float:
-        """A clock time as the event loop counts it."""
+        """Convert a time of this clock to seconds on the event loop's clock."""
         return (at_us - self._offset_us) / 1e6
--- a/sidecar_balancer/runtime/queueing.py
+++ b/sidecar_balancer/runtime/queueing.py
@@ -1,8 +1,8 @@
-"""Queueing delay: how long input may have waited in the kernel before this process read it.
+"""Queueing delay: bounds on how long input waited in the kernel before this process read it.
 
 A client counts its time from the moment it sends a request.  A process that was busy or stopped, or that had
-paused accepting or reading, reads the request later and has to take that wait off the time that is left.
-Times are seconds on the event loop's clock.
+paused accepting or reading, reads the request later and subtracts that delay from the time that remains.
+Times are in seconds on the event loop's clock.
 """
 
 from __future__ import annotations
@@ -14,26 +14,27 @@
 import struct
 import time
 
-_POLL_AT_ONCE_S = 0.001  # a poll that returns within this did not wait: its input may be older
+_IMMEDIATE_POLL_S = 0.001  # a poll that returns within this did not wait: its input may be older
 _OVERSLEPT_S = 0.01  # a poll that returns so much after its time-out was held up
 _TCP_INFO_BYTES = 104  # as much of Linux' struct tcp_info as is read
-_TCP_INFO_STATE = 0  # offset of tcpi_state, one byte; 0 is no state, so nothing was filled in
-_TCP_INFO_LAST_DATA_RECV = 52  # offset of tcpi_last_data_recv: milliseconds, 32 bits
+_TCP_INFO_STATE_OFFSET = 0  # of tcpi_state, one byte; 0 is no state, so nothing was filled in
+_TCP_INFO_LAST_DATA_RECV_OFFSET = 52  # of tcpi_last_data_recv: milliseconds, 32 bits
+_UINT32 = struct.Struct("=I")
 
 
 class PollTimes:
-    """When the event loop polled last, and so how old the input can be that the current step reads."""
+    """When the event loop last polled, which bounds the age of the input of its current turn."""
 
     def __init__(self, now: float = 0.0) -> None:
         self._last_return = now
-        self.unread_since = now  # what the current step reads arrived after this
+        self.unread_since = now  # the input of the current turn arrived after this
 
-    def polled(self, entered: float, returned: float, timeout: float | None) -> None:
-        """Note a poll: when it began and returned, and how long it was to wait at most (None: for ever)."""
-        waited = returned - entered
-        if waited < _POLL_AT_ONCE_S:
+    def record_poll(self, entered: float, returned: float, timeout: float | None) -> None:
+        """Note when a poll began and returned, and its time-out in seconds (None: it has none)."""
+        waited_s = returned - entered
+        if waited_s < _IMMEDIATE_POLL_S:
             self.unread_since = self._last_return
-        elif timeout is not None and waited > timeout + _OVERSLEPT_S:
+        elif timeout is not None and waited_s > timeout + _OVERSLEPT_S:
             self.unread_since = entered
         else:
             self.unread_since = returned  # the input ended the wait
@@ -41,21 +42,22 @@
 
 
 class TimedSelector(selectors.EpollSelector):
-    """The selector of asyncio's default loop, noting when it polled."""
+    """The selector of asyncio's default loop, with the times of its polls."""
 
     def __init__(self) -> None:
         super().__init__()
         self.times = PollTimes(time.monotonic())
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
+        """Poll, and note when."""
         entered = time.monotonic()
         events = super().select(timeout)
-        self.times.polled(entered, time.monotonic(), timeout)
+        self.times.record_poll(entered, time.monotonic(), timeout)
         return events
 
 
 class TimedLoop(asyncio.SelectorEventLoop):
-    """An event loop that tells how old the input of its current step can be."""
+    """An event loop with `poll_times`, which bound the age of the input of its current turn."""
 
     def __init__(self) -> None:
         selector = TimedSelector()
@@ -64,9 +66,9 @@
 
 
 def running_poll_times() -> PollTimes:
-    """Return the poll times of the running loop; where it keeps none, input is never known to have waited."""
-    known: PollTimes | None = getattr(asyncio.get_running_loop(), "poll_times", None)
-    return known or PollTimes(math.inf)
+    """Return the poll times of the running loop; without any, no input is known to have waited."""
+    poll_times: PollTimes | None = getattr(asyncio.get_running_loop(), "poll_times", None)
+    return poll_times or PollTimes(math.inf)
 
 
 class BacklogAge:
@@ -78,47 +80,51 @@
 
     def __init__(self, capacity: int) -> None:
         self._capacity = capacity
-        self._left_since: float | None = None  # those next in the queue came after this; None: it was emptied
-        self._marked_at = 0.0  # all that are queued came after this once `_to_take` more are accepted
-        self._to_take = 0
+        self._oldest_arrival: float | None = None  # of the next connections; None: the queue was emptied
+        self._next_oldest_arrival = 0.0  # once `_to_accept` more connections are accepted
+        self._to_accept = 0
 
     def oldest(self, unread_since: float) -> float:
-        """Return the moment after which the connection accepted next came; `unread_since` as of the poll."""
-        return unread_since if self._left_since is None else self._left_since
+        """Return the earliest time at which the next connection can have arrived.
+
+        `unread_since` is that of the poll which found it.
+        """
+        return unread_since if self._oldest_arrival is None else self._oldest_arrival
 
     def accepted(self, now: float) -> None:
-        """Note that a connection was taken from the queue."""
-        if self._left_since is None:
+        """Note that a connection was accepted."""
+        if self._oldest_arrival is None:
             return
-        self._to_take -= 1
-        if self._to_take <= 0:
-            self._left_since = self._marked_at
-            self._mark(now)
+        self._to_accept -= 1
+        if self._to_accept <= 0:
+            self._oldest_arrival = self._next_oldest_arrival
+            self._start_round(now)
 
     def emptied(self) -> None:
         """Note that the queue was seen empty."""
-        self._left_since = None
+        self._oldest_arrival = None
 
     def left(self, unread_since: float, now: float) -> None:
-        """Note that accepting stopped with connections left in the queue."""
-        if self._left_since is None:
-            self._left_since = min(unread_since, now)
-            self._mark(now)
+        """Note that accepting stopped with connections remaining in the queue."""
+        if self._oldest_arrival is None:
+            self._oldest_arrival = min(unread_since, now)
+            self._start_round(now)
 
-    def _mark(self, now: float) -> None:
-        self._marked_at, self._to_take = now, self._capacity
+    def _start_round(self, now: float) -> None:
+        self._next_oldest_arrival, self._to_accept = now, self._capacity
 
 
 def since_last_data_s(sock: socket.socket) -> float | None:
-    """Return how long ago the kernel received data on a TCP socket; None where the system does not tell.
+    """Return how long ago the kernel received data on a TCP socket; None where that is not known.
 
-    Zero is taken for no answer: a kernel that does not count the time this process sees says the same.
+    Zero counts as not known: a kernel without the value returns the same.
     """
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO_BYTES)
     except (OSError, AttributeError):
         return None
-    if len(info) < _TCP_INFO_LAST_DATA_RECV + 4 or info[_TCP_INFO_STATE] == 0:
+    has_value = len(info) >= _TCP_INFO_LAST_DATA_RECV_OFFSET + _UINT32.size
+    if not has_value or info[_TCP_INFO_STATE_OFFSET] == 0:
         return None
-    (milliseconds,) = struct.unpack_from("=I", info, _TCP_INFO_LAST_DATA_RECV)
+    (milliseconds,) = _UINT32.unpack_from(info, _TCP_INFO_LAST_DATA_RECV_OFFSET)
     return float(milliseconds) / 1000 if milliseconds else None
--- a/sidecar_balancer/runtime/timers.py
+++ b/sidecar_balancer/runtime/timers.py
@@ -1,4 +1,4 @@
-"""The timers of one run: none of them outlasts it."""
+"""Timers with one owner, which cancels all of them at its end."""
 
 from __future__ import annotations
 
@@ -9,33 +9,33 @@
 
 
 class Timers:
-    """Calls things later, until `close`."""
+    """Schedules calls until `close`."""
 
     def __init__(self) -> None:
-        self._timers: dict[int, asyncio.TimerHandle] = {}
+        self._handles: dict[int, asyncio.TimerHandle] = {}
         self._numbers = itertools.count()
         self._is_closed = False
 
-    def later(self, wait_s: float, call: Callable[..., None], *about: object) -> None:
-        """Call after this wait, unless the run has ended by then."""
+    def later(self, delay_s: float, callback: Callable[..., None], *arguments: object) -> None:
+        """Call after a delay in seconds; not at all once the timers are closed."""
         if self._is_closed:
             return
         number = next(self._numbers)
-        run = partial(self._timer_due, number, call, *about)
-        self._timers[number] = asyncio.get_running_loop().call_later(wait_s, run)
+        run = partial(self._run, number, callback, *arguments)
+        self._handles[number] = asyncio.get_running_loop().call_later(delay_s, run)
 
-    def every(self, wait_s: float, call: Callable[[], None]) -> None:
-        """Call now and after each such wait; planned first, so that a defect in one call ends no other."""
-        self.later(wait_s, self.every, wait_s, call)
-        call()
+    def every(self, interval_s: float, callback: Callable[[], None]) -> None:
+        """Call now and after each interval; an error in one call doesn't prevent the next."""
+        self.later(interval_s, self.every, interval_s, callback)
+        callback()
 
-    def _timer_due(self, number: int, call: Callable[..., None], *about: object) -> None:
-        del self._timers[number]
-        call(*about)
+    def _run(self, number: int, callback: Callable[..., None], *arguments: object) -> None:
+        del self._handles[number]
+        callback(*arguments)
 
     def close(self) -> None:
-        """Cancel what is planned, and plan nothing any more."""
+        """Cancel what is scheduled, and schedule nothing any more."""
         self._is_closed = True
-        for timer in self._timers.values():
-            timer.cancel()
-        self._timers.clear()
+        for handle in self._handles.values():
+            handle.cancel()
+        self._handles.clear()
--- a/tests/runtime/test_queueing.py
+++ b/tests/runtime/test_queueing.py
@@ -30,22 +30,22 @@
 
 def test_input_that_ended_a_wait_is_new() -> None:
     times = PollTimes(10.0)
-    times.polled(entered=10.5, returned=11.5, timeout=None)
+    times.record_poll(entered=10.5, returned=11.5, timeout=None)
     assert times.unread_since == 11.5
 
 
 def test_input_found_at_once_may_have_come_since_the_poll_before() -> None:
     times = PollTimes(10.0)
-    times.polled(entered=10.0, returned=11.0, timeout=5.0)
-    times.polled(entered=11.7, returned=11.7, timeout=5.0)
+    times.record_poll(entered=10.0, returned=11.0, timeout=5.0)
+    times.record_poll(entered=11.7, returned=11.7, timeout=5.0)
     assert times.unread_since == 11.0
-    times.polled(entered=11.8, returned=11.8, timeout=0)
+    times.record_poll(entered=11.8, returned=11.8, timeout=0)
     assert times.unread_since == 11.7
 
 
 def test_input_of_a_poll_that_overslept_may_have_come_since_it_began() -> None:
     times = PollTimes(10.0)
-    times.polled(entered=10.0, returned=12.0, timeout=0.1)
+    times.record_poll(entered=10.0, returned=12.0, timeout=0.1)
     assert times.unread_since == 10.0
 
 
--- a/tests/support/virtual.py
+++ b/tests/support/virtual.py
@@ -38,7 +38,7 @@
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         entered = self.now
         events = self._select(timeout)
-        self.times.polled(entered, self.now, timeout)
+        self.times.record_poll(entered, self.now, timeout)
         return events
 
     def _select(self, timeout: float | None) -> list[tuple[selectors.SelectorKey, int]]:
