--- a/tests/cluster/test_relays.py
+++ b/tests/cluster/test_relays.py
@@ -162,7 +162,7 @@
 
 
 def test_sidecars_fail_over_from_a_killed_relay_and_to_one_that_restarted(tmp_path: Path) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with process_tier(tmp_path, relays=2) as tier:
             tier.relays[0].send_signal(signal.SIGKILL)
             tier.registry.change(entry("s-0", status="leaving"))
@@ -175,11 +175,11 @@
             tier.registry.change(entry("s-1", status="leaving"))
             await tier.in_force("s-1", "draining")
 
-    play(scene())
+    play(scenario())
 
 
 def test_the_old_list_of_a_stopped_relay_is_not_applied_when_it_continues(tmp_path: Path) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with process_tier(tmp_path, relays=2) as tier:
             tier.relays[0].send_signal(signal.SIGSTOP)
             tier.registry.change(entry("s-0", status="leaving"))
@@ -192,11 +192,11 @@
             await tier.in_force("s-3", "ready")
             assert await tier.states("s-0") == [None] * 3
 
-    play(scene())
+    play(scenario())
 
 
 def test_a_registry_that_restarts_with_a_lower_index_is_followed_by_all(tmp_path: Path) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with process_tier(tmp_path, relays=2) as tier:
             await tier.registry.go_down()
             tier.registry.restart(3, [entry("s-1"), entry("s-9")])
@@ -207,11 +207,11 @@
             tier.registry.change(entry("s-1", status="leaving"))
             await tier.in_force("s-1", "draining")
 
-    play(scene())
+    play(scenario())
 
 
 def test_the_admin_api_shows_source_index_and_age(tmp_path: Path) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with process_tier(tmp_path, relays=1, sidecars=1) as tier:
             index = tier.registry.change(entry("s-0", status="leaving"))
             await tier.in_force("s-0", "draining")
@@ -225,7 +225,7 @@
             assert relay is not None
             assert (relay["index"], relay["servers"]) == (index, 2)
 
-    play(scene())
+    play(scenario())
 
 
 async def assert_ends_with_one_line(*command: str, **environ: str) -> None:
@@ -259,12 +259,12 @@
     ],
 )
 def test_a_bad_configuration_of_a_relay_ends_its_start_with_one_line(config: str, tmp_path: Path) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         path = tmp_path / "relay.toml"
         path.write_text(config)
         await assert_ends_with_one_line("sidecar_balancer.cli", "relay", "--config", str(path))
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize(
@@ -280,7 +280,7 @@
     ],
 )
 def test_bad_relays_of_a_sidecar_end_its_start_with_one_line(relays: str, tmp_path: Path) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         config, own = tmp_path / "config.json", tmp_path / "own.toml"
         platform = {"listen": "127.0.0.1:9", "discovery": "127.0.0.1:1", "settings": {"lanes": LANES}}
         config.write_text(json.dumps(platform))
@@ -289,4 +289,4 @@
             "sidecar_balancer", RELAY_CONFIG=str(config), WEIRLOCK_CONFIG=str(own)
         )
 
-    play(scene())
+    play(scenario())
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from virtual import RunScene, play_on_clock
+from virtual import RunScenario, run_on_virtual_clock
 
 
 @pytest.fixture
-def on_virtual_clock(monkeypatch: pytest.MonkeyPatch) -> RunScene:
-    """Run a scene on a clock that moves only while nothing else is left to do."""
-    return lambda scene: play_on_clock(scene, monkeypatch)
+def on_virtual_clock(monkeypatch: pytest.MonkeyPatch) -> RunScenario:
+    """Run a scenario on a clock that moves only while nothing else is left to do."""
+    return lambda scenario: run_on_virtual_clock(scenario, monkeypatch)
--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -15,7 +15,7 @@
 
 
 def test_a_watch_polls_again_at_once_after_the_version_received() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             for index in (42, 43, 44):
                 w.discovery.say(index, [])
@@ -23,7 +23,7 @@
             targets = [target.split("&")[0] for target in w.discovery.targets]
             assert targets == [f"/registry/instances?after={index}" for index in (41, 42, 43, 44)]
 
-    play(scene())
+    play(scenario())
 
 
 def test_the_pause_between_polls_is_shorter_than_that_between_watches() -> None:
@@ -31,7 +31,7 @@
 
 
 def test_deltas_and_snapshots_reach_the_balancer() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served, served) as w:
             listed = balancer_of(w).servers
             first, second = w.servers
@@ -47,11 +47,11 @@
                 assert (await w.ask())[0] == 200
             assert len(second.requests) == requests_before
 
-    play(scene())
+    play(scenario())
 
 
 def test_renew_source_servers_are_forgotten() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served, served) as w:
             first, second = w.servers
             w.discovery.say(42, [first.entry(), {**first.entry(), "name": "s-9"}], snapshot=True)
@@ -66,11 +66,11 @@
             await until(lambda: len(pooled_servers(w)) == 1)
             assert (await w.ask())[0] == 200
 
-    play(scene())
+    play(scenario())
 
 
 def test_a_server_that_restarted_warms_up_again() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             server = balancer_of(w).servers["s-0"]
             since_ms = now_us(w) // 1000
@@ -78,7 +78,7 @@
             await until(lambda: server.started_at == since_ms * 1000)
             assert balancer_of(w).is_warming_up(server)
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize(
@@ -94,18 +94,18 @@
     ],
 )
 def test_the_balancer_is_notified_of_a_failed_poll_and_polls_again(malformed: bytes) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served, rules={"poll_interval_us": 1 * S}) as w:
             w.discovery.answers.put_nowait(malformed)
             await until(lambda: len(w.discovery.targets) == 2)
             assert consecutive_failures(w) == 1
             assert (await w.ask())[0] == 200
 
-    play(scene())
+    play(scenario())
 
 
 def test_an_unreachable_registry_is_a_failed_poll() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         events: list[WatchEvent] = []
         registry = FakeDiscovery()
         await registry.start()
@@ -117,11 +117,11 @@
         discovery.set_watching(True)  # another watch may begin
         await until(lambda: events == [PollFailed(timed_out=False)] * 2)
 
-    play(scene())
+    play(scenario())
 
 
 def test_a_watch_runs_once_and_can_be_ended() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         service = FakeDiscovery()
         await service.start()
         events: list[WatchEvent] = []
@@ -138,11 +138,11 @@
         assert not discovery.is_watching
         service.stop()
 
-    play(scene())
+    play(scenario())
 
 
 def test_a_new_source_is_polled_for_the_full_list_and_then_watched() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served, served) as w:
             await until(lambda: w.discovery.targets)
             new_source = FakeDiscovery()
@@ -156,41 +156,41 @@
             assert len(w.discovery.targets) == 1
             new_source.stop()
 
-    play(scene())
+    play(scenario())
 
 
 def test_pushed_lists_are_watched_without_a_request_of_the_balancer() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served, discovery="pushed") as w:
             w.discovery.answers.put_nowait(answer(503, b""))
             w.discovery.say(42, [w.servers[0].entry(status="leaving")])
             await until(lambda: balancer_of(w).servers["s-0"].state is ServerState.DRAINING)
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize("status", ["leaving", "left"])
 def test_a_draining_or_renew_source_server_needs_no_address(status: str) -> None:
     # Skipped as malformed, the entry would leave the server in use.
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             w.discovery.say(42, [w.servers[0].entry(status=status, address=None)])
             await until(lambda: not balancer_of(w).ready_servers)
             assert (await w.ask())[0] == 503
             assert not w.sent()
 
-    play(scene())
+    play(scenario())
 
 
 def test_a_registry_that_does_not_wait_is_polled_with_pauses() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             for _ in range(4):
                 w.discovery.say(41, [])
             await until(lambda: len(w.discovery.called_after_s) == 4)
             assert min(w.discovery.called_after_s) >= 0.09
 
-    play(scene())
+    play(scenario())
 
 
 def test_a_watch_that_timed_out_is_polled_again_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -198,11 +198,11 @@
     monkeypatch.setattr(watch_state, "RESPONSE_TIMEOUT_S", 0.01)
     monkeypatch.setattr(watch_state, "WATCH_SLACK_S", 0.01)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         # A failed poll is repeated after 250 s here: nothing but the time-out brings the second one.
         async with world(served, rules={"poll_interval_us": 1_000_000_000}) as w:
             await until(lambda: len(w.discovery.targets) == 2)
             first, second = (target.split("&wait_ms=") for target in w.discovery.targets)
             assert first[0] == second[0]  # both request the changes since the same version
 
-    play(scene())
+    play(scenario())
--- a/tests/discovery/test_poll_timing.py
+++ b/tests/discovery/test_poll_timing.py
@@ -18,7 +18,7 @@
 from sidecar_balancer.policy.actions import WatchEndpoints
 from sidecar_balancer.policy.events import EndpointListReceived
 from sidecar_balancer.policy.types import ListKind, ServerState
-from virtual import RunScene
+from virtual import RunScenario
 
 IN_FORCE_S = 6.0  # after discovery had a change and could be reached
 RESPONSE_S = 2.0  # discovery responds to a request or fails it within this
@@ -70,9 +70,9 @@
 @pytest.mark.parametrize("failures", [1, 3, 7])
 @pytest.mark.parametrize("fleet_size", FLEET_SIZES)
 def test_a_drain_is_in_force_in_time_when_discovery_comes_back(
-    fleet_size: int, failures: int, on_virtual_clock: RunScene
+    fleet_size: int, failures: int, on_virtual_clock: RunScenario
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
         async with world(served, drained=True, fleet_size=fleet_size) as w:
             for polls in range(1, failures + 1):
@@ -86,15 +86,15 @@
             await until(lambda: balancer_of(w).servers["s-0"].state is ServerState.DRAINING)
             assert loop.time() - back_at <= IN_FORCE_S - MARGIN_S
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 def test_idle_clients_that_use_up_the_descriptors_keep_no_poll_out(
-    on_virtual_clock: RunScene, monkeypatch: pytest.MonkeyPatch
+    on_virtual_clock: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(watch_state, "MIN_WAIT_MS", 100)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served, drained=True, sockets=96) as w:  # 16 of them are for clients
             await until(lambda: w.discovery.targets)
             w.discovery.answers.put_nowait(answer(503, b""))
@@ -112,15 +112,15 @@
                 status, _, _ = await ask(w.sidecar.frontend.address, request())
                 assert status == 200
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
 @pytest.mark.parametrize("is_unresponsive", [True, False], ids=["unresponsive", "down"])
 def test_a_start_does_not_wait_for_discovery(
-    mode: str, is_unresponsive: bool, on_virtual_clock: RunScene
+    mode: str, is_unresponsive: bool, on_virtual_clock: RunScenario
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         started_at = asyncio.get_running_loop().time()
         async with world(served, drained=True, discovery=mode, fleet_size=200) as w:
             if not is_unresponsive:
@@ -132,7 +132,7 @@
             status, _, _ = await ask(w.sidecar.frontend.address, request())
             assert status == 200  # by the configured list
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("fleet_size", FLEET_SIZES)
--- a/tests/relay/test_bounds.py
+++ b/tests/relay/test_bounds.py
@@ -12,7 +12,7 @@
 from registry import FakeRegistry, entry
 from relay_tier import READINESS_REQUEST, RelayTier, list_request, relay_tier
 from sidecar_balancer.relay.config import RelayLimits
-from virtual import RunScene
+from virtual import RunScenario
 
 
 @pytest.mark.parametrize(
@@ -36,9 +36,9 @@
     ],
 )
 def test_every_request_gets_a_response_and_rejected_ones_are_counted(
-    on_virtual_clock: RunScene, data: bytes, status: int
+    on_virtual_clock: RunScenario, data: bytes, status: int
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with relay_tier(relays=1, sidecars=1) as tier:
             received, _, _ = await ask(tier.relays[0].address(), data)
             assert received == status
@@ -46,7 +46,7 @@
             tier.registry.change(entry("s-0", status="leaving"))
             await tier.in_force("s-0", "leaving", within_s=1.0)
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize(
@@ -54,8 +54,8 @@
     [list_request(), list_request(after=5, wait_ms=2000), READINESS_REQUEST],
     ids=["full list", "watch", "readiness"],
 )
-def test_a_relay_without_a_list_responds_503_at_once(on_virtual_clock: RunScene, data: bytes) -> None:
-    async def scene() -> None:
+def test_a_relay_without_a_list_responds_503_at_once(on_virtual_clock: RunScenario, data: bytes) -> None:
+    async def scenario() -> None:
         registry = FakeRegistry()
         registry.is_unresponsive = True
         await registry.start()
@@ -67,7 +67,7 @@
         assert asyncio.get_running_loop().time() - started_at < 0.5
         await tier.end()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 def connect_slow_reader(stack: contextlib.ExitStack, tier: RelayTier) -> None:
@@ -78,8 +78,8 @@
     sock.sendall(list_request())
 
 
-def test_full_lists_are_bounded_in_number_and_slow_readers_make_room(on_virtual_clock: RunScene) -> None:
-    async def scene() -> None:
+def test_full_lists_are_bounded_in_number_and_slow_readers_make_room(on_virtual_clock: RunScenario) -> None:
+    async def scenario() -> None:
         async with relay_tier(relays=1, sidecars=1) as tier:
             service = tier.relays[0].service
             for number in range(16_000):
@@ -100,11 +100,11 @@
                 status, _, _ = await ask(tier.relays[0].address(), list_request())
                 assert status == 200
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
-def test_a_flood_of_connections_keeps_no_sidecar_out(on_virtual_clock: RunScene) -> None:
-    async def scene() -> None:
+def test_a_flood_of_connections_keeps_no_sidecar_out(on_virtual_clock: RunScenario) -> None:
+    async def scenario() -> None:
         limits = RelayLimits(connections=20, snapshots=2)
         async with relay_tier(relays=1, sidecars=3, limits=limits) as tier:
             relay = tier.relays[0]
@@ -117,4 +117,4 @@
                 await tier.in_force("s-0", "leaving")
             assert relay.service.counters.over_capacity > 50
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
--- a/tests/relay/test_failover.py
+++ b/tests/relay/test_failover.py
@@ -11,15 +11,17 @@
 from relay_tier import CHANGE_IN_FORCE_S, list_request, relay_tier
 from sidecar_balancer.discovery import sources, watch_state
 from sidecar_balancer.relay import connection as relay_connection
-from virtual import RunScene
+from virtual import RunScenario
 
 
 def now() -> float:
     return asyncio.get_running_loop().time()
 
 
-def test_a_change_reaches_every_sidecar_at_the_cost_of_one_watch_a_relay(on_virtual_clock: RunScene) -> None:
-    async def scene() -> None:
+def test_a_change_reaches_every_sidecar_at_the_cost_of_one_watch_a_relay(
+    on_virtual_clock: RunScenario,
+) -> None:
+    async def scenario() -> None:
         async with relay_tier(relays=2, sidecars=20) as tier:
             request_count, started_at = tier.registry.request_count, now()
             for number in range(5):
@@ -33,11 +35,11 @@
             assert not any(sidecar.failure_count for sidecar in tier.sidecars)
             assert all(relay.service.counters.snapshots <= 20 for relay in tier.relays)
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
-def test_changes_in_quick_succession_go_out_together(on_virtual_clock: RunScene) -> None:
-    async def scene() -> None:
+def test_changes_in_quick_succession_go_out_together(on_virtual_clock: RunScenario) -> None:
+    async def scenario() -> None:
         async with relay_tier(relays=1, sidecars=4) as tier:
             await asyncio.sleep(1.0)
             counters = tier.relays[0].service.counters
@@ -48,35 +50,35 @@
             await tier.in_force("s-99", "leaving")
             assert counters.deltas - deltas_before <= 4 * 8  # of 400
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
-def test_sidecars_of_a_killed_relay_receive_changes_from_others(on_virtual_clock: RunScene) -> None:
-    async def scene() -> None:
+def test_sidecars_of_a_killed_relay_receive_changes_from_others(on_virtual_clock: RunScenario) -> None:
+    async def scenario() -> None:
         async with relay_tier(relays=3) as tier:
             await tier.kill_relay(0)
             tier.registry.change(entry("s-0", status="leaving"))
             await tier.in_force("s-0", "leaving", within_s=1.0)
             assert not any(sidecar.failure_count for sidecar in tier.sidecars)
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 def test_with_two_relays_unresponsive_the_third_delivers_changes_in_time(
-    on_virtual_clock: RunScene, monkeypatch: pytest.MonkeyPatch
+    on_virtual_clock: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with relay_tier(relays=3) as tier:
             for relay in tier.relays[:2]:  # as if stopped: they accept requests and respond to none
                 monkeypatch.setattr(relay.service, "_send", lambda *_: None)
             tier.registry.change(entry("s-0", status="leaving"))
             await tier.in_force("s-0", "leaving")
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
-def test_a_partitioned_relay_reports_its_age_and_is_left(on_virtual_clock: RunScene) -> None:
-    async def scene() -> None:
+def test_a_partitioned_relay_reports_its_age_and_is_left(on_virtual_clock: RunScenario) -> None:
+    async def scenario() -> None:
         async with relay_tier(relays=2) as tier:
             partitioned, connected = tier.relays
             await partitioned.discovery.close()  # it hears no more, and its sidecars still reach it
@@ -88,11 +90,11 @@
             assert status == 200
             assert int(headers["x-source-age-ms"]) > 2_000
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
-def test_sidecars_keep_their_list_while_the_registry_is_down(on_virtual_clock: RunScene) -> None:
-    async def scene() -> None:
+def test_sidecars_keep_their_list_while_the_registry_is_down(on_virtual_clock: RunScenario) -> None:
+    async def scenario() -> None:
         async with relay_tier(relays=2) as tier:
             await tier.registry.go_down()
             await asyncio.sleep(30.0)
@@ -106,11 +108,11 @@
             tier.registry.change(entry("s-0", status="leaving"))
             await tier.in_force("s-0", "leaving")
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
-def test_a_registry_that_restarts_with_a_lower_index_is_followed(on_virtual_clock: RunScene) -> None:
-    async def scene() -> None:
+def test_a_registry_that_restarts_with_a_lower_index_is_followed(on_virtual_clock: RunScenario) -> None:
+    async def scenario() -> None:
         async with relay_tier(relays=2) as tier:
             snapshots_before = tier.snapshots_sent()
             await tier.registry.go_down()
@@ -125,11 +127,11 @@
             # The callers' tags are known: they receive what changed, not the full list.
             assert tier.snapshots_sent() == snapshots_before
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
-def test_sidecars_return_to_a_relay_that_restarted_without_a_list(on_virtual_clock: RunScene) -> None:
-    async def scene() -> None:
+def test_sidecars_return_to_a_relay_that_restarted_without_a_list(on_virtual_clock: RunScenario) -> None:
+    async def scenario() -> None:
         async with relay_tier(relays=2) as tier:
             address = await tier.kill_relay(0)
             tier.registry.change(entry("s-0", status="leaving"))
@@ -144,11 +146,11 @@
             tier.registry.change(entry("s-1", status="leaving"))
             await tier.in_force("s-1", "leaving", within_s=1.0)
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
-def test_a_sidecar_never_applies_an_older_list_on_failover(on_virtual_clock: RunScene) -> None:
-    async def scene() -> None:
+def test_a_sidecar_never_applies_an_older_list_on_failover(on_virtual_clock: RunScenario) -> None:
+    async def scenario() -> None:
         async with relay_tier(relays=2) as tier:
             behind = tier.relays[1]
             await behind.discovery.close()
@@ -160,11 +162,11 @@
             assert all(sidecar.versions[-1] >= changed_index for sidecar in tier.sidecars)
             assert behind.service.counters.not_ready + behind.service.counters.unchanged > 0
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
-def test_a_relay_behind_a_relay_reports_the_age_from_the_registry_on(on_virtual_clock: RunScene) -> None:
-    async def scene() -> None:
+def test_a_relay_behind_a_relay_reports_the_age_from_the_registry_on(on_virtual_clock: RunScenario) -> None:
+    async def scenario() -> None:
         async with relay_tier(relays=1, sidecars=1) as tier:
             leaf = await tier.add_relay([tier.relays[0].address()])
             await until(lambda: leaf.service.status()["index"] is not None)
@@ -175,11 +177,11 @@
             await asyncio.sleep(10.0)
             assert leaf.service.age_ms() >= 9_000
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
-def test_without_any_relay_sidecars_are_notified_and_keep_their_list(on_virtual_clock: RunScene) -> None:
-    async def scene() -> None:
+def test_without_any_relay_sidecars_are_notified_and_keep_their_list(on_virtual_clock: RunScenario) -> None:
+    async def scenario() -> None:
         async with relay_tier(relays=2) as tier:
             await tier.kill_relay(0)
             address = await tier.kill_relay(1)
@@ -190,7 +192,7 @@
             tier.registry.change(entry("s-0", status="leaving"))
             await tier.in_force("s-0", "leaving")
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize(
@@ -204,9 +206,9 @@
     ids=["age no number", "age too long", "nested too deep", "status 503"],
 )
 def test_a_malformed_response_of_a_relay_is_a_failed_poll(
-    on_virtual_clock: RunScene, malformed: bytes
+    on_virtual_clock: RunScenario, malformed: bytes
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with relay_tier(relays=1, sidecars=0) as tier:
 
             async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -222,7 +224,7 @@
             assert not sidecar.failure_count
             server.close()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 LONGEST_WAIT_S = watch_state.RELAY_MIN_WAIT_MS * (1.0 + watch_state.MAX_WAIT_SPREAD_RATIO) / 1000
--- a/tests/runtime/test_close_range.py
+++ b/tests/runtime/test_close_range.py
@@ -47,7 +47,7 @@
 from sidecar_balancer.policy.types import Outcome, ServerState
 from sidecar_balancer.runtime.streams import STALLED_S
 from sidecar_balancer.upstream import connection as upstream
-from virtual import play_on_clock, stall
+from virtual import run_on_virtual_clock, stall
 
 GRACE_S = 0.55  # of a drain, with the slack of the rules
 SILENT_S = 6.0  # what a watch that fell silent misses counts as told so long after
@@ -58,7 +58,7 @@
 
 @pytest.fixture
 def on_clock(monkeypatch: pytest.MonkeyPatch) -> Play:
-    return lambda scene: play_on_clock(scene, monkeypatch)
+    return lambda scene: run_on_virtual_clock(scene, monkeypatch)
 
 
 @contextlib.contextmanager
--- a/tests/runtime/test_queueing.py
+++ b/tests/runtime/test_queueing.py
@@ -13,7 +13,7 @@
 from loopback import read_answer, request, until, world
 from sidecar_balancer.downstream import frontend
 from sidecar_balancer.runtime.queueing import BacklogAge, PollTimes, TimedLoop, since_last_data_s
-from virtual import RunScene, stall
+from virtual import RunScenario, stall
 
 BUDGET_S = 2.0
 TOLERANCE_S = 0.05  # of a forwarded budget: the virtual clock stands still while the kernel works
@@ -85,7 +85,7 @@
 
 
 def test_the_event_loop_records_its_polls() -> None:
-    async def scene(loop: TimedLoop) -> None:
+    async def scenario(loop: TimedLoop) -> None:
         before = loop.poll_times.unread_since
         await asyncio.sleep(0.005)
         assert loop.poll_times.unread_since > before
@@ -93,15 +93,15 @@
     with asyncio.Runner(loop_factory=TimedLoop) as runner:
         loop = runner.get_loop()
         assert isinstance(loop, TimedLoop)
-        runner.run(scene(loop))
+        runner.run(scenario(loop))
 
 
 @pytest.mark.parametrize("stalled_s", [0.0, 0.6])
 @pytest.mark.parametrize("is_new_connection", [True, False], ids=["new connection", "used connection"])
 def test_a_request_that_waited_through_a_stall_is_forwarded_with_less_time(
-    stalled_s: float, is_new_connection: bool, on_virtual_clock: RunScene
+    stalled_s: float, is_new_connection: bool, on_virtual_clock: RunScenario
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served, drained=True) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             if not is_new_connection:
@@ -115,11 +115,11 @@
             assert BUDGET_S - stalled_s - TOLERANCE_S <= forwarded_s <= BUDGET_S - stalled_s
             writer.close()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
-def test_a_request_that_waited_longer_than_its_budget_is_rejected(on_virtual_clock: RunScene) -> None:
-    async def scene() -> None:
+def test_a_request_that_waited_longer_than_its_budget_is_rejected(on_virtual_clock: RunScenario) -> None:
+    async def scenario() -> None:
         async with world(served, drained=True) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(request(budget="0.5"))
@@ -128,13 +128,13 @@
             assert not w.sent()
             writer.close()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 def test_a_request_that_waited_in_the_backlog_is_forwarded_with_less_time(
-    on_virtual_clock: RunScene,
+    on_virtual_clock: RunScenario,
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         occupied_s = 0.4
 
         def script(_: str, head: dict[str, str], __: bytes) -> bytes | None:
@@ -154,16 +154,16 @@
             first_writer.close()
             writer.close()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("waited_s", [0.0, 0.3])
 def test_a_wait_that_the_kernel_reports_bounds_the_delay(
-    waited_s: float, on_virtual_clock: RunScene, monkeypatch: pytest.MonkeyPatch
+    waited_s: float, on_virtual_clock: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(frontend, "since_last_data_s", lambda _: waited_s)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served, drained=True) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(request(budget=str(BUDGET_S)))
@@ -173,4 +173,4 @@
             assert BUDGET_S - waited_s - TOLERANCE_S <= forwarded_s <= BUDGET_S - waited_s
             writer.close()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
--- a/tests/support/virtual.py
+++ b/tests/support/virtual.py
@@ -1,32 +1,37 @@
-"""An event loop whose clock the test moves: time passes only where nothing else is left to do.
+"""An event loop on a virtual clock, which moves only while nothing else is left to do.
 
-Loopback sockets are real; what was written to one is there to be read before the clock moves on.
+Loopback sockets are real; what was written to one can be read before the clock moves on.
 """
 
 from __future__ import annotations
 
 import asyncio
 import gc
-import os
 import selectors
 import time
 from collections.abc import Callable, Coroutine
+from operator import attrgetter
+from pathlib import Path
 from types import SimpleNamespace
 from typing import Any
 
 import pytest
 
-from sidecar_balancer.admin import handlers as operations
+from sidecar_balancer.admin import handlers
 from sidecar_balancer.runtime import clock, sidecar
 from sidecar_balancer.runtime.queueing import PollTimes
 
-RunScene = Callable[[Coroutine[Any, Any, None]], None]
+Scenario = Coroutine[Any, Any, None]
+RunScenario = Callable[[Scenario], None]
 
-_REAL_WAIT_S = 0.001  # before the clock moves on: what is under way in the kernel arrives by then
-_MOST_S = 600.0  # of the clock, for one scene
+MAX_SCENARIO_S = 600.0  # on the virtual clock
 
+_KERNEL_WAIT_S = 0.001  # of real time before the clock moves on: what the kernel carries arrives by then
+_CLOSING_TURNS = 5  # of the event loop, in which closed connections end
+_MODULES_WITH_CLOCKS = (clock, handlers, sidecar)
 
-class _Selector(selectors.EpollSelector):
+
+class _VirtualSelector(selectors.EpollSelector):
     """Waits by moving the clock."""
 
     now = 1000.0
@@ -42,72 +47,79 @@
         return events
 
     def _select(self, timeout: float | None) -> list[tuple[selectors.SelectorKey, int]]:
-        ready = super().select(0)
-        if ready or (timeout is not None and timeout <= 0):
-            return ready
-        ready = super().select(_REAL_WAIT_S)
-        if ready or timeout is None:
-            return ready
+        events = super().select(0)
+        if events or (timeout is not None and timeout <= 0):
+            return events
+        events = super().select(_KERNEL_WAIT_S)
+        if events or timeout is None:
+            return events
         self.now += timeout
         return super().select(0)
 
 
-class VirtualLoop(asyncio.SelectorEventLoop):
+class VirtualClockLoop(asyncio.SelectorEventLoop):
     """An event loop on a clock of its own."""
 
     def __init__(self) -> None:
-        self._own = _Selector()
-        self.poll_times = self._own.times
-        super().__init__(self._own)
+        self._virtual_selector = _VirtualSelector()
+        self.poll_times = self._virtual_selector.times
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
-        return self._own.now
+        return self._virtual_selector.now
 
-    def stand_still(self, span_s: float) -> None:
+    def advance(self, span_s: float) -> None:
         """Let time pass while the program does nothing, as on a machine that stalls."""
-        self._own.now += span_s
+        self._virtual_selector.now += span_s
 
 
 def stall(span_s: float) -> None:
+    """Stall the program for a time on the virtual clock."""
     loop = asyncio.get_running_loop()
-    assert isinstance(loop, VirtualLoop)
-    loop.stand_still(span_s)
+    assert isinstance(loop, VirtualClockLoop)
+    loop.advance(span_s)
 
 
-def descriptors() -> int:
-    return len(os.listdir("/proc/self/fd"))
+def open_descriptors() -> int:
+    """Return the number of this process's open file descriptors."""
+    return sum(1 for _ in Path("/proc/self/fd").iterdir())
 
 
-def play_on_clock(scene: Coroutine[Any, Any, None], monkeypatch: pytest.MonkeyPatch) -> None:
-    """Run a scene on a clock of its own; at its end no task, timer or descriptor may be left."""
-    loop = VirtualLoop()
-    offset = time.time() - loop.time()
-    virtual = SimpleNamespace(
+def _replace_clocks(loop: VirtualClockLoop, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Let the modules that read the system's clocks read the virtual one."""
+    offset_s = time.time() - loop.time()
+    virtual_time = SimpleNamespace(
         monotonic_ns=lambda: round(loop.time() * 1e9),
-        time_ns=lambda: round((loop.time() + offset) * 1e9),
+        time_ns=lambda: round((loop.time() + offset_s) * 1e9),
         process_time=time.process_time,
     )
-    for module in (clock, operations, sidecar):
-        monkeypatch.setattr(module, "time", virtual)
-    gc.collect()
-    before = descriptors()
-    faults: list[dict[str, Any]] = []
-    loop.set_exception_handler(lambda _, context: faults.append(context))
-
-    async def bounded() -> None:
-        async with asyncio.timeout(_MOST_S):
-            await scene
-        for _ in range(5):
-            await asyncio.sleep(0)  # what was closed ends in the next turns
-        left = asyncio.all_tasks() - {asyncio.current_task()}
-        assert not left, f"tasks left behind: {left}"
+    for module in _MODULES_WITH_CLOCKS:
+        monkeypatch.setattr(module, "time", virtual_time)
+
 
+async def _run_bounded(scenario: Scenario) -> None:
+    async with asyncio.timeout(MAX_SCENARIO_S):
+        await scenario
+    for _ in range(_CLOSING_TURNS):
+        await asyncio.sleep(0)
+    remaining = asyncio.all_tasks() - {asyncio.current_task()}
+    assert not remaining, f"tasks left behind: {remaining}"
+
+
+def run_on_virtual_clock(scenario: Scenario, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Run a scenario on a virtual clock; at its end no task, timer or descriptor may remain."""
+    loop = VirtualClockLoop()
+    _replace_clocks(loop, monkeypatch)
+    gc.collect()
+    descriptors_before = open_descriptors()
+    errors: list[dict[str, Any]] = []
+    loop.set_exception_handler(lambda _, context: errors.append(context))
     try:
-        loop.run_until_complete(bounded())
-        due = [each for each in loop._scheduled if not each.cancelled()]  # type: ignore[attr-defined]
+        loop.run_until_complete(_run_bounded(scenario))
+        timers = [timer for timer in attrgetter("_scheduled")(loop) if not timer.cancelled()]
         gc.collect()
-        assert descriptors() == before, "descriptors left behind"
-        assert not due, f"timers left behind: {due}"
-        assert not faults, f"unforeseen: {faults}"
+        assert open_descriptors() == descriptors_before, "descriptors left behind"
+        assert not timers, f"timers left behind: {timers}"
+        assert not errors, f"unforeseen errors: {errors}"
     finally:
         loop.close()
--- a/tests/upstream/test_attempts.py
+++ b/tests/upstream/test_attempts.py
@@ -33,7 +33,7 @@
     judge,
     parse_report,
 )
-from virtual import play_on_clock
+from virtual import run_on_virtual_clock
 
 
 def served(*_: object) -> bytes:
@@ -200,7 +200,7 @@
                 await asyncio.sleep(upstream._REST_S)
             assert len(w.servers[0].writers) == 1
 
-    play_on_clock(scene(), monkeypatch)
+    run_on_virtual_clock(scene(), monkeypatch)
 
 
 # Guards against a request that is written to a connection which its server has already ended.
