--- a/tests/runtime/test_close_range.py
+++ b/tests/runtime/test_close_range.py
@@ -50,7 +50,7 @@
 from sidecar_balancer.upstream.endpoint_pool import EndpointPool
 from sidecar_balancer.upstream.exchange import Exchange, UpstreamRequest
 from sidecar_balancer.upstream.server_connection import ServerConnection
-from virtual import play_on_clock, stall
+from virtual import run_on_virtual_clock, stall
 
 GRACE_S = 0.55  # of a drain, with the slack of the rules
 SILENT_S = 6.0  # what a watch that fell silent misses counts as told so long after
@@ -61,7 +61,7 @@
 
 @pytest.fixture
 def on_clock(monkeypatch: pytest.MonkeyPatch) -> Play:
-    return lambda scene: play_on_clock(scene, monkeypatch)
+    return lambda scene: run_on_virtual_clock(scene, monkeypatch)
 
 
 @contextlib.contextmanager
@@ -985,14 +985,14 @@
 ) -> None:
     async def scene() -> None:
         async with world(served, drained=True, orders=tmp_path) as w:
-            real, failed = w.sidecar.operations._overrides.load, list[bool]()
+            real, failed = w.sidecar.admin_handlers._overrides.load, list[bool]()
 
             def fails() -> Any:
-                monkeypatch.setattr(w.sidecar.operations._overrides, "load", real)
+                monkeypatch.setattr(w.sidecar.admin_handlers._overrides, "load", real)
                 failed.append(True)
                 raise ZeroDivisionError
 
-            monkeypatch.setattr(w.sidecar.operations._overrides, "load", fails)
+            monkeypatch.setattr(w.sidecar.admin_handlers._overrides, "load", fails)
             with told_to_the_loop() as faults:
                 await until(lambda: failed)
                 await asyncio.sleep(0)
@@ -1052,8 +1052,8 @@
 
         async with world(served, drained=True, discovery=mode) as w:
             await until(lambda: w.discovery.targets)
-            whose: object = source_connection if where == "reading" else w.sidecar
-            what = "parse_response" if where == "reading" else "_apply_endpoint_list"
+            whose: object = source_connection if where == "reading" else w.sidecar._endpoint_updates
+            what = "parse_response" if where == "reading" else "apply"
             real = getattr(whose, what)
             monkeypatch.setattr(whose, what, fails)
             for _ in range(1 + (where == "reading")):  # the call under way reads as it was begun
