--- a/sidecar_balancer/discovery/client.py
+++ b/sidecar_balancer/discovery/client.py
@@ -12,6 +12,7 @@
 import random
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from sidecar_balancer.addresses import Address
 from sidecar_balancer.discovery.endpoint_list import ListUpdate
@@ -36,8 +37,7 @@
     sources: int
 
 
-@dataclass(frozen=True, slots=True)
-class _Failure:
+class _Failure(NamedTuple):
     """A poll without a usable response."""
 
     reason: str
--- a/sidecar_balancer/discovery/source_connection.py
+++ b/sidecar_balancer/discovery/source_connection.py
@@ -5,7 +5,7 @@
 import asyncio
 import contextlib
 from collections.abc import AsyncIterator
-from dataclasses import dataclass
+from typing import NamedTuple
 
 import h11
 
@@ -18,8 +18,7 @@
 _MAX_AGE_DIGITS = 12
 
 
-@dataclass(frozen=True, slots=True)
-class ListResponse:
+class ListResponse(NamedTuple):
     """A source's response, and what a relay adds to it."""
 
     update: ListUpdate
--- a/sidecar_balancer/discovery/sources.py
+++ b/sidecar_balancer/discovery/sources.py
@@ -11,6 +11,7 @@
 import random
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from sidecar_balancer.addresses import Address
 
@@ -37,11 +38,10 @@
     return [relay.address for relay in sorted(relays, key=rank)]
 
 
-@dataclass(frozen=True, slots=True)
-class _StaleSource:
+class _StaleSource(NamedTuple):
     """A source whose list is stale."""
 
-    index: int
+    position: int
     as_of: float
 
 
@@ -104,7 +104,7 @@
             return True
         self._unusable_in_a_row = 0
         if self._freshest_stale is not None:
-            next_index = self._freshest_stale.index
+            next_index = self._freshest_stale.position
             self._freshest_stale = None
         self._select(next_index, now)
         return False
--- a/sidecar_balancer/discovery/watch_events.py
+++ b/sidecar_balancer/discovery/watch_events.py
@@ -2,13 +2,12 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from sidecar_balancer.discovery.endpoint_list import ListUpdate
 
 
-@dataclass(frozen=True, slots=True)
-class PollFailed:
+class PollFailed(NamedTuple):
     """No source answered; the owner decides when the watch begins again."""
 
     timed_out: bool  # the last poll took its whole time-out; else it failed earlier
--- a/sidecar_balancer/discovery/watch_state.py
+++ b/sidecar_balancer/discovery/watch_state.py
@@ -10,7 +10,7 @@
 
 import math
 from collections.abc import Callable
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from sidecar_balancer.discovery.protocol import AGE_HEADER, LIST_PATH, Headers
 
@@ -27,8 +27,7 @@
 AS_OF_TOLERANCE_S = 0.25  # error of a list's time, by the network and busy processes
 
 
-@dataclass(frozen=True, slots=True)
-class Poll:
+class Poll(NamedTuple):
     """One request for the list."""
 
     after: int | None  # the version whose successors are requested; None: the full list
--- a/sidecar_balancer/relay/requests.py
+++ b/sidecar_balancer/relay/requests.py
@@ -16,7 +16,6 @@
 _MAX_TAG_CHARACTERS = 64  # a relay's own tags are shorter
 
 
-@dataclass(frozen=True, slots=True)
 class ReadinessRequest:
     """Whether the relay has a list."""
 
--- a/sidecar_balancer/relay/service.py
+++ b/sidecar_balancer/relay/service.py
@@ -7,6 +7,7 @@
 from collections import deque
 from collections.abc import Callable
 from dataclasses import asdict, dataclass
+from typing import NamedTuple
 
 from sidecar_balancer.discovery.endpoint_list import ListUpdate
 from sidecar_balancer.discovery.protocol import AGE_HEADER, TAG_HEADER, Headers
@@ -42,8 +43,7 @@
     bytes_out: int = 0
 
 
-@dataclass(frozen=True, slots=True)
-class _AheadCaller:
+class _AheadCaller(NamedTuple):
     """A request from a caller whose list is newer than the relay's."""
 
     request: ListRequest
