--- a/sidecar_balancer/persistence/persister.py
+++ b/sidecar_balancer/persistence/persister.py
@@ -5,8 +5,10 @@
 import logging
 from pathlib import Path
 
-from sidecar_balancer.lease.manager import CommandVerb, TierLease
+from sidecar_balancer.lease.fencing import CommandVerb
+from sidecar_balancer.lease.manager import TierLease
 from sidecar_balancer.membership.transport import MembershipTransport
+from sidecar_balancer.membership.verdict_table import LiveVerdict
 from sidecar_balancer.persistence import state_records, tier_snapshot
 from sidecar_balancer.persistence.state_records import EndpointListRecord, RestoredState
 from sidecar_balancer.persistence.store import Store
@@ -146,11 +148,11 @@
 def resume_membership(transport: MembershipTransport, state: RestoredState) -> None:
     """Continue the membership of an earlier incarnation: its version, members, verdicts and lease epochs."""
     if state.membership is not None:
-        verdicts = [(verdict, verdict.ttl_ms) for verdict in state.verdicts]
+        verdicts = [LiveVerdict(verdict, verdict.ttl_ms) for verdict in state.verdicts]
         incarnation, counter = state.membership
-        transport.with_core(lambda swim, now_us: swim.restore(now_us, incarnation, counter, verdicts))
+        transport.swim.restore(transport.now_us(), incarnation, counter, verdicts)
         members = {number: (member.status, member.incarnation) for number, member in state.members.items()}
-        transport.with_core(lambda swim, now_us: swim.restore_members(now_us, members))
+        transport.swim.members.restore_others(transport.now_us(), members)
     if transport.leases is not None:
         for number, epoch in state.lease_epochs.items():
             transport.leases.restore_epoch(number, epoch)
--- a/sidecar_balancer/relay/config.py
+++ b/sidecar_balancer/relay/config.py
@@ -9,12 +9,8 @@
 from typing import Any
 
 from sidecar_balancer.addresses import Address
-from sidecar_balancer.config.values import (
-    ConfigurationError,
-    ValueReader,
-    read_address,
-    read_bounded_integer,
-)
+from sidecar_balancer.config.logs import read_logging
+from sidecar_balancer.config.values import ConfigurationError, ValueReader, read_address, read_bounded_integer
 from sidecar_balancer.observability.logs import LogConfig
 
 MAX_UPSTREAMS = 64
@@ -52,13 +48,13 @@
     """
     with Path(path).open("rb") as file:
         values = tomllib.load(file)
-    ValueReader(values, "settings").reject_unknown(_KEYS)
+    ValueReader(values, "configuration", prefix="").reject_unknown(_KEYS)
     return RelayConfig(
         listen=read_address(values.get("listen"), "listen"),
         upstreams=_read_upstreams(values.get("upstreams")),
         admin_address=read_address(values["mgmt"], "mgmt") if "mgmt" in values else None,
         limits=_read_limits(values),
-        logging=LogConfig.from_mapping(values.get("logging")),
+        logging=read_logging(values.get("logging")),
     )
 
 
--- a/tests/runtime/test_queueing.py
+++ b/tests/runtime/test_queueing.py
@@ -11,7 +11,7 @@
 from discovery_world import served
 from helpers import SAFE, S
 from loopback import read_answer, request, until, world
-from sidecar_balancer.downstream import frontend
+from sidecar_balancer.downstream import arrival
 from sidecar_balancer.runtime.queueing import BacklogAge, PollTimes, TimedLoop, since_last_data_s
 from virtual import RunScenario, stall
 
@@ -22,7 +22,7 @@
 @pytest.fixture(autouse=True)
 def kernel_without_receive_times(monkeypatch: pytest.MonkeyPatch) -> None:
     """The kernel counts real time, which a virtual clock does not follow."""
-    monkeypatch.setattr(frontend, "since_last_data_s", lambda _: None)
+    monkeypatch.setattr(arrival, "since_last_data_s", lambda _: None)
 
 
 def test_input_that_ended_a_wait_is_new() -> None:
@@ -161,7 +161,7 @@
 def test_a_wait_that_the_kernel_reports_bounds_the_delay(
     waited_s: float, on_virtual_clock: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(frontend, "since_last_data_s", lambda _: waited_s)
+    monkeypatch.setattr(arrival, "since_last_data_s", lambda _: waited_s)
 
     async def scenario() -> None:
         async with world(served, drained=True) as w:
