--- a/sidecar_balancer/downstream/acceptor.py
+++ b/sidecar_balancer/downstream/acceptor.py
@@ -87,7 +87,7 @@
         for _ in range(_MAX_ACCEPTS_PER_TURN):
             if self._handler.is_full():
                 if not is_readable(self._sock):  # nobody needs room
-                    self._backlog.emptied()
+                    self._backlog.record_emptied()
                     return False
                 if not self._handler.ensure_capacity():
                     self._pause_for_resources(unread_since, now)
@@ -95,19 +95,19 @@
             try:
                 sock, _ = self._sock.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
-                self._backlog.emptied()
+                self._backlog.record_emptied()
                 return False
             except OSError as error:
                 _log_failure(error)
                 self._pause_for_resources(unread_since, now)
                 return False
-            self._handler.connection_accepted(sock, self._backlog.oldest(unread_since))
-            self._backlog.accepted(now)
-        self._backlog.left(unread_since, now)
+            self._handler.connection_accepted(sock, self._backlog.oldest_arrival(unread_since))
+            self._backlog.record_accepted(now)
+        self._backlog.record_remaining(unread_since, now)
         return True
 
     def _pause_for_resources(self, unread_since: float, now: float) -> None:
-        self._backlog.left(unread_since, now)
+        self._backlog.record_remaining(unread_since, now)
         self.pause()
         asyncio.get_running_loop().call_later(_ACCEPT_PAUSE_S, self.start)
 
--- a/sidecar_balancer/runtime/clock.py
+++ b/sidecar_balancer/runtime/clock.py
@@ -17,7 +17,7 @@
         """Return the current time in microseconds."""
         return time.monotonic_ns() // 1000 + self._offset_us
 
-    def step(self) -> int:
+    def turn_time(self) -> int:
         """Return the time of the event loop's current turn in microseconds, one for all of its input.
 
         After a stall, input of one turn came at unknown times; equal times keep the balancer from learning
@@ -31,6 +31,6 @@
     def _end_turn(self) -> None:
         self._turn_time_us = None
 
-    def on_loop(self, at_us: int) -> float:
+    def to_loop_time(self, at_us: int) -> float:
         """Convert a time of this clock to seconds on the event loop's clock."""
         return (at_us - self._offset_us) / 1e6
--- a/sidecar_balancer/runtime/engine.py
+++ b/sidecar_balancer/runtime/engine.py
@@ -70,12 +70,12 @@
     def _handle_one(self, event: Event) -> None:
         actions_before = self.balancer.actions
         try:
-            actions: Sequence[Action] = self.balancer.handle(self.clock.step(), event)
+            actions: Sequence[Action] = self.balancer.handle(self.clock.turn_time(), event)
         except Exception:
             log.exception("the balancer failed on %.200r", event, extra={"event": "balancer_failed"})
             # The balancer counts on the actions that it had decided on by then.
             actions = self.balancer.actions if self.balancer.actions is not actions_before else []
-            self._timers.later(_WAKE_AFTER_DEFECT_S, self.handle, TimerFired("agenda"))
+            self._timers.call_later(_WAKE_AFTER_DEFECT_S, self.handle, TimerFired("agenda"))
             self.execute(actions)
             self._report_defect(event)
         else:
@@ -95,4 +95,4 @@
             self.on_defect(getattr(subject, "request", None))
 
     def _set_timer(self, action: SetTimer) -> None:
-        self._timers.later(action.in_us / 1e6, self.handle, TimerFired(action.token))
+        self._timers.call_later(action.in_us / 1e6, self.handle, TimerFired(action.token))
--- a/sidecar_balancer/runtime/proxy.py
+++ b/sidecar_balancer/runtime/proxy.py
@@ -107,7 +107,7 @@
         request.received_at = clock.now()
         request.deadline = request.received_at + request.client_request.remaining_us
         request.failsafe_timer = asyncio.get_running_loop().call_at(
-            clock.on_loop(request.deadline), self.abandon, request.request_id
+            clock.to_loop_time(request.deadline), self.abandon, request.request_id
         )
 
     def body_completed(self, client_request: ClientRequest) -> None:
@@ -117,7 +117,7 @@
             return
         self._start_deadline(request)
         assert request.deadline is not None
-        deadline = self._engine.clock.on_loop(request.deadline)
+        deadline = self._engine.clock.to_loop_time(request.deadline)
         for attempt in request.attempts.values():
             if attempt is not None:
                 self._endpoint_pool.set_deadline(attempt, deadline)
@@ -229,7 +229,7 @@
         """Return an attempt's deadline on the event loop's clock; there is none before the body's end."""
         if request.deadline is None:
             return math.inf
-        return self._engine.clock.on_loop(min(action.deadline or request.deadline, request.deadline))
+        return self._engine.clock.to_loop_time(min(action.deadline or request.deadline, request.deadline))
 
     def _upstream_request(
         self, request: InFlightRequest, attempt_index: int, server: str, sent_at: int
--- a/sidecar_balancer/runtime/queueing.py
+++ b/sidecar_balancer/runtime/queueing.py
@@ -84,14 +84,14 @@
         self._next_oldest_arrival = 0.0  # once `_to_accept` more connections are accepted
         self._to_accept = 0
 
-    def oldest(self, unread_since: float) -> float:
+    def oldest_arrival(self, unread_since: float) -> float:
         """Return the earliest time at which the next connection can have arrived.
 
         `unread_since` is that of the poll which found it.
         """
         return unread_since if self._oldest_arrival is None else self._oldest_arrival
 
-    def accepted(self, now: float) -> None:
+    def record_accepted(self, now: float) -> None:
         """Note that a connection was accepted."""
         if self._oldest_arrival is None:
             return
@@ -100,11 +100,11 @@
             self._oldest_arrival = self._next_oldest_arrival
             self._start_round(now)
 
-    def emptied(self) -> None:
+    def record_emptied(self) -> None:
         """Note that the queue was seen empty."""
         self._oldest_arrival = None
 
-    def left(self, unread_since: float, now: float) -> None:
+    def record_remaining(self, unread_since: float, now: float) -> None:
         """Note that accepting stopped with connections remaining in the queue."""
         if self._oldest_arrival is None:
             self._oldest_arrival = min(unread_since, now)
--- a/sidecar_balancer/runtime/sidecar.py
+++ b/sidecar_balancer/runtime/sidecar.py
@@ -150,7 +150,7 @@
     async def _start(self, stop: asyncio.Event) -> None:
         if self.door is not None:
             # Before the first request: a ban outlasts the process that took it.
-            self._timers.every(_OVERRIDES_POLL_INTERVAL_S, self.operations.apply_stored_overrides)
+            self._timers.call_every(_OVERRIDES_POLL_INTERVAL_S, self.operations.apply_stored_overrides)
             self.door.start()
         self._restore_state()
         if self._link is not None:
@@ -159,7 +159,7 @@
             self._apply_endpoint_list(ListKind.CACHED, self._known_endpoints)
         await self._recall_servers(stop)
         if self._keeper is not None:
-            self._timers.every(self._persist_interval_s, self._persist_state)
+            self._timers.call_every(self._persist_interval_s, self._persist_state)
         if self._settings.discovery is DiscoveryMode.PUSH:
             self._discovery.set_watching(True)
         if self._is_takeover:
@@ -293,7 +293,7 @@
 
             resume_membership(self._link.transport, self._restored)
         self._link.set_disabled_servers(self.operations.disabled_servers)
-        self._timers.every(_OVERRIDES_POLL_INTERVAL_S, self.operations.apply_disabled_servers)
+        self._timers.call_every(_OVERRIDES_POLL_INTERVAL_S, self.operations.apply_disabled_servers)
 
     def _publish_server_verdict(self, action: PublishServerVerdict) -> None:
         if self._link is not None:
@@ -359,7 +359,7 @@
         self._engine.handle(EndpointListReceived(kind))
         if self._settings.discovery is DiscoveryMode.PUSH:
             wait_s = 0.0 if event.timed_out else _PUSH_RETRY_DELAY_S  # silence took its time already
-            self._timers.later(wait_s, self._discovery.set_watching, True)
+            self._timers.call_later(wait_s, self._discovery.set_watching, True)
 
     def _apply_endpoint_list(self, kind: ListKind, told: ListUpdate) -> None:
         """Note the addresses first: the balancer may send on hearing of a server.
--- a/sidecar_balancer/runtime/timers.py
+++ b/sidecar_balancer/runtime/timers.py
@@ -16,7 +16,7 @@
         self._numbers = itertools.count()
         self._is_closed = False
 
-    def later(self, delay_s: float, callback: Callable[..., None], *arguments: object) -> None:
+    def call_later(self, delay_s: float, callback: Callable[..., None], *arguments: object) -> None:
         """Call after a delay in seconds; not at all once the timers are closed."""
         if self._is_closed:
             return
@@ -24,9 +24,9 @@
         run = partial(self._run, number, callback, *arguments)
         self._handles[number] = asyncio.get_running_loop().call_later(delay_s, run)
 
-    def every(self, interval_s: float, callback: Callable[[], None]) -> None:
+    def call_every(self, interval_s: float, callback: Callable[[], None]) -> None:
         """Call now and after each interval; an error in one call doesn't prevent the next."""
-        self.later(interval_s, self.every, interval_s, callback)
+        self.call_later(interval_s, self.call_every, interval_s, callback)
         callback()
 
     def _run(self, number: int, callback: Callable[..., None], *arguments: object) -> None:
--- a/tests/runtime/test_queueing.py
+++ b/tests/runtime/test_queueing.py
@@ -48,16 +48,16 @@
 
 def test_the_age_of_the_backlog_is_bounded_by_its_last_empty_moment_and_its_capacity() -> None:
     backlog = BacklogAge(capacity=3)
-    assert backlog.oldest(5.0) == 5.0
-    backlog.left(unread_since=5.0, now=6.0)
-    backlog.left(unread_since=7.0, now=7.0)  # still not empty: nothing is younger for that
+    assert backlog.oldest_arrival(5.0) == 5.0
+    backlog.record_remaining(unread_since=5.0, now=6.0)
+    backlog.record_remaining(unread_since=7.0, now=7.0)  # still not empty: nothing is younger for that
     for _ in range(2):
-        backlog.accepted(8.0)
-        assert backlog.oldest(8.0) == 5.0
-    backlog.accepted(8.0)  # all that was queued at 6.0 has been accepted
-    assert backlog.oldest(8.0) == 6.0
-    backlog.emptied()
-    assert backlog.oldest(9.0) == 9.0
+        backlog.record_accepted(8.0)
+        assert backlog.oldest_arrival(8.0) == 5.0
+    backlog.record_accepted(8.0)  # all that was queued at 6.0 has been accepted
+    assert backlog.oldest_arrival(8.0) == 6.0
+    backlog.record_emptied()
+    assert backlog.oldest_arrival(9.0) == 9.0
 
 
 def test_the_kernel_reports_how_long_data_has_waited() -> None:
