--- a/tests/runtime/test_queueing.py
+++ b/tests/runtime/test_queueing.py
@@ -9,7 +9,7 @@
 import pytest
 
 from discovery_world import served
-from helpers import SAFE, S
+from helpers import IDEMPOTENT, S
 from loopback import read_answer, request, until, world
 from sidecar_balancer.downstream import arrival
 from sidecar_balancer.runtime.queueing import BacklogAge, PollTimes, TimedLoop, since_last_data_s
@@ -141,7 +141,9 @@
             return None if head["x-call-id"] == "occupying" else served()
 
         # 66 descriptors leave one connection for clients: the second waits in the backlog.
-        async with world(script, drained=True, sockets=66, classes=[SAFE | {"deadline_us": 9 * S}]) as w:
+        async with world(
+            script, drained=True, sockets=66, classes=[IDEMPOTENT | {"deadline_us": 9 * S}]
+        ) as w:
             first, first_writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             first_writer.write(request(budget=str(occupied_s), X_Call_Id="occupying"))
             await until(w.sent)
--- a/tests/support/discovery_world.py
+++ b/tests/support/discovery_world.py
@@ -33,7 +33,7 @@
 
 def consecutive_failures(world: World) -> int:
     """Return how many polls in a row the balancer has seen fail."""
-    return balancer_of(world).discovery.failed_calls
+    return balancer_of(world).components.discovery.failed_calls
 
 
 def now_us(world: World) -> int:
--- a/tests/support/virtual.py
+++ b/tests/support/virtual.py
@@ -18,7 +18,7 @@
 import pytest
 
 from sidecar_balancer.admin import handlers
-from sidecar_balancer.runtime import clock, sidecar
+from sidecar_balancer.runtime import clock, status_log
 from sidecar_balancer.runtime.queueing import PollTimes
 
 Scenario = Coroutine[Any, Any, None]
@@ -28,7 +28,7 @@
 
 _KERNEL_WAIT_S = 0.001  # of real time before the clock moves on: what the kernel carries arrives by then
 _CLOSING_TURNS = 5  # of the event loop, in which closed connections end
-_MODULES_WITH_CLOCKS = (clock, handlers, sidecar)
+_MODULES_WITH_CLOCKS = (clock, handlers, status_log)
 
 
 class _VirtualSelector(selectors.EpollSelector):
