--- a/sidecar_balancer/discovery/source_connection.py
+++ b/sidecar_balancer/discovery/source_connection.py
@@ -5,7 +5,7 @@
 import asyncio
 import contextlib
 from collections.abc import AsyncIterator
-from dataclasses import dataclass
+from typing import NamedTuple
 
 import h11
 
@@ -20,8 +20,7 @@
 _MAX_AGE_DIGITS = 12
 
 
-@dataclass(frozen=True, slots=True)
-class ListResponse:
+class ListResponse(NamedTuple):
     """A source's response, and what a relay adds to it."""
 
     update: ListUpdate
--- a/sidecar_balancer/runtime/proxy.py
+++ b/sidecar_balancer/runtime/proxy.py
@@ -107,7 +107,7 @@
         request.received_at = clock.now()
         request.deadline = request.received_at + request.client_request.remaining_us
         request.failsafe_timer = asyncio.get_running_loop().call_at(
-            clock.on_loop(request.deadline), self.abandon, request.request_id
+            clock.to_loop_time(request.deadline), self.abandon, request.request_id
         )
 
     def body_completed(self, client_request: ClientRequest) -> None:
@@ -117,7 +117,7 @@
             return
         self._start_deadline(request)
         assert request.deadline is not None
-        deadline = self._engine.clock.on_loop(request.deadline)
+        deadline = self._engine.clock.to_loop_time(request.deadline)
         for attempt in request.attempts.values():
             if attempt is not None:
                 self._endpoint_pool.set_deadline(attempt, deadline)
@@ -219,7 +219,7 @@
         deadline = math.inf  # before the end of the body
         if request.deadline is not None:
             deadline_us = min(action.deadline or request.deadline, request.deadline)
-            deadline = self._engine.clock.on_loop(deadline_us)
+            deadline = self._engine.clock.to_loop_time(deadline_us)
         try:
             exchange = self._endpoint_pool.send(action.server, upstream_request, deadline, on_outcome)
         except Exception:  # a defect: the request may have been executed
--- a/sidecar_balancer/runtime/sidecar.py
+++ b/sidecar_balancer/runtime/sidecar.py
@@ -150,7 +150,7 @@
     async def _start(self, stop: asyncio.Event) -> None:
         if self.admin_server is not None:
             # Before the first request: overrides outlast the process that accepted them.
-            self._timers.every(_OVERRIDES_POLL_INTERVAL_S, self.admin_handlers.apply_stored_overrides)
+            self._timers.call_every(_OVERRIDES_POLL_INTERVAL_S, self.admin_handlers.apply_stored_overrides)
             self.admin_server.start()
         if self._state_persistence is not None:
             self._initial_endpoints = self._state_persistence.restore(
@@ -162,7 +162,7 @@
             self._endpoint_updates.apply(ListKind.CACHED, self._initial_endpoints)
         await self._apply_restored_state(stop)
         if self._state_persistence is not None:
-            self._timers.every(self._state_persistence.interval_s, self._persist_state)
+            self._timers.call_every(self._state_persistence.interval_s, self._persist_state)
         if self._settings.discovery is DiscoveryMode.PUSH:
             self._discovery.set_watching(True)
         if self._is_takeover:
@@ -190,7 +190,7 @@
         if self._state_persistence is not None:
             self._state_persistence.resume_membership(self._membership)
         self._membership.set_disabled_servers(self.admin_handlers.disabled_servers)
-        self._timers.every(_OVERRIDES_POLL_INTERVAL_S, self.admin_handlers.apply_disabled_servers)
+        self._timers.call_every(_OVERRIDES_POLL_INTERVAL_S, self.admin_handlers.apply_disabled_servers)
 
     async def _apply_restored_state(self, stop: asyncio.Event) -> None:
         """Give the balancer what was persisted, or else what peers know, within a bounded time."""
@@ -221,7 +221,7 @@
         self._engine.handle(EndpointListReceived(kind))
         if self._settings.discovery is DiscoveryMode.PUSH:
             delay_s = 0.0 if event.timed_out else _PUSH_RETRY_DELAY_S
-            self._timers.later(delay_s, self._discovery.set_watching, True)
+            self._timers.call_later(delay_s, self._discovery.set_watching, True)
 
     # -- The balancer's actions
 
