--- a/tests/cluster/test_cli.py
+++ b/tests/cluster/test_cli.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from harness import ROOT, Tier, free_ports, new_host, run_scenario, running_tier, text
+from harness import ROOT, Tier, format_address, free_ports, new_host, run_scenario, running_tier
 from stub_cluster import running_cluster
 from stub_servers import StubServer
 
@@ -31,7 +31,7 @@
 def test_the_command_calls_the_door_and_says_what_is_wrong(tmp_path: Path) -> None:
     async def scene() -> None:
         async with running_tier(2, tmp_path, seed=17) as made:
-            door = text(made.admin_addresses[0])
+            door = format_address(made.admin_addresses[0])
             await made.wait_until(lambda: _answers(made))
             code, out, _ = await weirlock("members", "--door", door)
             assert code == 0 and json.loads(out)["me"] == 0
@@ -40,7 +40,9 @@
             assert code == 0 and json.loads(out)["excluded"] == ["s-1"]
             code, out, _ = await weirlock("ban", "nobody", "--door", door)
             assert code == 1 and out.startswith("no (404)")
-        code, _, err = await weirlock("members", "--door", text(free_ports(new_host(), 1)[0]), "--wait", "1")
+        code, _, err = await weirlock(
+            "members", "--door", format_address(free_ports(new_host(), 1)[0]), "--wait", "1"
+        )
         assert code == 1 and len(err.splitlines()) == 1 and "did not answer" in err
         code, _, err = await weirlock("drain")
         assert code == 2 and err.startswith("no door")
@@ -53,7 +55,7 @@
         servers = [StubServer("a-0", "a"), StubServer("b-0", "b")]
         locality = {"locality": {"on": True}}
         async with running_cluster(tmp_path, 1, servers, "a", config_changes=locality) as made:
-            door = text(made.tier.admin_addresses[0])
+            door = format_address(made.tier.admin_addresses[0])
             made.load.start()
             while len(made.load.responses) < 100:
                 await asyncio.sleep(0.01)
@@ -107,7 +109,7 @@
             writer.close()
 
         server = await asyncio.start_server(silent, "127.0.0.1", 0)
-        door = text(server.sockets[0].getsockname()[:2])
+        door = format_address(server.sockets[0].getsockname()[:2])
         code, out, err = await weirlock("status", "--door", door, "--wait", "0.2")
         assert (code, out, len(err.splitlines())) == (1, "", 1) and "timed out" in err
         server.close()
--- a/tests/cluster/test_relays.py
+++ b/tests/cluster/test_relays.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from harness import PATIENCE_S, ROOT, Address, free_ports, new_host, text
+from harness import ROOT, WAIT_TIMEOUT_S, Address, format_address, free_ports, new_host
 from loopback import ask, play
 from registry import FakeRegistry, entry
 
@@ -29,7 +29,7 @@
 
 async def until(condition: Callable[[], Awaitable[object]]) -> None:
     """Wait until an asynchronous condition holds."""
-    async with asyncio.timeout(2 * PATIENCE_S):
+    async with asyncio.timeout(2 * WAIT_TIMEOUT_S):
         while True:
             if await condition():
                 return
@@ -104,9 +104,9 @@
         relay = self.relays[number]
         path = self.folder / f"{relay.name}.toml"
         lines = [
-            f'listen = "{text(relay.listen)}"',
-            f'upstreams = ["{text(self.registry.address)}"]',
-            f'mgmt = "{text(relay.admin)}"',
+            f'listen = "{format_address(relay.listen)}"',
+            f'upstreams = ["{format_address(self.registry.address)}"]',
+            f'mgmt = "{format_address(relay.admin)}"',
         ]
         path.write_text("\n".join(lines))
         await relay.start("sidecar_balancer.cli", "relay", "--config", str(path))
@@ -114,15 +114,17 @@
     async def start_sidecar(self, sidecar: Process) -> None:
         platform = {
             "name": sidecar.name,
-            "listen": text(sidecar.listen),
+            "listen": format_address(sidecar.listen),
             "discovery": "127.0.0.1:1",  # nothing listens there: the list comes by the relays alone
-            "mgmt": text(sidecar.admin),
+            "mgmt": format_address(sidecar.admin),
             "seed": "7",
             "settings": {"lanes": LANES, "discovery": "on_request"},
         }
         config, own = self.folder / f"{sidecar.name}.json", self.folder / f"{sidecar.name}.toml"
         config.write_text(json.dumps(platform))
-        own.write_text("".join(f'[[relays]]\naddress = "{text(relay.listen)}"\n' for relay in self.relays))
+        own.write_text(
+            "".join(f'[[relays]]\naddress = "{format_address(relay.listen)}"\n' for relay in self.relays)
+        )
         assert len(tomllib.loads(own.read_text())["relays"]) == len(self.relays)
         await sidecar.start("sidecar_balancer", RELAY_CONFIG=str(config), WEIRLOCK_CONFIG=str(own))
 
@@ -167,7 +169,7 @@
             tier.relays[0].send_signal(signal.SIGKILL)
             tier.registry.change(entry("s-0", status="leaving"))
             await tier.in_force("s-0", "draining")
-            assert set(await tier.sources()) == {text(tier.relays[1].listen)}
+            assert set(await tier.sources()) == {format_address(tier.relays[1].listen)}
             await tier.relays[0].end()
             await tier.start_relay(0)
             await until(tier.relays_have_a_list)
@@ -218,8 +220,11 @@
             sidecar = await tier.sidecars[0].get("status")
             assert sidecar is not None
             discovery = sidecar["discovery"]
-            assert (discovery["address"], discovery["index"]) == (text(tier.relays[0].listen), index)
-            assert 0.0 <= discovery["age_s"] < PATIENCE_S
+            assert (discovery["address"], discovery["index"]) == (
+                format_address(tier.relays[0].listen),
+                index,
+            )
+            assert 0.0 <= discovery["age_s"] < WAIT_TIMEOUT_S
             assert discovery["sources"] == 1
             relay = await tier.relays[0].get("status")
             assert relay is not None
@@ -236,7 +241,7 @@
         env=os.environ | environ,
         stderr=asyncio.subprocess.PIPE,
     )
-    _, error_output = await asyncio.wait_for(process.communicate(), PATIENCE_S)
+    _, error_output = await asyncio.wait_for(process.communicate(), WAIT_TIMEOUT_S)
     assert process.returncode == 2
     assert error_output.startswith(b"bad configuration: ")
     assert error_output.count(b"\n") == 1
--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -24,7 +24,7 @@
 from typing import Any, NamedTuple, ParamSpec, cast
 
 ROOT = Path(__file__).parent.parent.parent
-PATIENCE_S = 30.0  # the timeout for what must happen; no test takes it as proof of anything
+WAIT_TIMEOUT_S = 30.0  # the timeout for what must happen; no test takes it as proof of anything
 SCENARIO_TIMEOUT_S = 120.0
 ADMIN_TIMEOUT_S = 1.0
 POLL_INTERVAL_S = 0.05
@@ -56,7 +56,7 @@
         return addresses
 
 
-def text(address: Address) -> str:
+def format_address(address: Address) -> str:
     """The address as HOST:PORT."""
     return "{}:{}".format(*address)
 
@@ -193,14 +193,14 @@
         settings = {"lanes": SERVICE_CLASSES, "me": number, "groupSize": self.size, "zone": "a"}
         return {
             "name": f"n{number}",
-            "listen": text(self.client_addresses[number]),
+            "listen": format_address(self.client_addresses[number]),
             "discovery": "127.0.0.1:1",
             "seed": f"{1000 + number:x}",
             "known": {"index": 1, "snapshot": True, "endpoints": [SERVER]},
             "settings": settings,
-            "mgmt": text(self.admin_addresses[number]),
-            "peer_listen": text(self.peer_addresses[number]),
-            "peers": [text(proxy.address) for proxy in self.proxies],
+            "mgmt": format_address(self.admin_addresses[number]),
+            "peer_listen": format_address(self.peer_addresses[number]),
+            "peers": [format_address(proxy.address) for proxy in self.proxies],
             "peer_plane": MEMBERSHIP_ON if membership is None else membership,
         } | self.config_changes(number)
 
@@ -257,7 +257,7 @@
                 return False
         return True
 
-    async def wait_until(self, condition: Condition, timeout_s: float = PATIENCE_S) -> float:
+    async def wait_until(self, condition: Condition, timeout_s: float = WAIT_TIMEOUT_S) -> float:
         """Wait until `condition` is true; return the seconds it took."""
         loop = asyncio.get_running_loop()
         started_s = loop.time()
--- a/tests/support/stub_cluster.py
+++ b/tests/support/stub_cluster.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from harness import Tier, text
+from harness import Tier, format_address
 from load_generator import LoadGenerator
 from stub_servers import GUARANTEES, StubDiscovery, StubServer
 
@@ -115,7 +115,7 @@
     def changes_of(number: int) -> dict[str, Any]:
         zone = zones[number % len(zones)]
         return {
-            "discovery": text(discovery.address),
+            "discovery": format_address(discovery.address),
             "known": discovery.endpoint_list(),
             "settings": settings(number, size, zone, **(setting_changes or {})),
             "peer_plane": membership if membership is not None else {"on": False},
--- a/tests/support/stub_servers.py
+++ b/tests/support/stub_servers.py
@@ -11,7 +11,7 @@
 from collections import Counter, deque
 from typing import Any, NamedTuple
 
-from harness import Address, text
+from harness import Address, format_address
 
 WARM_UP_S = 4.0  # from a start until a server works at full speed
 INITIAL_SPEED_RATIO = 0.2
@@ -107,7 +107,7 @@
         """The server's entry in discovery's list."""
         return {
             "name": self.name,
-            "address": text(self.address),
+            "address": format_address(self.address),
             "zone": self.zone,
             "type": "m",
             "group": 1,
