--- a/sidecar_balancer/lease/manager.py
+++ b/sidecar_balancer/lease/manager.py
@@ -95,13 +95,12 @@
 
     def highest_epochs(self) -> dict[TierLease, int]:
         """The highest epoch known of each lease."""
-        return {lease: self._protocol.states[lease].highest_epoch for lease in TierLease}
+        return {lease: self._protocol.highest_epoch(lease) for lease in TierLease}
 
     def restore_epoch(self, lease: int, epoch: int) -> None:
         """Start from an epoch that an earlier run knew; a lease of an unknown number is ignored."""
         if 0 <= lease < len(TierLease):
-            state = self._protocol.states[lease]
-            state.highest_epoch = max(state.highest_epoch, epoch)
+            self._protocol.restore_epoch(lease, epoch)
 
     # -- Fenced commands --------------------------------------------------------------------------------
 
--- a/sidecar_balancer/lease/protocol.py
+++ b/sidecar_balancer/lease/protocol.py
@@ -200,6 +200,11 @@
             self._count_grant(now_us, state, sender)
         return []
 
+    def restore_epoch(self, lease: int, epoch: int) -> None:
+        """Start from an epoch that an earlier run knew."""
+        state = self.states[lease]
+        state.highest_epoch = max(state.highest_epoch, epoch)
+
     # -- Views ------------------------------------------------------------------------------------------
 
     def token(self, lease: int, now_us: int) -> int:
@@ -207,6 +212,10 @@
         state = self.states[lease]
         return state.held_epoch if state.held_until_us > now_us else 0
 
+    def highest_epoch(self, lease: int) -> int:
+        """The highest epoch that this member knows of `lease`."""
+        return self.states[lease].highest_epoch
+
     def due_us(self, now_us: int) -> int:
         """The latest time at which `tick` is needed next."""
         due_us = now_us + self.timing.retry_us
--- a/sidecar_balancer/membership/bridge.py
+++ b/sidecar_balancer/membership/bridge.py
@@ -171,9 +171,10 @@
     def _exchange_demand(self) -> None:
         self._publisher.publish_demand(self._demand_rps())
         latencies = islice(self._relative_latencies().items(), _LATENCIES_MAX)
-        self.transport.swim.transfer.own_latencies = {
+        percentages = {
             server: max(1, min(int(ratio * 100), RELATIVE_LATENCY_MAX_PERCENT)) for server, ratio in latencies
         }
+        self.transport.swim.transfer.report_latencies(percentages)
         tier_demand = self.transport.swim.tier.demand_rps(self.transport.now_us())
         if tier_demand != self._tier_demand:
             self._tier_demand = tier_demand
--- a/sidecar_balancer/membership/state_transfer.py
+++ b/sidecar_balancer/membership/state_transfer.py
@@ -13,15 +13,12 @@
 
 
 class StateTransfer:
-    """Both sides of the transfer at one member; `latencies_max` bounds what is accepted.
-
-    `own_latencies` is what this member reports: relative latency in percent by server.
-    """
+    """Both sides of the transfer at one member; `latencies_max` bounds what is accepted."""
 
     def __init__(self, verdicts: VerdictTable, latencies_max: int) -> None:
-        self.own_latencies: dict[str, int] = {}
         self._verdicts = verdicts
         self._latencies_max = latencies_max
+        self._own_latencies: dict[str, int] = {}
         self._received_latencies: dict[str, int] = {}
         self._received_parts: dict[int, set[int]] = {}  # by sender
         self._complete = False
@@ -29,6 +26,10 @@
 
     # -- The member that answers ------------------------------------------------------------------------
 
+    def report_latencies(self, latencies: dict[str, int]) -> None:
+        """Set what the answers contain from now on: relative latency in percent by server."""
+        self._own_latencies = latencies
+
     def may_answer(self, now_us: int, requester: int) -> bool:
         """Whether the last answer to this member is long enough ago; it counts as answered from then on."""
         answered_us = self._answered_us.get(requester)
@@ -42,7 +43,7 @@
         remaining: list[Update] = [
             replace(update, ttl_ms=remaining_ms) for update, remaining_ms in self._verdicts.live(now_us)
         ]
-        remaining += [LatencyUpdate(server, percent) for server, percent in self.own_latencies.items()]
+        remaining += [LatencyUpdate(server, percent) for server, percent in self._own_latencies.items()]
         longest_head = Message(DatagramKind.STATE_PART, incarnation, STATE_PARTS_MAX, STATE_PARTS_MAX)
         parts: list[list[Update]] = []
         while remaining and len(parts) < STATE_PARTS_MAX:
--- a/sidecar_balancer/membership/transport.py
+++ b/sidecar_balancer/membership/transport.py
@@ -11,6 +11,7 @@
 from collections.abc import Callable
 from typing import Any, cast
 
+from sidecar_balancer.addresses import Address
 from sidecar_balancer.lease.fencing import CommandVerb
 from sidecar_balancer.lease.manager import LeaseManager, TierLease
 from sidecar_balancer.lease.protocol import LeaseTiming
@@ -20,8 +21,6 @@
 from sidecar_balancer.membership.settings import MembershipSettings
 from sidecar_balancer.membership.swim import Swim
 
-Address = tuple[str, int]
-
 _TICK_WAIT_MIN_US = 1000
 
 
--- a/sidecar_balancer/membership/verdict_table.py
+++ b/sidecar_balancer/membership/verdict_table.py
@@ -56,15 +56,15 @@
             raise MembershipSettingsError(f"peer_plane: a table of {capacity} verdicts, 1 at least is needed")
         self._capacity = capacity
         self._entries: dict[VerdictKey, _Entry] = {}
-        self.evicted_count = 0
-        self.stale_count = 0  # updates not merged: an equal or newer version was present
+        self._evicted_count = 0
+        self._stale_count = 0
 
     def merge(self, now_us: int, update: VerdictUpdate) -> bool:
         """Merge one update; True where it changed the table, so that it is worth passing on."""
         key = VerdictKey.of(update)
         present = self._entries.get(key)
         if present is not None and _version(present.update) >= _version(update):
-            self.stale_count += 1
+            self._stale_count += 1
             return False
         if present is None and len(self._entries) >= self._capacity:
             self._evict(now_us)
@@ -76,7 +76,7 @@
         if len(self._entries) >= self._capacity:
             soonest = min(self._entries, key=lambda key: self._entries[key].expires_us)
             del self._entries[soonest]
-            self.evicted_count += 1
+            self._evicted_count += 1
 
     def _drop_tombstones(self, now_us: int) -> None:
         limit_us = now_us - VERDICT_TTL_MAX_MS * _US_PER_MS
@@ -101,6 +101,16 @@
             LiveVerdict(entry.update, max((entry.expires_us - now_us) // _US_PER_MS, 1)) for entry in entries
         ]
 
+    @property
+    def evicted_count(self) -> int:
+        """Entries that went before they expired, for lack of capacity."""
+        return self._evicted_count
+
+    @property
+    def stale_count(self) -> int:
+        """Updates that were not merged, as an equal or newer version was present."""
+        return self._stale_count
+
     def __len__(self) -> int:
         return len(self._entries)
 
--- a/tests/cluster/test_relays.py
+++ b/tests/cluster/test_relays.py
@@ -18,9 +18,10 @@
 
 import pytest
 
-from harness import ROOT, WAIT_TIMEOUT_S, Address, format_address, free_ports, new_host
+from harness import ROOT, WAIT_TIMEOUT_S, format_address, free_ports, new_host
 from loopback import ask, play
 from registry import FakeRegistry, entry
+from sidecar_balancer.addresses import Address
 
 LANES = [{"name": "look", "giveUpUs": 2_000_000, "repeat": "read_like"}]
 POLL_INTERVAL_S = 0.05
--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -23,6 +23,8 @@
 from pathlib import Path
 from typing import Any, NamedTuple, ParamSpec, cast
 
+from sidecar_balancer.addresses import Address
+
 ROOT = Path(__file__).parent.parent.parent
 WAIT_TIMEOUT_S = 30.0  # the timeout for what must happen; no test takes it as proof of anything
 SCENARIO_TIMEOUT_S = 120.0
@@ -32,7 +34,6 @@
 MEMBERSHIP_ON = {"on": True, "period_ms": 100, "probe_timeout_ms": 40}  # the `peer_plane` object
 SERVER = {"name": "s-1", "address": "127.0.0.1:9", "zone": "a", "type": "m", "group": 1, "status": "active"}
 
-Address = tuple[str, int]
 Condition = Callable[[], Awaitable[bool]]
 _P = ParamSpec("_P")
 
--- a/tests/support/stub_servers.py
+++ b/tests/support/stub_servers.py
@@ -11,7 +11,8 @@
 from collections import Counter, deque
 from typing import Any, NamedTuple
 
-from harness import Address, format_address
+from harness import format_address
+from sidecar_balancer.addresses import Address
 
 WARM_UP_S = 4.0  # from a start until a server works at full speed
 INITIAL_SPEED_RATIO = 0.2
