--- /dev/null
+++ b/tests/discovery/test_watch_recovery.py
@@ -0,0 +1,239 @@
+"""Watches that fall silent, fail or die, and reloads: the next call comes in time."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from loopback import (
+    FakeDiscovery,
+    answer,
+    until,
+    world,
+)
+from sidecar_balancer.discovery import source_connection
+from sidecar_balancer.discovery.client import DiscoveryClient
+from sidecar_balancer.discovery.endpoint_list import ListUpdate
+from sidecar_balancer.discovery.watch_events import WatchEvent
+from timed_scenes import fail_discovery_calls, hung, served
+from virtual import RunScene
+
+DRAIN_GRACE_S = 0.55  # of a drain, with the slack of the rules
+
+
+SILENT_WATCH_GRACE_S = 6.0  # what a watch that fell silent misses counts as told so long after
+
+
+RELOAD_GRACE_S = 4.0  # and after SIGHUP what there is to tell
+
+
+@pytest.mark.parametrize("mode", ["on_request", "pushed"])
+@pytest.mark.parametrize("chance", [0.0, 0.999])
+@pytest.mark.parametrize("first", [True, False])
+def test_silent_watch_is_restarted_before_its_missed_events_count_as_known(
+    on_virtual_clock: RunScene, mode: str, chance: float, first: bool
+) -> None:
+    async def scene() -> None:
+        async with world(served, drained=True, discovery=mode) as w:
+            w.sidecar._discovery._state.random_fraction = lambda: chance
+            if not first:  # else the first call after the start falls silent
+                w.discovery.say(42, [])
+            await until(lambda: len(w.discovery.targets) == 4 - first)
+            fell_silent, again, third = w.discovery.called_at[-3:]
+            assert again - fell_silent <= SILENT_WATCH_GRACE_S - 2.0  # time for the service's queue
+            assert third - fell_silent <= SILENT_WATCH_GRACE_S
+            w.discovery.say(43, [w.servers[0].entry(status="leaving")])
+            await until(lambda: not w.sidecar._engine.balancer.ready_servers)
+
+    on_virtual_clock(scene())
+
+
+@pytest.mark.parametrize("mode", ["on_request", "pushed"])
+@pytest.mark.parametrize("failures", [1, 4])
+def test_watch_silent_after_failures_is_restarted_as_early(
+    on_virtual_clock: RunScene, mode: str, failures: int
+) -> None:
+    async def scene() -> None:
+        async with world(served, drained=True, discovery=mode) as w:
+            w.sidecar._discovery._state.random_fraction = lambda: 0.999
+            await fail_discovery_calls(w, failures)
+            fell_silent = w.discovery.called_at[-1]
+            await until(lambda: len(w.discovery.targets) == failures + 3)
+            again, third = w.discovery.called_at[-2:]
+            assert again - fell_silent <= SILENT_WATCH_GRACE_S - 2.0
+            assert third - fell_silent <= SILENT_WATCH_GRACE_S
+            w.discovery.say(43, [w.servers[0].entry(status="leaving")])
+            await until(lambda: not w.sidecar._engine.balancer.ready_servers)
+
+    on_virtual_clock(scene())
+
+
+@pytest.mark.parametrize("silent_calls", [1, 2])
+@pytest.mark.parametrize("failures", [0, 4])
+def test_silence_after_a_reload_leaves_time_to_receive_the_list(
+    on_virtual_clock: RunScene, silent_calls: int, failures: int
+) -> None:
+    async def scene() -> None:
+        async with world(served, served, drained=True) as w:
+            await fail_discovery_calls(w, failures)  # at the old place: they say nothing of the new one
+            moved = FakeDiscovery()
+            await moved.start()
+            began = asyncio.get_running_loop().time()
+            w.move_discovery(moved.address)
+            await until(lambda: len(moved.targets) == silent_calls + 1)
+            assert set(moved.targets) == {"/registry/instances"}  # nothing is known there yet
+            assert moved.called_at[-1] - began <= RELOAD_GRACE_S + DRAIN_GRACE_S - 0.3
+            moved.say(7, [w.servers[1].entry()], snapshot=True)
+            await until(lambda: "s-0" not in w.sidecar._engine.balancer.servers)
+            await moved.end()
+
+    on_virtual_clock(scene())
+
+
+@pytest.mark.parametrize("mode", ["on_request", "pushed"])
+@pytest.mark.parametrize("where", ["reading", "hearing"])
+def test_watch_ended_by_an_exception_is_restarted(
+    on_virtual_clock: RunScene, mode: str, where: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async def scene() -> None:
+        failed: list[bool] = []
+
+        def fails(*_: object) -> None:
+            failed.append(True)
+            raise ZeroDivisionError
+
+        async with world(served, drained=True, discovery=mode) as w:
+            await until(lambda: w.discovery.targets)
+            whose: object = source_connection if where == "reading" else w.sidecar._endpoint_updates
+            what = "parse_response" if where == "reading" else "apply"
+            real = getattr(whose, what)
+            monkeypatch.setattr(whose, what, fails)
+            for _ in range(1 + (where == "reading")):  # the call under way reads as it was begun
+                w.discovery.say(42, [])
+            await until(lambda: failed)
+            monkeypatch.setattr(whose, what, real)
+            seen = len(w.discovery.targets)
+            w.discovery.say(43, [w.servers[0].entry(status="leaving")], snapshot=True)
+            await until(lambda: not w.sidecar._engine.balancer.ready_servers)
+            if where == "hearing":  # half of it may have been taken
+                assert w.discovery.targets[seen] == "/registry/instances"
+
+    on_virtual_clock(scene())
+
+
+def test_watch_restarts_by_itself_where_its_end_is_not_handled(on_virtual_clock: RunScene) -> None:
+    async def scene() -> None:
+        service = FakeDiscovery()
+        await service.start()
+        watching = DiscoveryClient([service.address], 1, lambda _: None, restart_after_s=7.0)
+        watching.set_watching(True)
+        service.answers.put_nowait(answer(503, b""))
+        await until(lambda: len(service.targets) == 2)
+        assert service.called_at[1] - service.called_at[0] == pytest.approx(7.0, abs=0.1)
+        await watching.close()
+        watching.set_watching(True)  # after the end nothing is begun
+        assert not watching.is_watching
+        await service.end()
+
+    on_virtual_clock(scene())
+
+
+def test_responses_to_calls_before_a_move_there_and_back_are_ignored(on_virtual_clock: RunScene) -> None:
+    async def scene() -> None:
+        old, other = FakeDiscovery(), FakeDiscovery()
+        await old.start()
+        await other.start()
+        heard: list[WatchEvent] = []
+        asked = DiscoveryClient([old.address], 1, heard.append)
+        asked.fetch()
+        asked.fetch()
+        await until(lambda: len(old.targets) == 2)
+        asked.replace_sources([other.address])
+        asked.replace_sources([old.address])
+        await until(lambda: len(old.targets) == 3)
+        old.answers.put_nowait(answer(503, b""))
+        old.say(7, [], snapshot=True)
+        await until(lambda: not asked.is_fetching)
+        assert heard == []
+        assert asked.status().index is None
+        old.say(8, [], snapshot=True)
+        await until(lambda: [each.version for each in heard if isinstance(each, ListUpdate)] == [8])
+        await asked.close()
+        await old.end()
+        await other.end()
+
+    on_virtual_clock(scene())
+
+
+def test_backoff_restarts_at_a_new_discovery_address(
+    on_virtual_clock: RunScene,
+) -> None:
+    async def scene() -> None:
+        async with world(served, served, drained=True) as w:
+            await fail_discovery_calls(w, 6)
+            moved = FakeDiscovery()
+            await moved.start()
+            began = asyncio.get_running_loop().time()
+            w.move_discovery(moved.address)
+            for _ in range(2):
+                moved.answers.put_nowait(answer(503, b""))
+            await until(lambda: len(moved.targets) == 3)
+            assert moved.called_at[-1] - began <= 1.5  # 0.5 s and 1 s at most, as at the first failures
+            moved.say(7, [w.servers[1].entry()], snapshot=True)
+            await until(lambda: "s-0" not in w.sidecar._engine.balancer.servers)
+            w.move_discovery(moved.address)  # where it is already: nothing begins anew
+            assert w.sidecar._discovery.source_generation == 1
+            await moved.end()
+
+    on_virtual_clock(scene())
+
+
+def test_late_failure_of_the_old_address_does_not_count_for_the_new_one(on_virtual_clock: RunScene) -> None:
+    async def scene() -> None:
+        async with world(served, drained=True) as w:
+            await until(lambda: w.discovery.targets)
+            moved = FakeDiscovery()
+            await moved.start()
+            w.sidecar._discovery._notify_failure_soon(timed_out=True)  # it is told in the next turn
+            w.move_discovery(moved.address)
+            await until(lambda: moved.targets)
+            schedule = w.sidecar._engine.balancer.discovery
+            assert schedule.failed_calls == schedule.unanswered_watches == 0
+            await moved.end()
+
+    on_virtual_clock(scene())
+
+
+def test_endpoint_list_older_than_the_requested_version_is_ignored(on_virtual_clock: RunScene) -> None:
+    async def scene() -> None:
+        async with world(served, served, drained=True) as w:
+            gone, stays = w.servers
+            w.discovery.say(43, [gone.entry(status="leaving")])
+            await until(lambda: len(w.sidecar._engine.balancer.ready_servers) == 1)
+            w.discovery.say(42, [gone.entry()])  # an older version of the service's list, late
+            await until(lambda: w.discovery.targets[-1] == "/registry/instances")
+            assert len(w.sidecar._engine.balancer.ready_servers) == 1
+            w.discovery.say(3, [stays.entry()], snapshot=True)  # it counts anew: the whole list is right
+            await until(lambda: w.discovery.targets[-1].startswith("/registry/instances?after=3&"))
+            assert [each.name for each in w.sidecar._engine.balancer.ready_servers] == [stays.name]
+
+    on_virtual_clock(scene())
+
+
+def test_reload_during_or_after_the_shutdown_keeps_nothing_running(on_virtual_clock: RunScene) -> None:
+    async def scene() -> None:
+        moved = FakeDiscovery()
+        await moved.start()
+        async with world(hung, drained=True) as w:
+            asking = asyncio.create_task(w.ask(kind="pay", body=b"x", budget="1.0"))
+            await until(w.sent)
+            w.stop.set()
+            w.move_discovery(moved.address)
+            await until(lambda: moved.targets)
+            assert (await asking)[0] == 500
+        w.move_discovery(("127.0.0.1", 9))
+        assert not w.sidecar._discovery.is_watching
+        await moved.end()
+
+    on_virtual_clock(scene())
--- /dev/null
+++ b/tests/downstream/test_client_disconnects.py
@@ -0,0 +1,253 @@
+"""Clients that disconnect: nothing is forwarded for them, and what was in flight ends at once."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from typing import Any
+
+import pytest
+
+from loopback import (
+    answer,
+    deaf,
+    request,
+    until,
+    world,
+)
+from sidecar_balancer.policy.types import ServerState
+from sidecar_balancer.upstream import dialing, endpoint_pool
+from timed_scenes import (
+    DISCONNECT_GRACE_S,
+    DISCONNECT_KINDS,
+    PIPELINED_INPUT,
+    RawClient,
+    hung,
+    nothing_in_flight,
+    served,
+    wait_until_nothing_in_flight,
+    world_with_unreading_server,
+)
+from virtual import RunScene, stall
+
+
+@pytest.mark.parametrize("how", DISCONNECT_KINDS)
+@pytest.mark.parametrize("kind", ["look", "pay"])
+def test_request_read_together_with_its_clients_close_is_not_forwarded(
+    on_virtual_clock: RunScene, how: str, kind: str
+) -> None:
+    async def scene() -> None:
+        async with world(served, served, drained=True) as w:
+            assert (await w.ask())[0] == 200  # a connection to a server is there
+            client = RawClient(w)
+            client.send(request(kind, body=b"" if kind == "look" else b"x"))
+            client.leave(how)
+            stall(1.0)  # the sidecar stands still, or leaves it in the queue of connections
+            await until(lambda: len(w.sidecar.frontend.connections) == 1)
+            await until(lambda: not w.sidecar.frontend.connections)
+            assert len(w.sent()) == 1
+            assert nothing_in_flight(w)()
+            client.sock.close()
+
+    on_virtual_clock(scene())
+
+
+@pytest.mark.parametrize("how", DISCONNECT_KINDS)
+def test_dial_ends_at_once_when_its_client_disconnects(on_virtual_clock: RunScene, how: str) -> None:
+    async def scene() -> None:
+        limits = {"max_attempts": 3, "may_cancel": False, "dial_timeout_us": 600_000_000}
+        with deaf() as address:
+            async with world(served, drained=True, limits=limits) as w:
+                w.sidecar._endpoint_pool.update("s-0", address, None, ServerState.READY)
+                client = RawClient(w)
+                client.send(request("pay", body=b"x", budget="1.9"))
+                await until(lambda: w.sidecar._endpoint_pool.open_count == 1)
+                client.leave(how)
+                await wait_until_nothing_in_flight(w)
+                assert w.sidecar._endpoint_pool.open_count == 0
+                client.sock.close()
+
+    on_virtual_clock(scene())
+
+
+@pytest.mark.parametrize("how", DISCONNECT_KINDS)
+def test_nothing_is_written_where_the_client_left_unnoticed_during_the_dial(
+    on_virtual_clock: RunScene, how: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async def scene() -> None:
+        up, real = asyncio.Event(), dialing.connect
+
+        async def late(*given: Any) -> Any:
+            connection = await real(*given)
+            await up.wait()
+            return connection
+
+        async with world(served, served, drained=True) as w:
+            monkeypatch.setattr(endpoint_pool, "connect", late)
+            client = RawClient(w)
+            client.send(request())
+            await until(lambda: w.sidecar._endpoint_pool.open_count == 1)
+            (connection,) = w.sidecar.frontend.connections
+            assert connection._transport is not None
+            connection._transport.pause_reading()  # nothing but the dial's end can see it leave
+            client.leave(how)
+            up.set()
+            await wait_until_nothing_in_flight(w)
+            assert not w.sent()
+            client.sock.close()
+
+    on_virtual_clock(scene())
+
+
+@pytest.mark.parametrize("how", DISCONNECT_KINDS)
+@pytest.mark.parametrize("ahead", [b"", PIPELINED_INPUT])
+@pytest.mark.parametrize("end", [answer(503, b"", X_Rejected="1"), answer(500, b"")])
+def test_attempt_that_fails_as_its_client_disconnects_is_not_retried(
+    on_virtual_clock: RunScene, how: str, ahead: bytes, end: bytes
+) -> None:
+    async def scene() -> None:
+        async with world(hung, hung, drained=True) as w:
+            client = RawClient(w)
+            client.send(request())
+            await until(w.sent)
+            client.send(ahead)
+            await asyncio.sleep(0.05)
+            (there,) = [each for each in w.servers if each.requests]
+            there.writers[-1].write(end)  # it comes first, and its client's leaving right behind
+            client.leave(how)
+            await wait_until_nothing_in_flight(w)
+            assert len(w.sent()) == 1
+            client.sock.close()
+
+    on_virtual_clock(scene())
+
+
+@pytest.mark.parametrize("how", DISCONNECT_KINDS)
+@pytest.mark.parametrize("may_cancel", [True, False])
+def test_client_that_disconnects_while_it_is_not_read_is_noticed_in_time(
+    on_virtual_clock: RunScene, how: str, may_cancel: bool
+) -> None:
+    async def scene() -> None:
+        limits = {"max_attempts": 3, "may_cancel": may_cancel}
+        async with world(hung, hung, drained=True, limits=limits) as w:
+            client = RawClient(w)
+            client.send(request("pay", body=b"x") + PIPELINED_INPUT)
+            await until(w.sent)
+            await asyncio.sleep(0.25)
+            client.leave(how)
+            began = asyncio.get_running_loop().time()
+            await until(lambda: not w.sidecar.proxy.by_client_request)
+            assert asyncio.get_running_loop().time() - began < DISCONNECT_GRACE_S
+            (there,) = [each for each in w.servers if each.requests]
+            if may_cancel:
+                await until(lambda: there.closed == 1)
+            else:  # what is whole at a server stays there, and is not repeated
+                there.writers[-1].write(answer(503, b"", X_Rejected="1"))
+            await until(nothing_in_flight(w))
+            assert len(w.sent()) == 1
+            client.sock.close()
+
+    on_virtual_clock(scene())
+
+
+@pytest.mark.parametrize(
+    ("how", "behind"), [("close", 0), ("half-close", 0), ("reset", 0), ("reset", 9_000_000)]
+)
+def test_paused_upload_ends_when_its_client_disconnects(
+    on_virtual_clock: RunScene, how: str, behind: int
+) -> None:
+    async def scene() -> None:
+        async with world_with_unreading_server() as (w, server):
+            client = RawClient(w)
+            client.send(request("pay", Content_Length="30000000"))
+            await until(lambda: w.sidecar.frontend.connections)
+            connection = next(iter(w.sidecar.frontend.connections))
+            while not connection._reading_paused:
+                client.send_some(bytes(65_536))
+                await asyncio.sleep(0)
+            client.send_some(bytes(behind))
+            client.leave(how)
+            await wait_until_nothing_in_flight(w)
+            server.go_on.set()
+            await until(lambda: server.ended)
+            client.sock.close()
+
+    on_virtual_clock(scene())
+
+
+def test_upload_behind_a_full_buffer_is_not_completed_after_its_client_left(
+    on_virtual_clock: RunScene,
+) -> None:
+    size = 8_000_000  # more than the kernel holds on the way: nobody can see yet that the client has left
+
+    async def scene() -> None:
+        async with world_with_unreading_server() as (w, server):
+            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+            writer.write(request("pay", Content_Length=str(size)) + bytes(size))
+            await until(lambda: any(each._reading_paused for each in w.sidecar.frontend.connections))
+            writer.close()  # once all is with the kernel
+            server.go_on.set()
+            await until(lambda: server.ended)
+            assert not b"".join(server.came).endswith(bytes(size))
+            await until(nothing_in_flight(w))
+            assert await reader.read() == b""
+
+    on_virtual_clock(scene())
+
+
+@pytest.mark.parametrize("how", DISCONNECT_KINDS)
+def test_upload_whose_end_comes_with_its_clients_close_is_not_completed(
+    on_virtual_clock: RunScene, how: str
+) -> None:
+    async def scene() -> None:
+        async with world_with_unreading_server() as (w, server):
+            server.go_on.set()
+            client = RawClient(w)
+            data = request("pay", body=bytes(100_000))
+            client.send(data[:-1])
+            await until(lambda: server.came)
+            client.send(data[-1:])
+            client.leave(how)
+            await wait_until_nothing_in_flight(w)
+            await until(lambda: server.ended)
+            assert not b"".join(server.came).endswith(bytes(100_000))
+            client.sock.close()
+
+    on_virtual_clock(scene())
+
+
+def test_client_that_sends_too_far_ahead_gets_one_response_and_a_close(
+    on_virtual_clock: RunScene,
+) -> None:
+    async def scene() -> None:
+        async with world(hung, drained=True) as w:
+            client = RawClient(w)
+            client.send(request() + PIPELINED_INPUT)
+            await until(w.sent)
+            await until(lambda: any(each._discarded_bytes for each in w.sidecar.frontend.connections))
+            w.servers[0].writers[-1].write(answer(200, b"served"))
+            await until(nothing_in_flight(w))
+            client.sock.shutdown(socket.SHUT_WR)
+            await until(lambda: not w.sidecar.frontend.connections)
+            got = client.sock.recv(10_000)
+            assert got.startswith(b"HTTP/1.1 200")
+            assert b"Connection: close" in got
+            assert got.endswith(b"served")
+            client.sock.close()
+
+    on_virtual_clock(scene())
+
+
+def test_pipelined_request_is_not_forwarded_after_its_client_left(on_virtual_clock: RunScene) -> None:
+    async def scene() -> None:
+        async with world(hung, hung, drained=True) as w:
+            client = RawClient(w)
+            client.send(request() + request())
+            await until(w.sent)
+            (there,) = [each for each in w.servers if each.requests]
+            there.writers[-1].write(answer(200, b"served"))
+            client.leave("close")
+            await wait_until_nothing_in_flight(w)
+            assert len(w.sent()) == 1
+
+    on_virtual_clock(scene())
--- /dev/null
+++ b/tests/downstream/test_request.py
@@ -0,0 +1,146 @@
+"""Requests that are malformed, ambiguous or unknown to the settings."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from loopback import answer, ask, is_closed, play, read_answer, request, world
+from sidecar_balancer.policy.events import RequestReceived
+from sidecar_balancer.runtime.streams import MAX_REQUEST_BODY_BYTES
+
+
+def served(*_: object) -> bytes:
+    return answer(200, b"served")
+
+
+# Guards servers against what this sidecar could not account for: none of these may be sent on.
+@pytest.mark.parametrize(
+    ("data", "status"),
+    [
+        (b"nonsense\r\n\r\n", 400),
+        (b"GET /api/1 HTTP/1.1\r\nHost: x\r\nContent-Length: many\r\n\r\n", 400),
+        (b"GET /api/1 HTTP/1.1\r\nHost: x\r\nX-Long: " + bytes([97]) * 200_000 + b"\r\n\r\n", 400),
+        (request(X_Call_Id=None), 400),
+        (request(X_Call_Id=""), 400),
+        (request(X_Call_Class=None), 400),
+        (request(X_Budget=None), 400),
+        (request(budget="soon"), 400),
+        (request(budget="nan"), 400),
+        (request(budget="-1"), 400),
+        (request(X_Call_Cost="much"), 400),
+        (request("amend", body=b"x", Idempotency_Key=None), 400),
+        (request("pay", Content_Length=str(MAX_REQUEST_BODY_BYTES + 1)), 413),
+        (request(path="/elsewhere"), 404),
+        (request(path="/apix/1"), 404),
+    ],
+)
+def test_malformed_request_is_rejected_and_never_forwarded(data: bytes, status: int) -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            got, _, _ = await ask(w.sidecar.frontend.address, data)
+            assert got == status
+            assert (await w.ask())[0] == 200  # and the sidecar goes on
+            assert len(w.sent()) == 1
+
+    play(scene())
+
+
+# Guards servers, and what is learned of them: they answer 400 to these, as if they were sick.
+@pytest.mark.parametrize(
+    ("data", "status"),
+    [
+        (request("look2", X_Caller="acme"), 400),
+        (request("", X_Caller="acme"), 400),
+        (request(X_Caller="acme-x"), 400),
+        (request(), 400),
+        (request("pay", X_Caller="acme", method="GET"), 405),
+        (request(X_Caller="acme", method="POST"), 405),
+    ],
+)
+def test_request_unknown_to_the_settings_reaches_neither_balancer_nor_server(
+    data: bytes, status: int
+) -> None:
+    async def scene() -> None:
+        async with world(served, tenants=[{"name": "acme"}]) as w:
+            heard = w.hear()
+            assert (await ask(w.sidecar.frontend.address, data))[0] == status
+            assert not any(isinstance(each, RequestReceived) for each in heard)
+            assert not w.sent()
+            assert (await w.ask(X_Caller="acme"))[0] == 200
+            assert sum(isinstance(each, RequestReceived) for each in heard) == len(w.sent()) == 1
+
+    play(scene())
+
+
+@pytest.mark.parametrize(
+    ("data", "is_kept"),
+    [
+        (request(X_Call_Id=None), True),
+        (b"nonsense\r\n\r\n", False),
+        (request("pay", Content_Length=str(MAX_REQUEST_BODY_BYTES + 1)), False),
+    ],
+)
+def test_connection_is_kept_after_a_rejection_only_if_its_framing_is_intact(
+    data: bytes, is_kept: bool
+) -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+            writer.write(data)
+            assert (await read_answer(reader))[0] in (400, 413)
+            if is_kept:
+                writer.write(request())
+                assert (await read_answer(reader))[0] == 200
+            else:
+                assert await is_closed(reader)
+            writer.close()
+
+    play(scene())
+
+
+INNER = request(path="/api/inner")
+
+
+AMBIGUOUS = {
+    "both framings": request("pay", Content_Length=str(len(INNER) + 5), Transfer_Encoding="chunked"),
+    "chunked before HTTP/1.1": request("pay", Content_Length=None, Transfer_Encoding="chunked").replace(
+        b"HTTP/1.1", b"HTTP/1.0"
+    ),
+}
+
+
+# Guards against a request inside the body of another: by the length it is body, by the chunks a request.
+@pytest.mark.parametrize("head", AMBIGUOUS.values(), ids=AMBIGUOUS)
+def test_nothing_is_read_after_a_head_with_ambiguous_framing(head: bytes) -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+            writer.write(head + b"0\r\n\r\n" + INNER)
+            assert (await read_answer(reader))[0] == 400
+            assert await is_closed(reader)
+            writer.close()
+            assert not w.sent()
+
+    play(scene())
+
+
+def test_remaining_time_is_capped_by_the_deadline_of_the_class() -> None:
+    # Guards the memory: what is kept for a request is kept as long as it claims to have.
+    async def scene() -> None:
+        async with world(served) as w:
+            heard = w.hear()
+            assert (await w.ask(budget="1e9"))[0] == 200
+            assert [each.remaining_us for each in heard if isinstance(each, RequestReceived)] == [2_000_000]
+
+    play(scene())
+
+
+def test_http_1_0_client_without_host_is_served() -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            data = request(Host=None).replace(b"HTTP/1.1", b"HTTP/1.0")
+            assert (await ask(w.sidecar.frontend.address, data))[0] == 200
+
+    play(scene())
--- /dev/null
+++ b/tests/downstream/test_upload_streaming.py
@@ -0,0 +1,217 @@
+"""Long request bodies over loopback: streamed within bounds, and never completed where they break."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import math
+
+import pytest
+
+from loopback import PATIENCE_S, answer, play, request, reset, until, world
+from raw_server import HUGE, LONG, Reader, Writer, chunked, dial, read_chunked, read_head, streaming
+from sidecar_balancer.downstream import client_connection
+from sidecar_balancer.downstream.client_connection import ClientConnection
+from sidecar_balancer.policy.events import AttemptEnded, RequestReceived
+from sidecar_balancer.policy.types import Outcome
+from sidecar_balancer.runtime.streams import MAX_BUFFERED_BODY_BYTES
+
+
+async def served_upload(reader: Reader, writer: Writer) -> None:
+    """Says of each body whether it came whole."""
+    while True:
+        head = await read_head(reader)
+        if "chunked" in head:
+            body = await read_chunked(reader)
+        else:
+            body = await reader.readexactly(int(head.split("content-length: ")[1].split("\r")[0]))
+        writer.write(answer(200, b"whole" if body == LONG else b"not whole"))
+
+
+@pytest.mark.parametrize("form", ["length", "chunks", "small chunks", "expect"])
+def test_long_request_body_arrives_complete_with_every_framing(form: str) -> None:
+    async def scene() -> None:
+        async with streaming(served_upload) as (w, _):
+            heard = w.hear()
+            reader, writer = await dial(w)
+            if "chunks" in form:
+                data = request("pay", Content_Length=None, Transfer_Encoding="chunked")
+                data += chunked(LONG, 300 if "small" in form else 100_000)
+            elif form == "expect":
+                writer.write(request("pay", Content_Length=str(len(LONG)), Expect="100-continue"))
+                assert (await read_head(reader)).startswith("http/1.1 100")
+                data = LONG
+            else:
+                data = request("pay", body=LONG)
+            writer.write(data)
+            assert "200 ok" in await read_head(reader)
+            assert await reader.readexactly(5) == b"whole"
+            assert [each.body_open for each in heard if isinstance(each, RequestReceived)] == [True]
+            writer.write(request("pay", body=LONG))  # the connection goes on
+            assert "200 ok" in await read_head(reader)
+            writer.close()
+
+    play(scene())
+
+
+def test_deadline_starts_with_the_last_byte_of_the_body() -> None:
+    async def scene() -> None:
+        async with streaming(served_upload) as (w, _):
+            reader, writer = await dial(w)
+            data = request("pay", body=LONG)
+            writer.write(data[:-1])
+            await until(
+                lambda: (
+                    w.sidecar.proxy.in_flight
+                    and next(iter(w.sidecar.proxy.in_flight.values())).attempts.get(0)
+                )
+            )
+            live = next(iter(w.sidecar.proxy.in_flight.values()))
+            attempt = live.attempts[0]
+            assert attempt is not None
+            assert attempt.deadline == math.inf
+            assert live.deadline is None
+            assert live.failsafe_timer is None
+            writer.write(data[-1:])
+            assert "200 ok" in await read_head(reader)
+            assert live.deadline is not None
+            assert attempt.deadline < math.inf
+            writer.close()
+
+    play(scene())
+
+
+def test_server_that_does_not_read_pauses_its_client_within_bounded_memory() -> None:
+    go_on = asyncio.Event()
+
+    async def script(reader: Reader, writer: Writer) -> None:
+        await go_on.wait()
+        head = await read_head(reader)
+        assert f"content-length: {HUGE}" in head
+        left = HUGE
+        while left:
+            left -= len(await reader.read(1_000_000))
+        writer.write(answer(200, b"served"))
+        await reader.read()
+
+    async def scene() -> None:
+        async with streaming(script) as (w, _):
+            reader, writer = await dial(w)
+            writer.write(request("pay", Content_Length=str(HUGE)))
+            sending = asyncio.create_task(send(writer, HUGE))
+            await until(lambda: w.sidecar.frontend.connections)
+            connection = next(iter(w.sidecar.frontend.connections))
+            await until(lambda: connection._reading_paused)
+            assert connection._upload is not None
+            assert len(connection._upload._buffer) <= MAX_BUFFERED_BODY_BYTES + 64 * 1024
+            assert not sending.done()
+            go_on.set()
+            assert "200 ok" in await read_head(reader)
+            await sending
+            writer.close()
+
+    play(scene())
+
+
+async def send(writer: Writer, size: int) -> None:
+    for _ in range(size // 65_536):
+        writer.write(bytes(65_536))
+        await writer.drain()
+
+
+def test_request_with_a_consumed_body_is_not_retried() -> None:
+    async def script(reader: Reader, writer: Writer) -> None:
+        await reader.readexactly(200_000)
+        reset(writer)
+
+    async def scene() -> None:
+        async with streaming(script) as (w, server):
+            heard = w.hear()
+            reader, writer = await dial(w)
+            writer.write(request("pay", body=LONG)[:-1])
+            # It never ran: a refusal says so, and it comes while the body is still being sent.
+            assert "503" in await read_head(reader)
+            assert server.connections == 1
+            ended = [each for each in heard if isinstance(each, AttemptEnded)]
+            assert [(each.outcome, each.body_consumed) for each in ended] == [(Outcome.CONNECT_FAILED, True)]
+            writer.close()
+
+    play(scene())
+
+
+def test_server_rejection_during_the_body_rejects_the_request() -> None:
+    async def script(reader: Reader, writer: Writer) -> None:
+        await read_head(reader)
+        writer.write(answer(503, X_Rejected="1"))
+        await reader.read()
+
+    async def scene() -> None:
+        async with streaming(script) as (w, _):
+            reader, writer = await dial(w)
+            writer.write(request("pay", body=LONG)[:-1])
+            assert "503" in await read_head(reader)
+            writer.close()
+
+    play(scene())
+
+
+def test_client_that_disconnects_within_its_body_ends_the_attempt_unexecuted() -> None:
+    came: list[bytes] = []
+
+    async def script(reader: Reader, writer: Writer) -> None:
+        with contextlib.suppress(ConnectionError):
+            came.append(await reader.read(-1))
+
+    async def scene() -> None:
+        async with streaming(script) as (w, _):
+            _, writer = await dial(w)
+            writer.write(request("pay", body=LONG)[:-1])
+            await until(lambda: w.sidecar._endpoint_pool._body_memory.active_streams == 1)
+            writer.close()
+            await until(lambda: not w.sidecar.proxy.in_flight)
+            assert (
+                w.sidecar._endpoint_pool._body_memory.active_streams
+                == w.sidecar._endpoint_pool._body_memory.buffered_bytes
+                == 0
+            )
+
+    play(scene())
+
+
+def test_chunked_body_beyond_the_limit_is_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(client_connection, "MAX_REQUEST_BODY_BYTES", 500_000)
+
+    async def scene() -> None:
+        async with streaming(served_upload) as (w, _):
+            reader, writer = await dial(w)
+            writer.write(request("pay", Content_Length=None, Transfer_Encoding="chunked"))
+            writer.write(chunked(LONG, 100_000))
+            assert "413" in await read_head(reader)
+            assert await asyncio.wait_for(reader.read(), PATIENCE_S) == b"the body is too large\n"
+            writer.close()
+
+    play(scene())
+
+
+def test_body_deadline_allows_a_slow_body_but_no_stall() -> None:
+    async def scene() -> None:
+        async with world(lambda *_: None) as w:
+            _, writer = await dial(w)
+            await until(lambda: w.sidecar.frontend.connections)
+            connection: ClientConnection = next(iter(w.sidecar.frontend.connections))
+            writer.write(request("pay", body=LONG)[:-1])
+            await until(lambda: connection._head is not None)
+            deadline = connection._deadline
+            deadline.awaited_since = 100.0
+            for head_at, came, came_at, due in (
+                (100.0, 0, 100.0, 102.5),  # a head and nothing behind it
+                (102.0, 0, 102.0, 103.5),  # a slow head
+                (102.0, 64_000, 103.0, 105.5),  # the slowest that is owed service, with as much to spare
+                (102.0, 32_000_000, 103.0, 113.0),  # what came fast buys no long silence
+            ):
+                deadline.body_counted_since, deadline.body_bytes = head_at, came
+                deadline.last_input_at = came_at
+                assert deadline.due_at(connection._head is not None) == due
+            writer.close()
+
+    play(scene())
--- /dev/null
+++ b/tests/runtime/test_engine.py
@@ -0,0 +1,93 @@
+"""Events and actions: one time per turn, and an executor for each action."""
+
+from __future__ import annotations
+
+import asyncio
+from pathlib import Path
+from typing import get_args
+
+import pytest
+
+from loopback import answer, play, world
+from sidecar_balancer import policy
+from sidecar_balancer.policy.actions import Action
+from sidecar_balancer.policy.events import ClientDisconnected, Event, RequestReceived
+
+
+def served(*_: object) -> bytes:
+    return answer(200, b"served")
+
+
+def test_events_of_one_event_loop_turn_have_the_same_time(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Guards what the balancer learns: after a stall, it tells by the time what waited meanwhile.
+    async def scene() -> None:
+        async with world(served) as w:
+            times: list[int] = []
+
+            def handle(now: int, event: Event) -> list[Action]:
+                times.append(now)
+                return []
+
+            monkeypatch.setattr(w.sidecar._engine.balancer, "handle", handle)
+            ticks = iter(range(1, 1_000_000))
+            monkeypatch.setattr(w.sidecar._engine.clock, "now", lambda: next(ticks))
+            for _ in range(3):
+                w.sidecar._engine.handle(ClientDisconnected(1))
+            await asyncio.sleep(0)
+            await asyncio.sleep(0)
+            w.sidecar._engine.handle(ClientDisconnected(1))
+            assert times[0] == times[1] == times[2] < times[3]
+
+    play(scene())
+
+
+# Guards against a defect that would kill the process or leave its request without an answer.
+def test_exception_in_the_balancer_fails_only_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            real = w.sidecar._engine.balancer.handle
+
+            def faulty(now: int, event: Event) -> list[Action]:
+                if isinstance(event, RequestReceived) and event.service_class == "pay":
+                    raise ZeroDivisionError
+                return real(now, event)
+
+            monkeypatch.setattr(w.sidecar._engine.balancer, "handle", faulty)
+            assert (await w.ask(kind="pay", body=b"x"))[0] == 500
+            assert (await w.ask())[0] == 200
+            assert not w.sidecar.proxy.in_flight
+
+    play(scene())
+
+
+def test_exception_in_an_executor_fails_only_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            monkeypatch.setattr(w.sidecar._endpoint_pool, "send", None)
+            assert (await w.ask(kind="pay", body=b"x"))[0] == 500
+            monkeypatch.undo()
+            assert (await w.ask())[0] == 200
+            assert not w.sidecar.proxy.in_flight
+
+    play(scene())
+
+
+def test_request_that_the_balancer_ignores_fails_at_its_deadline() -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            w.sidecar._engine.balancer.handle = lambda now, event: []  # type: ignore[method-assign]
+            assert (await w.ask(budget="0.2"))[0] == 500
+
+    play(scene())
+
+
+def test_every_action_of_the_balancer_has_an_executor() -> None:
+    async def scene() -> None:
+        async with world() as w:
+            modules = Path(policy.__path__[0]).glob("*.py")
+            source = "".join(path.read_text() for path in modules if path.name != "actions.py")
+            emitted = {kind for kind in get_args(Action) if f"{kind.__name__}(" in source}
+            assert len(emitted) > 5
+            assert emitted <= set(w.sidecar._engine.executors)
+
+    play(scene())
--- /dev/null
+++ b/tests/runtime/test_shutdown.py
@@ -0,0 +1,149 @@
+"""The graceful shutdown: what is in flight is answered, or visibly broken off."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+
+import pytest
+
+from helpers import SAFE, UNSAFE, S
+from loopback import (
+    answer,
+    assert_nothing_owed,
+    deaf,
+    request,
+    until,
+    world,
+)
+from sidecar_balancer.policy.types import ServerState
+from sidecar_balancer.runtime.streams import STALL_TIMEOUT_S
+from timed_scenes import RawClient, hung, served
+from virtual import RunScene
+
+
+def test_request_in_flight_at_the_last_moment_is_answered_on_the_wire(on_virtual_clock: RunScene) -> None:
+    async def scene() -> None:
+        async with world(hung, classes=[UNSAFE | {"deadline_us": 60 * S}]) as w:
+            client = RawClient(w)
+            client.send(request("pay", body=b"x", budget="50") + b"unread" * 100)
+            await until(w.sent)
+            began = asyncio.get_running_loop().time()
+            w.stop.set()
+            await until(lambda: w.sidecar._timers._is_closed)
+            assert 3.6 <= asyncio.get_running_loop().time() - began < 3.7  # killed it is after 3.7 s
+            got = client.sock.recv(10_000)
+            assert got.startswith(b"HTTP/1.1 500")
+            assert b"Connection: close" in got
+            assert client.sock.recv(1) == b""  # its end, and no reset that would take the answer away
+            assert_nothing_owed(w.sidecar)
+            client.sock.close()
+
+    on_virtual_clock(scene())
+
+
+@pytest.mark.parametrize("version", [b"HTTP/1.0", b"HTTP/1.1"])
+def test_streamed_response_cut_off_by_the_shutdown_is_visibly_broken(
+    on_virtual_clock: RunScene, version: bytes
+) -> None:
+    async def scene() -> None:
+        async with world(hung, classes=[SAFE | {"deadline_us": 1 * S}]) as w:
+            client = RawClient(w)
+            client.send(request(budget="1.0").replace(b"HTTP/1.1", version))
+            await until(w.sent)
+            (live,), (there,) = w.sidecar.proxy.in_flight.values(), w.servers[0].writers
+            there.write(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n")
+            await until(lambda: live.streamed_attempt is not None)
+            await asyncio.sleep(0.1)
+            w.stop.set()
+            await until(lambda: w.sidecar._timers._is_closed)
+            assert_nothing_owed(w.sidecar)
+            got = client.sock.recv(10_000)
+            assert b"part" in got
+            assert not got.endswith(b"0\r\n\r\n")
+            if version == b"HTTP/1.0":  # only the connection's end tells it that an answer is whole
+                with pytest.raises(ConnectionResetError):
+                    client.sock.recv(1)
+            else:
+                assert client.sock.recv(1) == b""
+            client.sock.close()
+
+    on_virtual_clock(scene())
+
+
+def test_stalled_client_of_a_response_delimited_by_its_end_sees_a_reset(
+    on_virtual_clock: RunScene,
+) -> None:
+    piece = b"10000\r\n" + bytes(0x10000) + b"\r\n"
+
+    async def scene() -> None:
+        async with world(hung, drained=True) as w:
+            sock = socket.socket()
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
+            sock.connect(w.sidecar.frontend.address)
+            sock.send(request().replace(b"HTTP/1.1", b"HTTP/1.0"))
+            await until(w.sent)
+            (connection,), (there,) = w.sidecar.frontend.connections, w.servers[0].writers
+            connection._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
+            there.write(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n" + piece * 20)
+            await until(lambda: connection._write_blocked)
+            await asyncio.sleep(STALL_TIMEOUT_S)  # it reads nothing
+            await until(lambda: not w.sidecar.frontend.connections)
+            sock.setblocking(True)
+            with pytest.raises(ConnectionResetError):
+                while sock.recv(65_536):
+                    pass
+            sock.close()
+
+    on_virtual_clock(scene())
+
+
+def test_idle_connections_do_not_delay_the_shutdown(on_virtual_clock: RunScene) -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            used, fresh = RawClient(w), RawClient(w)
+            used.send(request())
+            await until(lambda: len(w.sidecar.frontend.connections) == 2)
+            await until(lambda: len(w.sent()) == 1 and not w.sidecar.proxy.in_flight)
+            began = asyncio.get_running_loop().time()
+            w.stop.set()
+            await until(lambda: w.sidecar._timers._is_closed)
+            assert asyncio.get_running_loop().time() - began < 0.75
+            assert_nothing_owed(w.sidecar)
+            for each in (used, fresh):
+                each.sock.close()
+
+    on_virtual_clock(scene())
+
+
+@pytest.mark.parametrize("at", ["unaccepted", "unbegun", "dialling", "answering", "crossing"])
+def test_request_that_meets_the_drain_is_answered(on_virtual_clock: RunScene, at: str) -> None:
+    async def scene() -> None:
+        async with world(hung if at == "answering" else served, drained=True) as w:
+            with deaf() as address:
+                if at == "dialling":
+                    w.sidecar._endpoint_pool.update("s-0", address, None, ServerState.READY)
+                if at == "unaccepted":
+                    w.sidecar.frontend._acceptor.pause()
+                client = RawClient(w)
+                if at not in ("unaccepted", "unbegun"):
+                    await until(lambda: w.sidecar.frontend.connections)
+                if at == "crossing":
+                    w.stop.set()
+                    await asyncio.sleep(0.64)  # one step before those just opened are closed
+                client.send(request())
+                if at == "dialling":
+                    await until(lambda: w.sidecar._endpoint_pool._dial_tasks)
+                if at == "answering":
+                    await until(w.sent)
+                w.stop.set()
+                if at == "answering":
+                    w.servers[0].writers[-1].write(answer(200, b"served"))
+                await until(lambda: w.sidecar._timers._is_closed)
+                got = client.sock.recv(10_000)
+                status = b"503" if at == "dialling" else b"200"
+                assert got.startswith(b"HTTP/1.1 " + status)
+                assert client.sock.recv(1) == b""
+                client.sock.close()
+
+    on_virtual_clock(scene())
--- /dev/null
+++ b/tests/runtime/test_timeouts.py
@@ -0,0 +1,108 @@
+"""Timeouts, and the settings that each sidecar of a process goes by."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from helpers import SAFE, UNSAFE, S
+from loopback import (
+    answer,
+    deaf,
+    until,
+    world,
+)
+from sidecar_balancer.policy.events import (
+    AttemptEnded,
+    ClientDisconnected,
+)
+from sidecar_balancer.policy.types import Outcome, ServerState
+from timed_scenes import hung, served
+from virtual import RunScene, stall
+
+
+def test_two_sidecars_in_one_process_apply_their_own_settings(on_virtual_clock: RunScene) -> None:
+    other = [UNSAFE | {"name": "look", "deadline_us": 1 * S}, SAFE | {"name": "pay"}]
+    limits = {"max_attempts": 1, "may_hedge": False, "may_cancel": False}
+
+    async def scene() -> None:
+        def fails(*_: object) -> bytes:
+            return answer(500, b"")
+
+        async with (
+            world(fails, served, drained=True) as ours,
+            world(fails, served, drained=True, classes=other, limits=limits, tenants=[]) as theirs,
+        ):
+            for _ in range(6):
+                assert (await ours.ask(kind="look"))[0] == 200  # safe: it goes elsewhere
+                assert (await theirs.ask(kind="look", method="POST", body=b"x"))[0] in (200, 500)
+                assert (await theirs.ask(kind="look"))[0] == 405
+                assert (await ours.ask(kind="pay", method="GET"))[0] == 405
+            assert any(first.startswith("GET") for first, _, _ in ours.sent())
+            assert all(first.startswith("POST") for first, _, _ in theirs.sent())
+            assert len(theirs.sent()) == 6  # not one of them ran twice
+
+    on_virtual_clock(scene())
+
+
+@pytest.mark.parametrize("at", ["dial", "attempt", "request", "backstop"])
+def test_each_timeout_ends_its_operation_and_frees_all_of_it(
+    on_virtual_clock: RunScene, at: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async def scene() -> None:
+        limits = {"max_attempts": 3, "may_cancel": at != "attempt", "dial_timeout_us": 200_000}
+        async with world(hung, hung, drained=True, limits=limits) as w:
+            with deaf() as address:
+                if at == "dial":
+                    for name in ("s-0", "s-1"):
+                        w.sidecar._endpoint_pool.update(name, address, None, ServerState.READY)
+                loop = asyncio.get_running_loop()
+                began, real = loop.time(), w.sidecar._engine.balancer.handle
+                asking = asyncio.create_task(w.ask(kind="pay", body=b"x", budget="1.0"))
+                if at == "backstop":
+                    await until(w.sent)
+                    monkeypatch.setattr(w.sidecar._engine.balancer, "handle", lambda now, event: [])
+                status, _, _ = await asking
+                took = loop.time() - began
+                if at == "dial":
+                    assert status == 503
+                    assert 0.39 < took < 0.5
+                    assert not w.sent()
+                else:
+                    assert status == 500
+                    assert 0.98 <= took < 1.05
+                    assert len(w.sent()) == 1
+                if at == "backstop":
+                    monkeypatch.setattr(w.sidecar._engine.balancer, "handle", real)
+                    for number in list(w.sidecar._engine.balancer.open_requests):
+                        w.sidecar._engine.handle(ClientDisconnected(number))
+                        w.sidecar._engine.handle(
+                            AttemptEnded(number, 0, w.servers[0].name, Outcome.TIMED_OUT, 1, True)
+                        )
+                await until(
+                    lambda: w.sidecar._endpoint_pool.open_count == 0 and not w.sidecar.proxy.in_flight
+                )
+
+    on_virtual_clock(scene())
+
+
+@pytest.mark.parametrize("crossing", ["before", "behind"])
+def test_response_that_comes_with_its_timeout_has_one_outcome(
+    on_virtual_clock: RunScene, crossing: str
+) -> None:
+    async def scene() -> None:
+        async with world(hung, drained=True) as w:
+            asking = asyncio.create_task(w.ask(kind="pay", body=b"x", budget="1.0"))
+            await until(w.sent)
+            if crossing == "before":
+                w.servers[0].writers[0].write(answer(200, b"served"))
+            stall(1.0)  # the answer and all that is due are found together
+            if crossing == "behind":
+                await asyncio.sleep(0)
+                await asyncio.sleep(0)
+                if not w.servers[0].writers[0].is_closing():
+                    w.servers[0].writers[0].write(answer(200, b"served"))
+            assert (await asking)[0] == (200 if crossing == "before" else 500)
+
+    on_virtual_clock(scene())
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -255,14 +255,14 @@
 def assert_nothing_owed(sidecar: Sidecar) -> None:
     """Module, driver and sockets agree that all is over."""
     balancer, upstream = sidecar._engine.balancer, sidecar._endpoint_pool
-    assert not sidecar.proxy.in_flight and not sidecar.proxy.by_client_request
-    assert (
-        not balancer.open_requests
-        and balancer.pending_attempts == 0
-        and balancer.load_tracker.pending_at_ejected == 0
-    )
+    assert not sidecar.proxy.in_flight
+    assert not sidecar.proxy.by_client_request
+    assert not balancer.open_requests
+    assert balancer.pending_attempts == 0
+    assert balancer.load_tracker.pending_at_ejected == 0
     assert [each.in_flight for each in balancer.servers.values() if each.in_flight] == []
-    assert upstream.open_count == 0 and sidecar.frontend.is_empty()
+    assert upstream.open_count == 0
+    assert sidecar.frontend.is_empty()
     assert (sidecar.frontend.body_memory.active_streams, sidecar.frontend.body_memory.buffered_bytes) == (
         0,
         0,
--- /dev/null
+++ b/tests/support/raw_server.py
@@ -0,0 +1,74 @@
+"""A server that handles raw bytes, and readers of HTTP messages with long bodies."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+from collections.abc import AsyncIterator, Awaitable, Callable
+
+from loopback import PATIENCE_S, Listening, World, world
+
+LONG = bytes(range(251)) * 4_000  # about 1 MB, so that misplaced pieces show
+
+
+HUGE = 24 * 1024 * 1024
+
+
+Reader = asyncio.StreamReader
+
+
+Writer = asyncio.StreamWriter
+
+
+Script = Callable[[Reader, Writer], Awaitable[None]]
+
+
+class RawServer(Listening):
+    """A server that handles the bytes of each connection as its script says."""
+
+    def __init__(self, script: Script) -> None:
+        self.script = script
+        self.connections = 0
+
+    async def _serve(self, reader: Reader, writer: Writer) -> None:
+        self.connections += 1
+        with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError, asyncio.CancelledError):
+            await self.script(reader, writer)
+        writer.close()
+
+
+@contextlib.asynccontextmanager
+async def streaming(script: Script, **changes: object) -> AsyncIterator[tuple[World, RawServer]]:
+    """A sidecar whose only server is a raw one."""
+    server = RawServer(script)
+    await server.start()
+    async with world(lambda *_: None, **changes) as w:  # type: ignore[arg-type]
+        endpoint = w.sidecar._endpoint_pool._endpoints["s-0"]
+        endpoint.address = server.address
+        yield w, server
+    server.stop()
+
+
+async def read_head(reader: Reader) -> str:
+    async with asyncio.timeout(PATIENCE_S):
+        return (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").lower()
+
+
+async def read_chunked(reader: Reader) -> bytes:
+    body = b""
+    async with asyncio.timeout(PATIENCE_S):
+        while size := int((await reader.readuntil(b"\r\n")).split(b";")[0], 16):
+            body += await reader.readexactly(size)
+            await reader.readline()
+        while (await reader.readline()).strip():
+            pass
+    return body
+
+
+def chunked(body: bytes, size: int) -> bytes:
+    pieces = [body[at : at + size] for at in range(0, len(body), size)]
+    return b"".join(b"%x;note=1\r\n%b\r\n" % (len(each), each) for each in pieces) + b"0\r\nX-Sum: 1\r\n\r\n"
+
+
+async def dial(w: World) -> tuple[Reader, Writer]:
+    return await asyncio.open_connection(*w.sidecar.frontend.address)
--- /dev/null
+++ b/tests/support/timed_scenes.py
@@ -0,0 +1,124 @@
+"""Scenes on a virtual clock: raw clients, a server that does not read, and checks that nothing is left."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import socket
+import struct
+from collections.abc import AsyncIterator, Callable, Iterator
+from typing import Any
+
+from loopback import (
+    FakeServer,
+    World,
+    answer,
+    until,
+    world,
+)
+
+DISCONNECT_GRACE_S = 0.1  # no attempt begins later than that after its client left
+DISCONNECT_KINDS = ["close", "half-close", "reset"]
+PIPELINED_INPUT = bytes(300_000)  # sent behind a request: more than is read before that is answered
+
+
+@contextlib.contextmanager
+def collect_loop_exceptions() -> Iterator[list[BaseException | None]]:
+    """What callbacks of the event loop raise meanwhile, which would else count as a fault of the scene."""
+    loop, faults = asyncio.get_running_loop(), list[BaseException | None]()
+    before = loop.get_exception_handler()
+    loop.set_exception_handler(lambda _, context: faults.append(context.get("exception")))
+    try:
+        yield faults
+    finally:
+        loop.set_exception_handler(before)
+
+
+def served(*_: object) -> bytes:
+    return answer(200, b"served")
+
+
+def hung(*_: object) -> None:
+    return None
+
+
+async def fail_discovery_calls(w: World, calls: int) -> None:
+    """Let so many calls in a row fail."""
+    await until(lambda: w.discovery.targets)
+    for _ in range(calls):
+        seen = len(w.discovery.targets)
+        w.discovery.answers.put_nowait(answer(503, b""))
+        await until(lambda seen=seen: len(w.discovery.targets) > seen)  # type: ignore[misc]
+
+
+class UnreadingServer(FakeServer):
+    """A server that reads nothing until it is told to, and keeps what comes."""
+
+    def __init__(self) -> None:
+        super().__init__("s-9", hung)
+        self.go_on = asyncio.Event()
+        self.came: list[bytes] = []
+        self.ended = False
+
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self.writers.append(writer)
+        await self.go_on.wait()
+        with contextlib.suppress(ConnectionError):
+            while data := await reader.read(100_000):
+                self.came.append(data)
+        self.ended = True
+
+
+async def read_chunks(reader: asyncio.StreamReader) -> bytes:
+    body = b""
+    while size := int(await reader.readline(), 16):
+        body += (await reader.readexactly(size + 2))[:-2]
+    return body
+
+
+class RawClient:
+    """A client whose every system call happens at once, between two turns of the event loop."""
+
+    def __init__(self, w: World) -> None:
+        self.sock = socket.create_connection(w.sidecar.frontend.address)
+
+    def send(self, data: bytes) -> None:
+        self.sock.sendall(data)
+
+    def send_some(self, data: bytes) -> None:
+        """As much as the kernel takes."""
+        self.sock.setblocking(False)
+        with contextlib.suppress(BlockingIOError):
+            while data:
+                data = data[self.sock.send(data) :]
+
+    def leave(self, how: str) -> None:
+        if how == "half-close":
+            self.sock.shutdown(socket.SHUT_WR)
+            return
+        if how == "reset":
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        self.sock.close()
+
+
+def nothing_in_flight(w: World) -> Callable[[], bool]:
+    return lambda: not w.sidecar.proxy.in_flight and not w.sidecar._engine.balancer.open_requests
+
+
+async def wait_until_nothing_in_flight(w: World) -> None:
+    """What its client left behind is over well before the rule bites."""
+    began = asyncio.get_running_loop().time()
+    await until(nothing_in_flight(w))
+    assert asyncio.get_running_loop().time() - began < DISCONNECT_GRACE_S
+
+
+@contextlib.asynccontextmanager
+async def world_with_unreading_server(**changes: Any) -> AsyncIterator[tuple[World, UnreadingServer]]:
+    """A world with one server, which reads nothing until it is told to."""
+    server = UnreadingServer()
+    await server.start()
+    async with world(drained=True, **changes) as w:
+        w.discovery.say(42, [server.entry()])
+        await until(lambda: w.sidecar._engine.balancer.ready_servers)
+        yield w, server
+    await server.end()
--- /dev/null
+++ b/tests/upstream/test_attempt_outcomes.py
@@ -0,0 +1,215 @@
+"""Attempts over loopback: what is forwarded, what comes back, and what each end proves."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+
+import pytest
+
+from helpers import S
+from loopback import (
+    PATIENCE_S,
+    answer,
+    ask,
+    deaf,
+    play,
+    request,
+    until,
+    world,
+)
+from sidecar_balancer.policy.events import AttemptEnded
+from sidecar_balancer.policy.types import Outcome, ServerState
+
+
+def served(*_: object) -> bytes:
+    return answer(200, b"served")
+
+
+def hung(*_: object) -> None:
+    return None
+
+
+def test_request_and_response_are_forwarded_unchanged() -> None:
+    async def scene() -> None:
+        body = bytes(range(256)) * 16
+        async with world(lambda *_: answer(200, body, Content_Type="x/y")) as w:
+            sent = request("amend", "/api/7f3a?q=1", b"\0body\xff", X_Caller="acme")
+            status, headers, got = await ask(w.sidecar.frontend.address, sent)
+            assert (status, headers["content-type"], got) == (200, "x/y", body)
+            ((first, given, there),) = w.sent()
+            assert first == "POST /api/7f3a?q=1 HTTP/1.1"
+            assert there == b"\0body\xff"
+            assert given["x-call-id"] == "9b1f03aa5c7e2d41"
+            assert given["idempotency-key"] == "5c0f6e1a"
+            assert 0.0 < float(given["x-budget"]) < 5.0
+
+    play(scene())
+
+
+# Guards rule 2: of an unsafe request only these ends prove that it never ran.
+@pytest.mark.parametrize(
+    ("reply", "status", "attempts"),
+    [
+        (answer(503, b"", X_Rejected="1"), 200, 2),
+        (answer(504, b"", X_Rejected="1"), 200, 2),
+        (answer(503, b""), 500, 1),
+        (answer(500, b"", X_Rejected="1"), 500, 1),
+        (b"", 500, 1),
+        (b"HTTP/1.1 200 X\r\nContent-Length: 10\r\nConnection: close\r\n\r\nshort", 500, 1),
+        (b"nonsense\r\n\r\n", 500, 1),
+    ],
+)
+def test_non_idempotent_request_is_retried_only_where_it_was_not_executed(
+    reply: bytes, status: int, attempts: int
+) -> None:
+    async def scene() -> None:
+        replies = [reply]
+
+        def first_so(*_: object) -> bytes:
+            return replies.pop() if replies else answer(200, b"served")
+
+        async with world(first_so, first_so, first_so) as w:
+            got, _, body = await w.ask(kind="pay", body=b"x")
+            assert got == status
+            assert (body == b"served") == (status == 200)
+            assert len(w.sent()) == attempts
+
+    play(scene())
+
+
+UNREADABLE = {
+    "cut short": b"HTTP/1.1 200 X\r\nContent-Length: 10\r\nConnection: close\r\n\r\nshort",
+    "bad chunk": b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\n",
+    "two lengths": b"HTTP/1.1 200 X\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nabcde",
+    "no framing": b"HTTP/1.1 200 X\r\n\r\nabcde",
+    "no HTTP": b"\x88R\xba|\r\n\r\n",
+}
+
+
+@pytest.mark.parametrize(
+    ("reply", "outcome"),
+    [*((reply, Outcome.APPLICATION_ERROR) for reply in UNREADABLE.values()), (b"", Outcome.CONNECTION_LOST)],
+    ids=[*UNREADABLE, "a reset and no answer"],
+)
+def test_unreadable_response_is_an_application_error_and_no_lost_connection(
+    reply: bytes, outcome: Outcome
+) -> None:
+    async def scene() -> None:
+        async with world(lambda *_: reply, limits={"max_attempts": 1}) as w:
+            heard = w.hear()
+            assert (await w.ask(kind="pay", body=b"x"))[0] == 500
+            assert [each.outcome for each in heard if isinstance(each, AttemptEnded)] == [outcome]
+
+    play(scene())
+
+
+@pytest.mark.parametrize("status", [400, 404])
+def test_request_that_a_server_calls_invalid_is_not_retried(status: int) -> None:
+    async def scene() -> None:
+        async with world(*[lambda *_: answer(status)] * 3) as w:
+            assert (await w.ask())[0] == 503
+            assert len(w.sent()) == 1
+
+    play(scene())
+
+
+def test_refused_connection_allows_a_retry_of_a_non_idempotent_request() -> None:
+    async def scene() -> None:
+        async with world(served, served) as w:
+            w.servers[0].stop()
+            for _ in range(3):
+                assert (await w.ask(kind="pay", body=b"x"))[0] == 200
+
+    play(scene())
+
+
+# Guards rule 1: an answer that ends with its connection may have been cut short, so it is never passed on.
+@pytest.mark.parametrize(
+    "cut",
+    [
+        b"HTTP/1.1 200 X\r\n\r\nperhaps all of it",
+        b"HTTP/1.1 200 X\r\nContent-Length: 99\r\n\r\nnot all of it",
+        b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nnot a\r\n",
+    ],
+)
+def test_response_body_that_may_be_incomplete_is_not_forwarded(cut: bytes) -> None:
+    async def scene() -> None:
+        async with world(lambda *_: cut) as w:
+            asking = asyncio.create_task(w.ask(kind="pay", body=b"x"))
+            await until(w.sent)
+            await asyncio.sleep(0)
+            server = w.servers[0]
+            await until(lambda: server.writers)
+            server.writers[0].close()
+            assert (await asking)[0] == 500
+
+    play(scene())
+
+
+def test_hung_server_times_out_with_a_response_and_its_connection_is_closed() -> None:
+    async def scene() -> None:
+        async with world(hung) as w:
+            loop = asyncio.get_running_loop()
+            began = loop.time()
+            status, _, _ = await w.ask(kind="pay", body=b"x", budget="0.6")
+            assert status == 500
+            assert 0.3 < loop.time() - began
+            await until(lambda: w.servers[0].closed == 1)
+            assert len(w.sent()) == 1
+
+    play(scene())
+
+
+def test_attempt_ends_when_its_client_disconnects() -> None:
+    async def scene() -> None:
+        async with world(hung) as w:
+            _, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+            writer.write(request("pay", body=b"x"))
+            await until(w.sent)
+            writer.close()
+            await until(lambda: w.servers[0].closed == 1)
+            assert not w.sidecar.proxy.in_flight  # the late outcome reached the module, and nothing is kept
+
+    play(scene())
+
+
+def test_slow_reader_does_not_delay_other_clients() -> None:
+    async def scene() -> None:
+        async with world(lambda *_: answer(200, bytes(60_000))) as w:
+            slow = socket.socket()
+            slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
+            slow.setblocking(False)
+            await asyncio.get_running_loop().sock_connect(slow, w.sidecar.frontend.address)
+            reader, writer = await asyncio.open_connection(sock=slow, limit=16)
+            writer.write(request() * 50)  # and it reads nothing
+            await until(w.sent)
+            assert len((await w.ask())[2]) == 60_000
+            for _ in range(3):
+                assert (await read_answer_slowly(reader)) == 60_000
+            writer.close()
+
+    play(scene())
+
+
+async def read_answer_slowly(reader: asyncio.StreamReader) -> int:
+    head_bytes = b""
+    while not head_bytes.endswith(b"\r\n\r\n"):
+        head_bytes += await asyncio.wait_for(reader.readexactly(1), PATIENCE_S)
+    return len(await asyncio.wait_for(reader.readexactly(60_000), PATIENCE_S))
+
+
+def test_nothing_is_sent_for_an_ended_request_even_without_cancellation() -> None:
+    # Guards rule 1: a dial that came up after the final answer would still write the request.
+    async def scene() -> None:
+        limits = {"max_attempts": 3, "may_cancel": False, "dial_timeout_us": 600 * S}
+        with deaf() as address:
+            async with world(served, limits=limits) as w:
+                w.sidecar._endpoint_pool.update("s-0", address, None, ServerState.READY)
+                _, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+                writer.write(request("pay", body=b"x", budget="600"))
+                await until(lambda: w.sidecar._endpoint_pool.open_count == 1)
+                writer.close()
+                await until(lambda: not w.sidecar.proxy.in_flight and not w.sidecar._endpoint_pool.open_count)
+
+    play(scene())
--- /dev/null
+++ b/tests/upstream/test_endpoint_pool.py
@@ -0,0 +1,179 @@
+"""The pool of connections: dials, idle connections, and the bound on their number."""
+
+from __future__ import annotations
+
+import asyncio
+
+import h11
+import pytest
+
+from helpers import S
+from loopback import (
+    PATIENCE_S,
+    FakeServer,
+    answer,
+    deaf,
+    play,
+    until,
+    world,
+)
+from sidecar_balancer.policy.types import Outcome, ServerState
+from sidecar_balancer.upstream import endpoint_pool
+from sidecar_balancer.upstream.endpoint_pool import EndpointPool
+from sidecar_balancer.upstream.exchange import Exchange, UpstreamRequest
+from sidecar_balancer.upstream.response import Response
+from virtual import play_on_clock
+
+
+def served(*_: object) -> bytes:
+    return answer(200, b"served")
+
+
+def hung(*_: object) -> None:
+    return None
+
+
+def test_connections_are_reused_after_their_reuse_delay(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            for _ in range(5):
+                assert (await w.ask())[0] == 200
+                await asyncio.sleep(endpoint_pool._REUSE_DELAY_S)
+            assert len(w.servers[0].writers) == 1
+
+    play_on_clock(scene(), monkeypatch)
+
+
+def test_idle_connection_is_closed_before_its_server_would_close_it() -> None:
+    async def scene() -> None:
+        limits = {"max_attempts": 3, "may_cancel": True, "idle_close_us": 1 * S}
+        async with world(served, limits=limits) as w:
+            assert (await w.ask())[0] == 200
+            loop = asyncio.get_running_loop()
+            (timer,) = w.sidecar._endpoint_pool._endpoints["s-0"].idle.values()
+            assert timer.when() - loop.time() < 0.95
+            await until(lambda: w.servers[0].closed == 1)
+
+    play(scene())
+
+
+async def outcome_of(upstream: EndpointPool, seconds: float = 5.0, body: bytes = b"") -> Outcome:
+    loop = asyncio.get_running_loop()
+    ended: asyncio.Future[Outcome] = loop.create_future()
+
+    def end(outcome: Outcome, _: Response | None) -> None:
+        ended.set_result(outcome)  # a second outcome would raise here
+
+    upstream.send("s", order(body), loop.time() + seconds, end)
+    return await asyncio.wait_for(ended, PATIENCE_S)
+
+
+def order(body: bytes = b"") -> UpstreamRequest:
+    return UpstreamRequest(lambda _: head(body), body)
+
+
+def head(body: bytes = b"") -> h11.Request:
+    headers = [("Host", "x"), ("Content-Length", str(len(body)))]
+    return h11.Request(method="POST", target="/", headers=headers)
+
+
+@pytest.mark.parametrize(("dial_limit", "seconds"), [(0.1, 30.0), (30.0, 0.1)])
+def test_dial_ends_at_its_timeout_and_at_the_deadline_of_its_attempt(
+    dial_limit: float, seconds: float
+) -> None:
+    async def scene() -> None:
+        with deaf() as address:
+            upstream = EndpointPool(dial_limit, 60.0, 10)
+            upstream.update("s", address, None, ServerState.READY)
+            assert await outcome_of(upstream, seconds) is Outcome.CONNECT_FAILED
+            await until(lambda: upstream.open_count == 0)
+
+    play(scene())
+
+
+@pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.REMOVED])
+def test_dial_to_a_draining_or_removed_server_is_ended(state: ServerState) -> None:
+    # Guards rule 3: a slow dial would write its request after the grace.
+    async def scene() -> None:
+        with deaf() as address:
+            upstream = EndpointPool(30.0, 60.0, 10)
+            upstream.update("s", address, None, ServerState.READY)
+            sending = asyncio.create_task(outcome_of(upstream))
+            await until(lambda: upstream.open_count == 1)
+            upstream.update("s", address, None, state)
+            assert await sending is Outcome.CONNECT_FAILED
+            await until(lambda: upstream.open_count == 0)
+
+    play(scene())
+
+
+def test_attempt_past_its_deadline_is_never_sent() -> None:
+    async def scene() -> None:
+        upstream = EndpointPool(1.0, 60.0, 10)
+        upstream.update("s", ("127.0.0.1", 1), None, ServerState.READY)
+        assert await outcome_of(upstream, -1.0) is Outcome.UNSENT
+
+    play(scene())
+
+
+def test_cancelled_attempt_has_one_outcome_and_its_connection_is_closed() -> None:
+    async def scene() -> None:
+        server = FakeServer("s", hung)
+        await server.start()
+        upstream = EndpointPool(1.0, 60.0, 10)
+        upstream.update("s", server.address, None, ServerState.READY)
+        outcomes: list[Outcome] = []
+        loop = asyncio.get_running_loop()
+        exchange: Exchange = upstream.send("s", order(), loop.time() + 30, lambda o, _: outcomes.append(o))
+        await until(lambda: server.requests)
+        upstream.cancel(exchange)
+        upstream.cancel(exchange)
+        await until(lambda: server.closed == 1)
+        assert outcomes == [Outcome.CANCELLED]
+        assert upstream.open_count == 0
+        server.stop()
+
+    play(scene())
+
+
+def test_connections_to_the_earlier_process_or_address_of_a_server_are_closed() -> None:
+    async def scene() -> None:
+        server = FakeServer("s", served)
+        await server.start()
+        upstream = EndpointPool(1.0, 60.0, 10)
+        upstream.update("s", server.address, None, ServerState.READY)
+        assert await outcome_of(upstream) is Outcome.DELIVERED
+        upstream.update("s", server.address, 5, ServerState.READY)
+        await until(lambda: server.closed == 1)
+        assert await outcome_of(upstream) is Outcome.DELIVERED
+        assert len(server.writers) == 2
+        other = FakeServer("s", served)
+        await other.start()
+        upstream.update("s", other.address, 5, ServerState.READY)
+        assert await outcome_of(upstream) is Outcome.DELIVERED
+        assert len(other.requests) == 1
+        server.stop()
+        other.stop()
+
+    play(scene())
+
+
+def test_number_of_connections_stays_within_its_bound() -> None:
+    # Guards the descriptors: an idle connection elsewhere makes room, one in use does not.
+    async def scene() -> None:
+        servers = [FakeServer("a", served), FakeServer("s", hung)]
+        upstream = EndpointPool(1.0, 60.0, 1)
+        for each in servers:
+            await each.start()
+            upstream.update(each.name, each.address, None, ServerState.READY)
+        loop = asyncio.get_running_loop()
+        ended: list[Outcome] = []
+        upstream.send("a", order(), loop.time() + 30, lambda o, _: ended.append(o))
+        await until(lambda: ended)
+        upstream.send("s", order(), loop.time() + 30, lambda o, _: ended.append(o))
+        await until(lambda: servers[1].requests)
+        assert await outcome_of(upstream) is Outcome.CONNECT_FAILED
+        for each in servers:
+            each.stop()
+
+    play(scene())
--- /dev/null
+++ b/tests/upstream/test_load_report.py
@@ -0,0 +1,26 @@
+"""Load reports in responses."""
+
+from __future__ import annotations
+
+from loopback import (
+    answer,
+    play,
+    world,
+)
+from sidecar_balancer.upstream.load_report import parse_load_report
+
+
+def test_malformed_load_reports_are_ignored() -> None:
+    columns = ("util", "qps")
+    assert parse_load_report("TEXT util=0.5, qps=7, other=1", columns) == {"util": 0.5, "qps": 7.0}
+    for junk in ("TEXT util=nan", "TEXT util", "BIN xyz", "", "TEXT "):
+        assert parse_load_report(junk, columns) is None
+    assert parse_load_report("TEXT util=inf, qps=3", columns) == {"qps": 3.0}
+    assert parse_load_report("TEXT util=0.5", ()) is None
+
+    async def scene() -> None:
+        report = {"source": "answers", "columns": ["util"]}
+        async with world(lambda *_: answer(200, b"x", X_Load_Report="TEXT util=;;="), report=report) as w:
+            assert (await w.ask())[0] == 200
+
+    play(scene())
--- /dev/null
+++ b/tests/upstream/test_response_streaming.py
@@ -0,0 +1,265 @@
+"""Long responses over loopback: streamed within bounds, and visibly broken where they break."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import socket
+
+import pytest
+
+from loopback import PATIENCE_S, play, request, reset, until
+from raw_server import HUGE, LONG, Reader, Writer, chunked, dial, read_chunked, read_head, streaming
+from sidecar_balancer.policy.events import AttemptEnded, ResponseStarted
+from sidecar_balancer.policy.types import Outcome
+from sidecar_balancer.upstream import server_connection
+
+
+def test_long_response_is_streamed_and_not_ended_by_its_deadline() -> None:
+    more = asyncio.Event()
+
+    async def script(reader: Reader, writer: Writer) -> None:
+        await read_head(reader)
+        writer.write(b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n" % len(LONG) + LONG[:300_000])
+        await more.wait()
+        writer.write(LONG[300_000:])
+        await writer.drain()
+        await reader.read()
+
+    async def scene() -> None:
+        async with streaming(script) as (w, _):
+            heard = w.hear()
+            reader, writer = await dial(w)
+            writer.write(request())
+            assert f"content-length: {len(LONG)}" in await read_head(reader)
+            got = await reader.readexactly(300_000)
+            live = next(iter(w.sidecar.proxy.in_flight.values()))
+            attempt = live.attempts[0]
+            assert attempt is not None
+            assert not attempt.timers
+            assert live.failsafe_timer is not None
+            assert live.failsafe_timer.cancelled()
+            more.set()
+            got += await asyncio.wait_for(reader.readexactly(len(LONG) - 300_000), PATIENCE_S)
+            assert got == LONG
+            await until(lambda: any(isinstance(each, AttemptEnded) for each in heard))
+            assert [each.outcome for each in heard if isinstance(each, AttemptEnded)] == [Outcome.DELIVERED]
+            assert sum(isinstance(each, ResponseStarted) for each in heard) == 1
+            writer.write(request())  # the connection goes on
+            more.clear()
+            await read_head(reader)
+            writer.close()
+
+    play(scene())
+
+
+FORMS = {
+    "chunks": b"Transfer-Encoding: chunked\r\n\r\n" + chunked(LONG, 100_000),
+    "small chunks": b"Transfer-Encoding: chunked\r\n\r\n" + chunked(LONG, 300),
+    "the connection's end": b"Connection: close\r\n\r\n" + LONG,
+    "informational": b"Content-Length: %d\r\n\r\n" % len(LONG) + LONG,
+}
+
+
+@pytest.mark.parametrize("form", FORMS)
+@pytest.mark.parametrize("version", [b"1.1", b"1.0"])
+def test_long_response_arrives_complete_with_every_framing(form: str, version: bytes) -> None:
+    async def script(reader: Reader, writer: Writer) -> None:
+        await read_head(reader)
+        early = b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\n" if form == "informational" else b""
+        writer.write(early + b"HTTP/1.1 200 X\r\n" + FORMS[form])
+        await writer.drain()
+        if "end" not in form:
+            await reader.read()
+
+    async def scene() -> None:
+        async with streaming(script) as (w, _):
+            reader, writer = await dial(w)
+            writer.write(request().replace(b"HTTP/1.1", b"HTTP/" + version))
+            head = await read_head(reader)
+            async with asyncio.timeout(PATIENCE_S):
+                if "chunked" in head:
+                    assert version == b"1.1"
+                    assert await read_chunked(reader) == LONG
+                elif "content-length" in head:
+                    assert await reader.readexactly(len(LONG)) == LONG
+                else:
+                    assert version == b"1.0"
+                    assert await reader.read() == LONG
+            writer.close()
+
+    play(scene())
+
+
+def test_short_response_delimited_by_an_announced_close_is_served() -> None:
+    async def script(reader: Reader, writer: Writer) -> None:
+        await read_head(reader)
+        writer.write(b"HTTP/1.1 200 X\r\nConnection: close\r\n\r\nall of it")
+
+    async def scene() -> None:
+        async with streaming(script) as (w, _):
+            assert (await w.ask())[2] == b"all of it"
+
+    play(scene())
+
+
+def test_client_that_does_not_read_pauses_its_server_within_bounded_memory() -> None:
+    sent = 0
+
+    async def script(reader: Reader, writer: Writer) -> None:
+        nonlocal sent
+        writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 65_536)
+        writer.transport.set_write_buffer_limits(high=0)
+        await read_head(reader)
+        writer.write(b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n" % HUGE)
+        while sent < HUGE:
+            writer.write(bytes(65_536))
+            await writer.drain()
+            sent += 65_536
+        await reader.read()
+
+    async def scene() -> None:
+        async with streaming(script) as (w, _):
+            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address, limit=1_000)
+            writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65_536)
+            writer.write(request())
+            await until(lambda: w.sidecar._endpoint_pool._body_memory.active_streams == 1)
+            server_side = next(iter(w.sidecar.frontend.connections))
+            await until(lambda: server_side._write_blocked)
+            assert server_side._transport is not None
+            assert server_side._transport.get_write_buffer_size() <= 2 * 64 * 1024
+            assert sent < HUGE  # the rest stays where it is
+            got = 0
+            await read_head(reader)
+            async with asyncio.timeout(PATIENCE_S):
+                while got < HUGE:
+                    got += len(await reader.read(1_000_000))
+            await until(lambda: w.sidecar._endpoint_pool._body_memory.active_streams == 0)
+            writer.close()
+
+    play(scene())
+
+
+@pytest.mark.parametrize("form", ["length", "chunks"])
+def test_response_broken_after_its_first_byte_is_visibly_broken_and_not_retried(
+    form: str,
+) -> None:
+    async def script(reader: Reader, writer: Writer) -> None:
+        await read_head(reader)
+        framing = b"Content-Length: 500000" if form == "length" else b"Transfer-Encoding: chunked"
+        body = LONG[:200_000] if form == "length" else b"%x\r\n" % 400_000 + LONG[:200_000]
+        writer.write(b"HTTP/1.1 200 X\r\n" + framing + b"\r\n\r\n" + body)
+        await writer.drain()
+        await broken.wait()
+        reset(writer)
+
+    broken = asyncio.Event()
+
+    async def scene() -> None:
+        async with streaming(script) as (w, server):
+            reader, writer = await dial(w)
+            writer.write(request())
+            await read_head(reader)
+            await reader.readexactly(10_000)
+            broken.set()
+            rest = b""
+            with contextlib.suppress(ConnectionError):
+                async with asyncio.timeout(PATIENCE_S):
+                    rest = await reader.read()
+            assert len(rest) < 490_000
+            assert not rest.endswith(b"0\r\n\r\n")
+            assert server.connections == 1
+            writer.close()
+
+    play(scene())
+
+
+def test_broken_response_to_an_http_1_0_client_ends_in_a_reset() -> None:
+    broken = asyncio.Event()
+
+    async def script(reader: Reader, writer: Writer) -> None:
+        await read_head(reader)
+        writer.write(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n" % 400_000 + LONG[:200_000])
+        await broken.wait()
+        reset(writer)
+
+    async def scene() -> None:
+        async with streaming(script) as (w, _):
+            reader, writer = await dial(w)
+            writer.write(request().replace(b"HTTP/1.1", b"HTTP/1.0"))
+            await read_head(reader)
+            broken.set()
+            with pytest.raises(ConnectionResetError):
+                async with asyncio.timeout(PATIENCE_S):
+                    await reader.read()
+            writer.close()
+
+    play(scene())
+
+
+def test_attempt_ends_when_the_client_of_a_streamed_response_disconnects() -> None:
+    ended = asyncio.Event()
+
+    async def script(reader: Reader, writer: Writer) -> None:
+        await read_head(reader)
+        writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 9000000\r\n\r\n" + LONG)
+        with contextlib.suppress(ConnectionError):
+            await reader.read()
+        ended.set()
+
+    async def scene() -> None:
+        async with streaming(script) as (w, _):
+            reader, writer = await dial(w)
+            writer.write(request())
+            await read_head(reader)
+            writer.close()
+            await asyncio.wait_for(ended.wait(), PATIENCE_S)
+            await until(lambda: not w.sidecar.proxy.in_flight and not w.sidecar.proxy.by_client_request)
+            assert w.sidecar._engine.balancer.pending_attempts == 0
+            assert w.sidecar._endpoint_pool._body_memory.active_streams == 0
+
+    play(scene())
+
+
+def test_beginning_of_a_slow_response_of_unknown_length_is_streamed(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr(server_connection, "_MAX_RESPONSE_BUFFERING_S", 0.05)
+    more = asyncio.Event()
+
+    async def script(reader: Reader, writer: Writer) -> None:
+        await read_head(reader)
+        writer.write(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nbegun\r\n")
+        await more.wait()
+        writer.write(b"5\r\nended\r\n0\r\n\r\n")
+        await reader.read()
+
+    async def scene() -> None:
+        async with streaming(script) as (w, _):
+            reader, writer = await dial(w)
+            writer.write(request())
+            await read_head(reader)
+            more.set()
+            assert await read_chunked(reader) == b"begunended"
+            writer.close()
+
+    play(scene())
+
+
+def test_server_that_stalls_within_a_streamed_response_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(server_connection, "STALL_TIMEOUT_S", 0.05)
+
+    async def script(reader: Reader, writer: Writer) -> None:
+        await read_head(reader)
+        writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 100000\r\n\r\nbegun")
+        await reader.read()
+
+    async def scene() -> None:
+        async with streaming(script) as (w, _):
+            reader, writer = await dial(w)
+            writer.write(request())
+            await read_head(reader)
+            assert await asyncio.wait_for(reader.read(), PATIENCE_S) == b"begun"
+            writer.close()
+
+    play(scene())
--- /dev/null
+++ b/tests/upstream/test_server_connection.py
@@ -0,0 +1,94 @@
+"""One connection to a server: when a request counts as written, and when it may be reused."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+
+import h11
+import pytest
+
+from loopback import (
+    PATIENCE_S,
+    answer,
+    play,
+    reset,
+    until,
+    world,
+)
+from sidecar_balancer.policy.types import Outcome
+from sidecar_balancer.upstream.dialing import connect
+from sidecar_balancer.upstream.response import Response, classify_outcome
+
+
+def served(*_: object) -> bytes:
+    return answer(200, b"served")
+
+
+# Guards against a request that is written to a connection which its server has already ended.
+@pytest.mark.parametrize("how", ["end", "stray"])
+def test_connection_with_an_unread_end_or_stray_bytes_is_not_reused(how: str) -> None:
+    async def scene() -> None:
+        async with world(served) as w:
+            assert (await w.ask(kind="pay", body=b"x"))[0] == 200
+            (connection,) = w.sidecar._endpoint_pool._endpoints["s-0"].idle
+            writer = w.servers[0].writers[0]
+            if how == "end":
+                raw = writer.get_extra_info("socket")
+                raw.shutdown(socket.SHUT_WR)
+            else:
+                writer.write(b"HTTP/1.1 200 X\r\n")
+            # Blocks until the kernel has it, so that the event loop can't have seen it: the peek must.
+            connection.sock.setblocking(True)
+            assert connection.sock.recv(1, socket.MSG_PEEK) is not None
+            connection.sock.setblocking(False)
+            assert not connection.is_idle()
+            assert (await w.ask(kind="pay", body=b"x"))[0] == 200
+            assert len(w.servers[0].writers) == 2
+
+    play(scene())
+
+
+def head(body: bytes = b"") -> h11.Request:
+    headers = [("Host", "x"), ("Content-Length", str(len(body)))]
+    return h11.Request(method="POST", target="/", headers=headers)
+
+
+def test_connection_lost_before_the_last_byte_was_written_counts_as_not_executed() -> None:
+    async def scene() -> None:
+        body = bytes(32 * 1024 * 1024)  # more than the kernel takes: the rest waits in the transport
+        listener = socket.create_server(("127.0.0.1", 0))
+        connection = await connect(listener.getsockname()[:2], 1024)
+        other, _ = listener.accept()
+        ended: asyncio.Future[Response | None] = asyncio.get_running_loop().create_future()
+        connection.request(head(body), body, ended.set_result)
+        assert not connection.written
+        other.close()  # with bytes unread: a reset
+        assert await asyncio.wait_for(ended, PATIENCE_S) is None
+        assert classify_outcome(None, connection.written, connection.response_began) is Outcome.CONNECT_FAILED
+        listener.close()
+
+    play(scene())
+
+
+def test_request_counts_as_written_once_all_of_it_is_with_the_kernel() -> None:
+    async def scene() -> None:
+        body = bytes(32 * 1024 * 1024)
+        listener = socket.create_server(("127.0.0.1", 0))
+        listener.setblocking(False)
+        connection = await connect(listener.getsockname()[:2], 1024)
+        other, _ = listener.accept()
+        reader, writer = await asyncio.open_connection(sock=other, limit=2**26)
+        ended: asyncio.Future[Response | None] = asyncio.get_running_loop().create_future()
+        connection.request(head(body), body, ended.set_result)
+        await reader.readuntil(b"\r\n\r\n")
+        await reader.readexactly(len(body))
+        await until(lambda: connection.written)
+        reset(writer)
+        assert await asyncio.wait_for(ended, PATIENCE_S) is None
+        assert (
+            classify_outcome(None, connection.written, connection.response_began) is Outcome.CONNECTION_LOST
+        )
+        listener.close()
+
+    play(scene())
