--- a/sidecar_balancer/__main__.py
+++ b/sidecar_balancer/__main__.py
@@ -17,7 +17,7 @@
 from sidecar_balancer.config.loading import read_config
 from sidecar_balancer.config.sidecar import SidecarConfig
 from sidecar_balancer.config.values import ConfigurationError
-from sidecar_balancer.downstream import acceptor, client_connection
+from sidecar_balancer.downstream import acceptor, client_connection, response_connection
 from sidecar_balancer.observability.logs import LogRateLimiter, configure_logging
 from sidecar_balancer.runtime.queueing import TimedLoop
 from sidecar_balancer.runtime.sidecar import Sidecar
@@ -70,7 +70,7 @@
         return EXIT_BAD_CONFIGURATION
     limiter = configure_logging(config.logging)
     client_log_limiter = LogRateLimiter(_MAX_CLIENT_LOG_LINES_PER_S, _MAX_CLIENT_LOG_LINES_PER_S)
-    for module in (acceptor, client_connection):
+    for module in (acceptor, client_connection, response_connection):
         module.log.addFilter(client_log_limiter)
     gc.freeze()  # what is loaded by now stays, so collections need not look at it
     try:
--- a/sidecar_balancer/downstream/client_connection.py
+++ b/sidecar_balancer/downstream/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection of the application: its requests, one at a time, and their responses.
+"""One connection of the application, which carries one request at a time.
 
 Each thing ends once: a request by its response or by its client's leaving, a streamed body by its last byte
 or with its request, and the connection so that the client can tell a complete response from a broken one.
@@ -7,35 +7,27 @@
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import logging
 import socket
-import struct
 from typing import Protocol
 
 import h11
 
 from sidecar_balancer.downstream import request_deadline
 from sidecar_balancer.downstream.arrival import ArrivalEstimate
-from sidecar_balancer.downstream.client_transport import ClientTransport
 from sidecar_balancer.downstream.request import (
     ClientRequest,
-    RequestHandler,
     check_framing,
     parse_request,
 )
 from sidecar_balancer.downstream.request_deadline import RequestDeadline
-from sidecar_balancer.policy.settings import Settings
+from sidecar_balancer.downstream.response_connection import ConnectionContext, ResponseConnection
 from sidecar_balancer.runtime.errors import RequestError
-from sidecar_balancer.runtime.headers import Headers, content_length
-from sidecar_balancer.runtime.queueing import PollTimes
+from sidecar_balancer.runtime.headers import content_length
 from sidecar_balancer.runtime.sockets import has_no_unread_input, peer_has_closed
 from sidecar_balancer.runtime.streams import (
     MAX_BUFFERED_BODY_BYTES,
     MAX_REQUEST_BODY_BYTES,
-    BodyMemory,
-    ResponseSink,
-    ResponseSource,
     Upload,
 )
 
@@ -44,32 +36,10 @@
 _READINESS_PATH = b"/health/ready"
 _CLIENT_CHECK_INTERVAL_S = 0.1  # how often a client that is not read is checked for having left
 _UNREAD_INPUT_GRACE_S = 0.05  # enough to read what waited while the event loop was late
-_RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # of SO_LINGER
-_REASON_PHRASES = {
-    200: b"OK",
-    400: b"Bad Request",
-    404: b"Not Found",
-    405: b"Method Not Allowed",
-    408: b"Request Timeout",
-}
 
 
-class ConnectionOwner(Protocol):
-    """What a client connection shares with all others, and who keeps track of it.
-
-    Attributes:
-        body_memory: The memory that bodies count in.
-        draining: Whether each response is the last one of its connection.
-        handler: Who handles the requests.
-        poll_times: When the event loop looked at its sockets.
-        settings: The service classes and tenants.
-    """
-
-    body_memory: BodyMemory
-    draining: bool
-    handler: RequestHandler
-    poll_times: PollTimes
-    settings: Settings
+class ConnectionOwner(ConnectionContext, Protocol):
+    """Keeps track of client connections, and gives them what they share."""
 
     def connection_opened(self, connection: ClientConnection) -> None:
         """Note that the connection is being served."""
@@ -81,7 +51,7 @@
         """Forget the connection."""
 
 
-class ClientConnection(ClientTransport):
+class ClientConnection(ResponseConnection):
     """One connection of the application, which carries one request at a time.
 
     Attributes:
@@ -90,22 +60,15 @@
 
     def __init__(self, owner: ConnectionOwner, sock: socket.socket, established_after: float) -> None:
         """Serve an accepted socket, which was connected after that time on the event loop's clock."""
-        super().__init__(sock, owner.body_memory)
+        super().__init__(sock, owner)
+        self._owner: ConnectionOwner = owner
         self.has_served = False
-        self._owner = owner
         self._port = 0
-        self._h11 = h11.Connection(h11.SERVER)
         self._deadline = RequestDeadline()
         self._arrival = ArrivalEstimate(sock, owner.poll_times, established_after)
-        self._head: h11.Request | None = None  # set from a request's head to its response's end
-        self._request: ClientRequest | None = None  # the request that is owed a response
-        self._upload: Upload | None = None  # set while a streamed body is being received
-        self._upload_bytes = 0  # of that body, from its beginning
-        self._source: ResponseSource | None = None  # set while a response is streamed
-        self._write_blocked = False  # not all that was written has gone to the kernel
+        self._upload_bytes = 0  # of a streamed body, from its beginning
         self._reading_paused = False
         self._client_check_timer: asyncio.TimerHandle | None = None
-        self._discards_input = False  # the client sent too far ahead: only its leaving is of interest
         self._discarded_bytes = 0
 
     # -- The connection
@@ -143,28 +106,6 @@
         )
         return not is_busy and has_no_unread_input(self._sock)
 
-    def abort(self) -> None:
-        """Close at once; what is not written yet never will be.
-
-        Where the client would take the connection's end for its response's, it is a reset.
-        """
-        if self._transport is not None and self._source is not None and self._is_http_1_0():
-            with contextlib.suppress(OSError):
-                self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
-        super().abort()
-
-    def close_gracefully(self) -> None:
-        """Close once what is written has arrived; a streamed response is visibly broken off."""
-        if self._source is not None:
-            self.abort_response()
-        elif self._linger_deadline is None and not self.is_idle():
-            self._linger()
-        elif self._linger_deadline is None:
-            self.close()
-
-    def _is_http_1_0(self) -> bool:
-        return self._h11.their_http_version == b"1.0"
-
     # -- Clients that leave
 
     def check_connected(self) -> None:
@@ -410,103 +351,3 @@
                     extra={"event": "input_behind_request"},
                 )
             self._parse()
-
-    # -- Writing a response
-
-    def respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """Write a complete response at once; the connection goes on if its framing allows."""
-        self._request = None
-        if self._transport is None or self._transport.is_closing():
-            return
-        headers = [*headers, (b"Content-Length", str(len(body)).encode())]
-        try:
-            events: list[h11.Event] = [self._response_head(status, headers), h11.EndOfMessage()]
-            if body:
-                events.insert(1, h11.Data(data=body))
-            data = b"".join(self._h11.send(event) or b"" for event in events)
-        except h11.LocalProtocolError:  # a defect; the client must not wait for ever
-            log.exception("a response can't be written", extra={"event": "response_write_failed"})
-            self.abort()
-            return
-        self._transport.write(data)
-        self._response_written()
-
-    def _response_head(self, status: int, headers: Headers) -> h11.Response:
-        if self._owner.draining or not self._request_was_read():
-            headers.append((b"Connection", b"close"))
-        return h11.Response(status_code=status, headers=headers, reason=_REASON_PHRASES.get(status, b""))
-
-    def _request_was_read(self) -> bool:
-        """Return whether all was read to the request's end, even if the connection is about to end."""
-        return not self._discards_input and self._h11.their_state in (h11.DONE, h11.MUST_CLOSE, h11.CLOSED)
-
-    def _response_written(self) -> None:
-        """Go on to the next request, or to the end of the connection."""
-        self._head = None
-        self._release_body()
-        self._end_upload()
-        if not self._request_was_read():
-            self._linger()
-        elif self._h11.our_state is not h11.DONE:
-            if self._write_blocked:
-                self.close()  # it writes what is left first
-            else:
-                self.close_gracefully()
-        elif not self._write_blocked:
-            asyncio.get_running_loop().call_soon(self._next_request)
-
-    def begin_streaming(
-        self, headers: Headers, length: int | None, source: ResponseSource
-    ) -> ResponseSink | None:
-        """Begin a streamed response with status 200; return None where the client has left."""
-        if self._transport is None or self._transport.is_closing():
-            return None
-        if length is not None:
-            headers = [*headers, (b"Content-Length", str(length).encode())]
-        self._source = source
-        self._transport.write(self._h11.send(self._response_head(200, list(headers))) or b"")
-        return self
-
-    def write_body(self, data: bytes) -> None:
-        """Write a part of the streamed body."""
-        if self._transport is not None and not self._transport.is_closing():
-            self._transport.write(self._h11.send(h11.Data(data=data)) or b"")
-            if self._write_blocked:  # what the server had sent before its pause: no lack of progress
-                self._record_unsent(self._transport.get_write_buffer_size())
-
-    def end_response(self) -> None:
-        """End the complete streamed response."""
-        self._request = self._source = None
-        if self._transport is not None and not self._transport.is_closing():
-            self._transport.write(self._h11.send(h11.EndOfMessage()) or b"")
-            self._response_written()
-
-    def abort_response(self) -> None:
-        """Close short of the streamed response's end, so that the client can tell."""
-        if self._transport is not None and not self._transport.is_closing():
-            if self._is_http_1_0():
-                self.abort()
-            else:
-                self.close()
-        self._request = self._source = None
-
-    def pause_writing(self) -> None:
-        """Pause the response's source, and watch whether the client reads."""
-        self._write_blocked = True
-        if self._transport is not None:
-            self._record_unsent(self._transport.get_write_buffer_size())
-            if self._source is not None:
-                self._source.pause()
-            if self._upload is None:
-                self._start_write_timer()
-
-    def resume_writing(self) -> None:
-        """Go on, as all that was written has gone to the kernel."""
-        self._write_blocked = False
-        self._record_unsent(0)
-        if self._upload is None:
-            self._stop_timer()
-        if self._source is not None:
-            self._source.resume()
-        elif self._request is None:
-            self._next_request()
--- /dev/null
+++ b/sidecar_balancer/downstream/response_connection.py
@@ -0,0 +1,202 @@
+"""The responses on a client's connection, complete or streamed, and the ways that the connection ends."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import logging
+import socket
+import struct
+from typing import Protocol
+
+import h11
+
+from sidecar_balancer.downstream.client_transport import ClientTransport
+from sidecar_balancer.downstream.request import ClientRequest, RequestHandler
+from sidecar_balancer.policy.settings import Settings
+from sidecar_balancer.runtime.headers import Headers
+from sidecar_balancer.runtime.queueing import PollTimes
+from sidecar_balancer.runtime.streams import BodyMemory, ResponseSink, ResponseSource, Upload
+
+log = logging.getLogger(__name__)
+
+_RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # of SO_LINGER
+_REASON_PHRASES = {
+    200: b"OK",
+    400: b"Bad Request",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    408: b"Request Timeout",
+}
+
+
+class ConnectionContext(Protocol):
+    """What a client connection shares with all others.
+
+    Attributes:
+        body_memory: The memory that bodies count in.
+        draining: Whether each response is the last one of its connection.
+        handler: Who handles the requests.
+        poll_times: When the event loop looked at its sockets.
+        settings: The service classes and tenants.
+    """
+
+    body_memory: BodyMemory
+    draining: bool
+    handler: RequestHandler
+    poll_times: PollTimes
+    settings: Settings
+
+
+class ResponseConnection(ClientTransport):
+    """A client's connection as far as responses go; subclasses read the requests."""
+
+    def __init__(self, sock: socket.socket, owner: ConnectionContext) -> None:
+        """Serve an accepted socket."""
+        super().__init__(sock, owner.body_memory)
+        self._owner = owner
+        self._h11 = h11.Connection(h11.SERVER)
+        self._head: h11.Request | None = None  # set from a request's head to its response's end
+        self._request: ClientRequest | None = None  # the request that is owed a response
+        self._upload: Upload | None = None  # set while a streamed body is being received
+        self._source: ResponseSource | None = None  # set while a response is streamed
+        self._write_blocked = False  # not all that was written has gone to the kernel
+        self._discards_input = False  # the client sent too far ahead: only its leaving is of interest
+
+    def is_idle(self) -> bool:
+        """Return whether it may be closed: no request is in flight, begun or waiting unread."""
+        raise NotImplementedError
+
+    def _next_request(self) -> None:
+        """Turn to what came behind the answered request."""
+        raise NotImplementedError
+
+    def _end_upload(self) -> None:
+        """End the streamed body, complete or not."""
+        raise NotImplementedError
+
+    # -- Complete and streamed responses
+
+    def respond(self, status: int, headers: Headers, body: bytes) -> None:
+        """Write a complete response at once; the connection goes on if its framing allows."""
+        self._request = None
+        if self._transport is None or self._transport.is_closing():
+            return
+        headers = [*headers, (b"Content-Length", str(len(body)).encode())]
+        try:
+            events: list[h11.Event] = [self._response_head(status, headers), h11.EndOfMessage()]
+            if body:
+                events.insert(1, h11.Data(data=body))
+            data = b"".join(self._h11.send(event) or b"" for event in events)
+        except h11.LocalProtocolError:  # a defect; the client must not wait for ever
+            log.exception("a response can't be written", extra={"event": "response_write_failed"})
+            self.abort()
+            return
+        self._transport.write(data)
+        self._response_written()
+
+    def _response_head(self, status: int, headers: Headers) -> h11.Response:
+        if self._owner.draining or not self._request_was_read():
+            headers.append((b"Connection", b"close"))
+        return h11.Response(status_code=status, headers=headers, reason=_REASON_PHRASES.get(status, b""))
+
+    def _request_was_read(self) -> bool:
+        """Return whether all was read to the request's end, even if the connection is about to end."""
+        return not self._discards_input and self._h11.their_state in (h11.DONE, h11.MUST_CLOSE, h11.CLOSED)
+
+    def _response_written(self) -> None:
+        """Go on to the next request, or to the end of the connection."""
+        self._head = None
+        self._release_body()
+        self._end_upload()
+        if not self._request_was_read():
+            self._linger()
+        elif self._h11.our_state is not h11.DONE:
+            if self._write_blocked:
+                self.close()  # it writes what is left first
+            else:
+                self.close_gracefully()
+        elif not self._write_blocked:
+            asyncio.get_running_loop().call_soon(self._next_request)
+
+    def begin_streaming(
+        self, headers: Headers, length: int | None, source: ResponseSource
+    ) -> ResponseSink | None:
+        """Begin a streamed response with status 200; return None where the client has left."""
+        if self._transport is None or self._transport.is_closing():
+            return None
+        if length is not None:
+            headers = [*headers, (b"Content-Length", str(length).encode())]
+        self._source = source
+        self._transport.write(self._h11.send(self._response_head(200, list(headers))) or b"")
+        return self
+
+    def write_body(self, data: bytes) -> None:
+        """Write a part of the streamed body."""
+        if self._transport is not None and not self._transport.is_closing():
+            self._transport.write(self._h11.send(h11.Data(data=data)) or b"")
+            if self._write_blocked:  # what the server had sent before its pause: no lack of progress
+                self._record_unsent(self._transport.get_write_buffer_size())
+
+    def end_response(self) -> None:
+        """End the complete streamed response."""
+        self._request = self._source = None
+        if self._transport is not None and not self._transport.is_closing():
+            self._transport.write(self._h11.send(h11.EndOfMessage()) or b"")
+            self._response_written()
+
+    def abort_response(self) -> None:
+        """Close short of the streamed response's end, so that the client can tell."""
+        if self._transport is not None and not self._transport.is_closing():
+            if self._is_http_1_0():
+                self.abort()
+            else:
+                self.close()
+        self._request = self._source = None
+
+    # -- Flow control
+
+    def pause_writing(self) -> None:
+        """Pause the response's source, and watch whether the client reads."""
+        self._write_blocked = True
+        if self._transport is not None:
+            self._record_unsent(self._transport.get_write_buffer_size())
+            if self._source is not None:
+                self._source.pause()
+            if self._upload is None:
+                self._start_write_timer()
+
+    def resume_writing(self) -> None:
+        """Go on, as all that was written has gone to the kernel."""
+        self._write_blocked = False
+        self._record_unsent(0)
+        if self._upload is None:
+            self._stop_timer()
+        if self._source is not None:
+            self._source.resume()
+        elif self._request is None:
+            self._next_request()
+
+    # -- The end of the connection
+
+    def abort(self) -> None:
+        """Close at once; what is not written yet never will be.
+
+        Where the client would take the connection's end for its response's, it is a reset.
+        """
+        if self._transport is not None and self._source is not None and self._is_http_1_0():
+            with contextlib.suppress(OSError):
+                self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
+        super().abort()
+
+    def close_gracefully(self) -> None:
+        """Close once what is written has arrived; a streamed response is visibly broken off."""
+        if self._source is not None:
+            self.abort_response()
+        elif self._linger_deadline is None and not self.is_idle():
+            self._linger()
+        elif self._linger_deadline is None:
+            self.close()
+
+    def _is_http_1_0(self) -> bool:
+        return self._h11.their_http_version == b"1.0"
