--- a/sidecar_balancer/upstream/exchange.py
+++ b/sidecar_balancer/upstream/exchange.py
@@ -11,8 +11,9 @@
 from sidecar_balancer.addresses import Address
 from sidecar_balancer.policy.types import Outcome, ServerState
 from sidecar_balancer.runtime.streams import Upload
+from sidecar_balancer.upstream.request_connection import StartStreaming
 from sidecar_balancer.upstream.response import Response
-from sidecar_balancer.upstream.server_connection import ServerConnection, StartStreaming
+from sidecar_balancer.upstream.server_connection import ServerConnection
 
 _ABORTING_OUTCOMES = (Outcome.TIMED_OUT, Outcome.CANCELLED, Outcome.CONNECT_FAILED, Outcome.UNSENT)
 
--- a/sidecar_balancer/upstream/server_connection.py
+++ b/sidecar_balancer/upstream/server_connection.py
@@ -17,29 +17,23 @@
 from sidecar_balancer.runtime.streams import (
     STALL_TIMEOUT_S,
     BodyMemory,
-    BufferedReceiver,
     ResponseSink,
-    ResponseSource,
-    Upload,
 )
+from sidecar_balancer.upstream.request_connection import RequestConnection
 from sidecar_balancer.upstream.response import Response, is_framed
 
 log = logging.getLogger(__name__)
 
 _MAX_RESPONSE_BUFFERING_S = 0.1  # a response of unknown length that takes longer is streamed
 
-StartStreaming = Callable[[h11.Response, int | None, ResponseSource], ResponseSink | None]
-"""Returns the sink of a long response with this head and length; None where nobody waits for it any more."""
 
-
-class ServerConnection(BufferedReceiver):
+class ServerConnection(RequestConnection):
     """One connection to a server, which carries one request at a time.
 
     Attributes:
         sock: The connection's socket.
         reusable: Whether the connection may carry another request after the one in flight.
         idle_since: When the last response ended, on the event loop's clock.
-        response_began: Whether a byte of the response was received: the process is up.
         on_closed: Called once when the connection is closed, whoever closed it.
     """
 
@@ -49,121 +43,21 @@
         self.sock = sock
         self.reusable = True
         self.idle_since = 0.0
-        self.response_began = False
         self.on_closed: Callable[[], None] | None = None
         self._max_body_bytes = max_body_bytes
-        self._h11 = h11.Connection(h11.CLIENT)
-        self._on_response: Callable[[Response | None], None] | None = None
-        self._written = False
-        self._write_buffer_full = False  # not all that was written has gone to the kernel
-        self._request_count = 0  # the request in flight included
-        self._request_sent_at = 0.0  # on the event loop's clock
-        self._upload: Upload | None = None  # the rest of a long request body
         self._response_head: h11.Response | None = None
         self._announced_length: int | None = None  # of the response's body
-        self._start_streaming: StartStreaming | None = None
         self._sink: ResponseSink | None = None  # set while a response is streamed
         self._unforwarded = bytearray()  # of the streamed response, parsed in this turn of the event loop
         self._sink_paused = False
         self._buffering_timer: asyncio.TimerHandle | None = None
         self._stall_timer: asyncio.TimerHandle | None = None
-        self._progress = 0  # grows with each byte in or out
-
-    @property
-    def written(self) -> bool:
-        """Whether the request's last byte has gone to the kernel."""
-        return self._written
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
-        assert isinstance(transport, asyncio.Transport)
-        self._transport = transport
-        transport.set_write_buffer_limits(high=0)  # resume_writing then means: all is with the kernel
 
     def is_idle(self) -> bool:
         """Return whether another request may be sent: no end or stray byte waits unread either."""
         is_open = self._transport is not None and not self._transport.is_closing()
         return is_open and self.reusable and self._on_response is None and has_no_unread_input(self.sock)
 
-    # -- Writing the request
-
-    def request(
-        self,
-        head: h11.Request,
-        body: bytes,
-        on_response: Callable[[Response | None], None],
-        upload: Upload | None = None,
-        start_streaming: StartStreaming | None = None,
-    ) -> None:
-        """Write a request.
-
-        Args:
-            head: The request's head.
-            body: The body, where it is buffered.
-            on_response: Called once, with the complete response or with None if the exchange broke.
-            upload: The body in place of `body`, where it is streamed.
-            start_streaming: Where a response goes that is too long to be buffered; it is complete without its
-                body then.  None: such a response fails.
-
-        Raises:
-            h11.LocalProtocolError: If the request is no valid HTTP; no byte was written.
-        """
-        assert self._transport is not None
-        data = self._h11.send(head) or b""
-        self._on_response, self._start_streaming = on_response, start_streaming
-        self._written = self.response_began = False
-        self._request_count += 1
-        self._request_sent_at = asyncio.get_running_loop().time()
-        if upload is not None:
-            self._upload = upload
-            self._transport.write(data)
-            self._check_progress()
-            upload.on_data = self._write_upload
-            self._write_upload()
-            return
-        events = [h11.Data(data=body), h11.EndOfMessage()] if body else [h11.EndOfMessage()]
-        data += b"".join(self._h11.send(event) or b"" for event in events)
-        self._transport.write(data)
-        self._update_written()
-
-    def _update_written(self) -> None:
-        # A failed write closes the transport and empties its buffer, with nothing of it sent.
-        assert self._transport is not None
-        self._written = not self._transport.is_closing() and not self._transport.get_write_buffer_size()
-
-    def _write_upload(self) -> None:
-        """Write what has come of a streamed body, while the server reads it."""
-        while self._upload is not None and not self._write_buffer_full and self._transport is not None:
-            if self._transport.is_closing():
-                return
-            if data := self._upload.read():
-                self._progress += len(data)
-                self._transport.write(self._h11.send(h11.Data(data=data)) or b"")
-            elif self._upload.is_complete:
-                self._discard_upload()
-                self._transport.write(self._h11.send(h11.EndOfMessage()) or b"")
-                self._update_written()
-            else:
-                return
-
-    def _discard_upload(self) -> None:
-        upload, self._upload = self._upload, None
-        if upload is not None:
-            upload.discard()
-
-    def pause_writing(self) -> None:
-        """Wait for the server to read."""
-        self._write_buffer_full = True
-
-    def resume_writing(self) -> None:
-        """Note that all that was written has gone to the kernel."""
-        self._write_buffer_full = False
-        self._progress += 1
-        if self._upload is not None:
-            self._write_upload()
-        else:
-            self._written = self._on_response is not None
-
     # -- Reading the response
 
     def data_received(self, data: bytes) -> None:
