--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -10,7 +10,12 @@
 import pytest
 
 from registry import entry
-from sidecar_balancer.discovery.endpoint_list import MAX_LIST_BYTES, ListUpdate, parse_list, read_list
+from sidecar_balancer.discovery.endpoint_list import (
+    MAX_LIST_BYTES,
+    ListUpdate,
+    parse_list,
+    read_list,
+)
 from sidecar_balancer.discovery.errors import MalformedListError
 from sidecar_balancer.policy.types import ServerState
 
