--- a/sidecar_balancer/__main__.py
+++ b/sidecar_balancer/__main__.py
@@ -38,7 +38,7 @@
         # Before clients can connect, so that none is left without an answer.
         loop.add_signal_handler(stop_signal, stop.set)
     sidecar = Sidecar(config)
-    sidecar.operations.log_rate_limiter = limiter
+    sidecar.operations.status.log_rate_limiter = limiter
     loop.add_signal_handler(signal.SIGHUP, reload, sidecar)
     await sidecar.run(stop)
 
--- a/sidecar_balancer/admin/__init__.py
+++ b/sidecar_balancer/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The admin API: its HTTP server, its handlers and the operators' stored overrides."""
+"""The admin API: its server, its calls, the operators' overrides, and a client for the command line."""
--- a/sidecar_balancer/admin/overrides.py
+++ b/sidecar_balancer/admin/overrides.py
@@ -1,70 +1,79 @@
-"""What the operators have ordered, on disk: it outlasts a crash, and both processes of an upgrade share it.
+"""The operators' overrides on disk: they survive a crash, and both processes of an upgrade share them.
 
-One empty file for each excluded server, named by its id, one for each order on a zone, and one for a
-drain.  To make or remove a file is
-atomic, so nothing is ever read half written, and two processes never overwrite each other's orders.
+In the folder, an empty file for each disabled server (`excluded/SERVER`), for each override of a zone
+(`zones/ZONE=OVERRIDE`) and for a drain (`evacuated`).  To create or delete a file is atomic, so no process
+reads a partial override or overwrites that of another.
 """
 
 from __future__ import annotations
 
 import contextlib
-import os
 from pathlib import Path
+from typing import NamedTuple
 from urllib.parse import quote, unquote
 
 
+class StoredOverrides(NamedTuple):
+    """The overrides of servers and of the whole sidecar."""
+
+    disabled_servers: frozenset[str]
+    is_draining: bool
+
+
 class OperatorOverrides:
-    """The folder of orders.  All may raise OSError: then nothing has changed."""
+    """The folder of overrides.  Every method may raise OSError, and then has changed nothing."""
 
     def __init__(self, folder: Path) -> None:
-        self._excluded = folder / "excluded"
-        self._evacuated = folder / "evacuated"
+        self._servers = folder / "excluded"
+        self._drain = folder / "evacuated"
         self._zones = folder / "zones"
 
-    def load(self) -> tuple[frozenset[str], bool]:
-        """The servers left out, and whether the sidecar is to be empty."""
-        try:
-            names = os.listdir(self._excluded)
-        except FileNotFoundError:
-            names = []
-        excluded = frozenset(unquote(name, errors="replace") for name in names)
-        return excluded, self._evacuated.exists()
+    def load(self) -> StoredOverrides:
+        """Read the overrides of servers and of the whole sidecar."""
+        disabled = frozenset(unquote(name, errors="replace") for name in _names(self._servers))
+        return StoredOverrides(disabled, self._drain.exists())
 
     def disable_server(self, server: str) -> None:
-        self._excluded.mkdir(exist_ok=True)
-        (self._excluded / _file_name(server)).touch()
+        """Store that the server gets no requests."""
+        self._servers.mkdir(exist_ok=True)
+        (self._servers / _file_name(server)).touch()
 
     def enable_server(self, server: str) -> None:
+        """Store that the server is used again."""
         with contextlib.suppress(FileNotFoundError):
-            (self._excluded / _file_name(server)).unlink()
+            (self._servers / _file_name(server)).unlink()
 
     def zone_overrides(self) -> dict[str, str]:
-        """What is ordered of zones, by name; a file `NAME=ORDER` each."""
-        try:
-            names = os.listdir(self._zones)
-        except FileNotFoundError:
-            return {}
-        pairs = (name.partition("=") for name in sorted(names))
-        return {unquote(zone, errors="replace"): order for zone, _, order in pairs}
-
-    def set_zone_override(self, zone: str, order: str | None) -> None:
-        """Order something of a zone, in place of any earlier order; None ends it."""
+        """Read the name of each zone's override."""
+        pairs = (name.partition("=") for name in sorted(_names(self._zones)))
+        return {unquote(zone, errors="replace"): override for zone, _, override in pairs}
+
+    def set_zone_override(self, zone: str, override: str | None) -> None:
+        """Store the override of a zone in place of any earlier one; None ends it."""
         self._zones.mkdir(exist_ok=True)
-        kept = f"{_file_name(zone)}={order}" if order is not None else ""
-        if kept:
-            (self._zones / kept).touch()
-        for name in os.listdir(self._zones):
-            if name != kept and name.partition("=")[0] == _file_name(zone):
-                with contextlib.suppress(FileNotFoundError):
-                    (self._zones / name).unlink()
+        current = f"{_file_name(zone)}={override}" if override is not None else ""
+        if current:
+            (self._zones / current).touch()
+        for name in _names(self._zones):
+            if name != current and name.partition("=")[0] == _file_name(zone):
+                (self._zones / name).unlink(missing_ok=True)
 
     def start_drain(self) -> None:
-        self._evacuated.touch()
+        """Store that the whole sidecar is to drain."""
+        self._drain.touch()
 
     def end_drain(self) -> None:
-        self._evacuated.unlink(missing_ok=True)
+        """Store that the sidecar is to accept clients again."""
+        self._drain.unlink(missing_ok=True)
+
+
+def _names(folder: Path) -> list[str]:
+    try:
+        return [path.name for path in folder.iterdir()]
+    except FileNotFoundError:
+        return []
 
 
-def _file_name(server: str) -> str:
-    """A name without slashes, and none of the two that stand for folders."""
-    return quote(server, safe="").replace(".", "%2E")
+def _file_name(name: str) -> str:
+    """Return a file name for any server or zone: without slashes, and neither "." nor ".."."""
+    return quote(name, safe="").replace(".", "%2E")
--- a/sidecar_balancer/admin/server.py
+++ b/sidecar_balancer/admin/server.py
@@ -1,7 +1,7 @@
-"""The operators' door: HTTP/1.1, one call to a connection.  It reads calls and answers; it decides nothing.
+"""The admin server: HTTP/1.1, one call to a connection.  It parses and routes calls and decides nothing.
 
-A call that has come whole is answered in the step of the event loop that finds it: under load each further
-step may take a good part of the second in which an answer is owed, so no tasks and no transports are used.
+A call that has arrived completely is answered in the event loop turn that reads it: under load each further
+turn may take a large part of the second in which a response is due, so no tasks and no transports are used.
 """
 
 from __future__ import annotations
@@ -11,6 +11,7 @@
 import logging
 import socket
 from collections.abc import Callable
+from typing import NamedTuple
 from urllib.parse import unquote
 
 import h11
@@ -19,148 +20,187 @@
 
 log = logging.getLogger(__name__)
 
-CONNECTIONS_MOST = 16  # beyond it the longest unfinished is dropped: those who hold one keep no caller out
-_WHOLE_S = 2.0  # how long a call may take to come
-_LINGER_S = 1.0  # how long an answered connection is read on, so that its answer arrives
-_BODY_MOST = 4096  # of a call: none needs any
-_HEAD_MOST = 16 * 1024
-_PIECE = 16 * 1024
-_PATH = "/api/"
+MAX_CONNECTIONS = 16  # beyond it the oldest is closed, so that idle callers keep nobody out
+_BACKLOG = 8 * MAX_CONNECTIONS
+_REQUEST_TIMEOUT_S = 2.0
+_LINGER_S = 1.0  # how long an answered connection stays open, so that the response is delivered
+_MAX_BODY_BYTES = 4096  # of a request; no call needs a body
+_MAX_HEAD_BYTES = 16 * 1024
+_READ_BYTES = 16 * 1024
+_API_PREFIX = "/api/"
+_TOO_SLOW = "the call did not come in time"
 
 
 class RequestRejectedError(Exception):
-    """The answer to a call is no; the status tells what kind of no."""
+    """A call that is rejected, with the HTTP status and the words of its response."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
 
 
-Operation = Callable[[str], str | None]
-"""What a call does with the id in its path, empty where the call has none;
-raises RequestRejectedError for a no.  What it gives back is the answer's body; None: "yes"."""
+class Route(NamedTuple):
+    """A call of the API.
+
+    The handler takes the name in the path, empty where the call has none, and returns the response's body,
+    None standing for "yes".  It raises RequestRejectedError.
+    """
+
+    method: str
+    handle: Callable[[str], str | None]
+
+
+class Response(NamedTuple):
+    """What a call is answered with."""
+
+    status: int
+    body: str
 
 
 class AdminServer:
-    """Listens for the operators.  `operations` gives method and operation by the call's name; those whose
-    name ends in a slash take an id."""
+    """Listens for operators' calls.
+
+    `routes` has the calls by their path below /api/; a path that ends in a slash takes a name after it.
+    """
 
-    def __init__(self, address: Address, operations: dict[str, tuple[str, Operation]]) -> None:
-        self._operations = operations
-        self._callers: dict[Caller, None] = {}  # the oldest first
-        self._sock = socket.create_server(address, backlog=CONNECTIONS_MOST * 8)
+    def __init__(self, address: Address, routes: dict[str, Route]) -> None:
+        self._routes = routes
+        self._connections: dict[AdminConnection, None] = {}  # the oldest first
+        self._sock = socket.create_server(address, backlog=_BACKLOG)
         self._sock.setblocking(False)
         self.address: Address = self._sock.getsockname()[:2]
 
+    @property
+    def connection_count(self) -> int:
+        """How many connections are open."""
+        return len(self._connections)
+
     def start(self) -> None:
+        """Accept connections from now on."""
         asyncio.get_running_loop().add_reader(self._sock, self._accept)
 
     def stop(self) -> None:
+        """Close the listening socket and all connections."""
         asyncio.get_running_loop().remove_reader(self._sock)
         self._sock.close()
-        for caller in list(self._callers):
-            caller.close()
+        for connection in list(self._connections):
+            connection.close()
 
     def _accept(self) -> None:
-        for _ in range(CONNECTIONS_MOST):
+        for _ in range(MAX_CONNECTIONS):
             try:
                 sock, _ = self._sock.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
-            except OSError as fault:  # descriptors lacking: one is made free, and the next step tries again
-                log.error("the operators' door: %s", fault)
-                if self._callers:
-                    next(iter(self._callers)).close()
+            except OSError as error:  # out of descriptors: one is freed, and the next turn accepts again
+                self._report_accept_failure(error)
+                self._close_oldest()
                 return
-            if len(self._callers) >= CONNECTIONS_MOST:
-                next(iter(self._callers)).close()
-            caller = Caller(sock, self._call, self._callers)
-            self._callers[caller] = None
-            caller.read()  # what is there already is answered in this step
-
-    def _call(self, head: h11.Request) -> tuple[int, str]:
-        """Carry a call out; give status and words of its answer."""
-        method, target = head.method.decode(), head.target.decode("latin-1")
+            if len(self._connections) >= MAX_CONNECTIONS:
+                self._close_oldest()
+            connection = AdminConnection(sock, self._handle, self._connections)
+            self._connections[connection] = None
+            connection.read()  # answers in this turn what has arrived already
+
+    @staticmethod
+    def _report_accept_failure(error: OSError) -> None:
+        log.error("admin server: accept failed: %s", error, extra={"event": "admin_accept_failed"})
+
+    def _close_oldest(self) -> None:
+        if self._connections:
+            next(iter(self._connections)).close()
+
+    def _handle(self, request: h11.Request) -> Response:
+        method, target = request.method.decode(), request.target.decode("latin-1")
         try:
-            name, ident = self._named(target)
-            needed, operation = self._operations[name]
-            if method != needed:
-                raise RequestRejectedError(405, f"{needed} is needed")
-            said = operation(ident)
-        except RequestRejectedError as no:
-            if method != "GET":  # who waits for a start asks many times a second
-                log.info("operators: %s %.100s: no, %s", method, target, no, extra={"event": "operators_no"})
-            return no.status, str(no)
-        except Exception:
-            log.exception("the call %s %.100s failed", method, target)  # a defect; the door goes on
-            return 500, "internal error"
+            route, name = self._route(method, target)
+            body = route.handle(name)
+        except RequestRejectedError as rejection:
+            if method != "GET":  # whoever waits for a start polls many times a second
+                log.info(
+                    "operators: %s %.100s: no, %s",
+                    method,
+                    target,
+                    rejection,
+                    extra={"event": "admin_call_rejected"},
+                )
+            return Response(rejection.status, str(rejection))
+        except Exception:  # a defect; the server goes on
+            log.exception("the call %s %.100s failed", method, target, extra={"event": "admin_call_failed"})
+            return Response(500, "internal error")
         if method != "GET":
-            log.info("operators: %s %.100s: yes", method, target, extra={"event": "operators_yes"})
-        return 200, "yes" if said is None else said
+            log.info("operators: %s %.100s: yes", method, target, extra={"event": "admin_call_accepted"})
+        return Response(200, "yes" if body is None else body)
 
-    def _named(self, target: str) -> tuple[str, str]:
+    def _route(self, method: str, target: str) -> tuple[Route, str]:
+        """Return the route of a call and the name in its path; raises RequestRejectedError."""
         path = target.partition("?")[0]
-        name, slash, ident = path.removeprefix(_PATH).partition("/")
-        if not path.startswith(_PATH) or name + slash not in self._operations or (slash and not ident):
+        call, slash, name = path.removeprefix(_API_PREFIX).partition("/")
+        is_known = path.startswith(_API_PREFIX) and call + slash in self._routes
+        if not is_known or (slash and not name):
             raise RequestRejectedError(404, "no such call")
-        return name + slash, unquote(ident)
+        route = self._routes[call + slash]
+        if method != route.method:
+            raise RequestRejectedError(405, f"{route.method} is needed")
+        return route, unquote(name)
 
 
-class Caller:
-    """One connection to the door."""
+class AdminConnection:
+    """One connection of the admin server, which carries one call."""
 
     def __init__(
         self,
         sock: socket.socket,
-        call: Callable[[h11.Request], tuple[int, str]],
-        callers: dict[Caller, None],
+        handle: Callable[[h11.Request], Response],
+        connections: dict[AdminConnection, None],
     ) -> None:
         loop = asyncio.get_running_loop()
         self._sock = sock
-        self._call = call
-        self._callers = callers
-        self._h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=_HEAD_MOST)
-        self._head: h11.Request | None = None
-        self._body = 0
-        self._answered = False
-        self._due = loop.call_later(_WHOLE_S, self._too_slow)
+        self._handle = handle
+        self._connections = connections
+        self._h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=_MAX_HEAD_BYTES)
+        self._request: h11.Request | None = None
+        self._body_bytes = 0
+        self._has_responded = False
+        self._timeout = loop.call_later(_REQUEST_TIMEOUT_S, self._time_out)
         sock.setblocking(False)
         loop.add_reader(sock, self.read)
 
     def read(self) -> None:
+        """Read what has arrived, and respond once the call is complete."""
         try:
-            data = self._sock.recv(_PIECE)
+            data = self._sock.recv(_READ_BYTES)
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
             self.close()
             return
-        if self._answered:
+        if self._has_responded:
             if not data:
                 self.close()
-            return  # what comes behind the call is dropped
+            return  # anything after the call is discarded
         try:
             self._h11.receive_data(data)
-            self._read_events()
-        except h11.RemoteProtocolError as bad:
-            self._answer(400, str(bad))
-        except RequestRejectedError as no:
-            self._answer(no.status, str(no))
+            self._process_events()
+        except h11.RemoteProtocolError as error:
+            self._respond(Response(400, str(error)))
+        except RequestRejectedError as rejection:
+            self._respond(Response(rejection.status, str(rejection)))
 
-    def _read_events(self) -> None:
+    def _process_events(self) -> None:
         while True:
             event = self._h11.next_event()
             if isinstance(event, h11.Request):
-                self._head = event
+                self._request = event
                 if self._h11.they_are_waiting_for_100_continue:
                     self._send(self._h11.send(h11.InformationalResponse(status_code=100, headers=[])))
             elif isinstance(event, h11.Data):
-                self._body += len(event.data)
-                if self._body > _BODY_MOST:
+                self._body_bytes += len(event.data)
+                if self._body_bytes > _MAX_BODY_BYTES:
                     raise RequestRejectedError(413, "the body is too large")
             elif isinstance(event, h11.EndOfMessage):
-                assert self._head is not None
-                self._answer(*self._call(self._head))
+                assert self._request is not None
+                self._respond(self._handle(self._request))
                 return
             elif isinstance(event, h11.ConnectionClosed):
                 self.close()
@@ -168,33 +208,36 @@
             else:
                 return
 
-    def _too_slow(self) -> None:
-        if self._answered:
+    def _time_out(self) -> None:
+        if self._has_responded:
             self.close()
         else:
-            self._answer(408, "the call did not come in time")
-
-    def _answer(self, status: int, words: str) -> None:
-        """Answer and end our side; closing on unread bytes would reset the answer away."""
-        body = f"{words}\n".encode()
-        length = (b"Content-Length", str(len(body)).encode())
-        headers = [(b"Content-Type", b"text/plain"), length, (b"Connection", b"close")]
-        self._answered = True
-        self._due.cancel()
-        self._due = asyncio.get_running_loop().call_later(_LINGER_S, self.close)
-        for event in (h11.Response(status_code=status, headers=headers), h11.Data(data=body)):
-            self._send(self._h11.send(event))
+            self._respond(Response(408, _TOO_SLOW))
+
+    def _respond(self, response: Response) -> None:
+        """Respond and shut down the sending side; to close on unread bytes would reset the response away."""
+        body = f"{response.body}\n".encode()
+        headers = [
+            (b"Content-Type", b"text/plain"),
+            (b"Content-Length", str(len(body)).encode()),
+            (b"Connection", b"close"),
+        ]
+        self._has_responded = True
+        self._timeout.cancel()
+        self._timeout = asyncio.get_running_loop().call_later(_LINGER_S, self.close)
+        self._send(self._h11.send(h11.Response(status_code=response.status, headers=headers)))
+        self._send(self._h11.send(h11.Data(data=body)))
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_WR)
 
     def _send(self, data: bytes | None) -> None:
-        with contextlib.suppress(
-            OSError
-        ):  # a few bytes, the first of their connection: they fit or it is broken
+        # Few bytes, the first of their connection: they fit the socket's buffer, or the connection is broken.
+        with contextlib.suppress(OSError):
             self._sock.send(data or b"")
 
     def close(self) -> None:
-        self._due.cancel()
-        if self._callers.pop(self, self) is None:
+        """Close the connection; further calls do nothing."""
+        self._timeout.cancel()
+        if self._connections.pop(self, self) is None:
             asyncio.get_running_loop().remove_reader(self._sock)
             self._sock.close()
--- a/sidecar_balancer/relay/app.py
+++ b/sidecar_balancer/relay/app.py
@@ -10,7 +10,7 @@
 import signal
 import sys
 
-from sidecar_balancer.admin.server import AdminServer
+from sidecar_balancer.admin.server import AdminServer, Route
 from sidecar_balancer.discovery.client import DiscoveryClient
 from sidecar_balancer.discovery.endpoint_list import ListUpdate
 from sidecar_balancer.discovery.watch_events import WatchEvent
@@ -44,7 +44,9 @@
         self.service = RelayService(ChangeLog(), config.limits, self._discovery.as_of)
         self._retry: asyncio.TimerHandle | None = None
         self._server: asyncio.Server | None = None
-        self.door = AdminServer(config.mgmt, {"status": ("GET", self._tell_status)}) if config.mgmt else None
+        self.door = (
+            AdminServer(config.mgmt, {"status": Route("GET", self._tell_status)}) if config.mgmt else None
+        )
 
     async def run(self, stop: asyncio.Event) -> None:
         """Serve until `stop`, then end all connections: callers turn to another relay."""
--- a/sidecar_balancer/runtime/sidecar.py
+++ b/sidecar_balancer/runtime/sidecar.py
@@ -9,10 +9,11 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from sidecar_balancer.admin.handlers import EVACUATION_KEPT_S, AdminHandlers
+from sidecar_balancer.admin.drain import IDLE_CLOSE_DELAY_S
+from sidecar_balancer.admin.handlers import AdminHandlers
 from sidecar_balancer.admin.overrides import OperatorOverrides
 from sidecar_balancer.admin.server import AdminServer
-from sidecar_balancer.admin.views import request_rates_per_s, state_summary
+from sidecar_balancer.admin.views import state_summary
 from sidecar_balancer.config.sidecar import SidecarConfig
 from sidecar_balancer.discovery.client import DiscoveryClient
 from sidecar_balancer.discovery.endpoint_list import EndpointList, ListUpdate, parse_list
@@ -128,7 +129,8 @@
         try:
             await self._start(stop)
             await stop.wait()
-            self.operations.accepts_clients, self.operations.is_shutting_down = False, True
+            self.operations.lifecycle.accepts_clients = False
+            self.operations.lifecycle.is_shutting_down = True
             await self._drain()
         finally:
             lag.cancel()
@@ -153,7 +155,7 @@
             await self._first_of(stop, self._listed, _LISTED_S)
         if not stop.is_set():
             self.frontend.start()
-            self.operations.accepts_clients = True
+            self.operations.lifecycle.accepts_clients = True
 
     async def _end(self) -> None:
         """Close what is open and cancel what is planned, whether or not all was answered."""
@@ -187,7 +189,7 @@
         log.info("draining: %d requests held", len(self.proxy.by_call))
         if self._takes_over:  # the next process has the queue: not one more is taken out of it here
             self.frontend.stop(take=False)
-            self.frontend.drain(EVACUATION_KEPT_S)
+            self.frontend.drain(IDLE_CLOSE_DELAY_S)
         else:
             self.frontend.drain()
             await asyncio.sleep(_ACCEPT_S)
@@ -274,7 +276,7 @@
         return {each.name: each.relative_latency for each in sound if each.ejected_until is None}
 
     def _asked(self) -> dict[str, float]:
-        return request_rates_per_s(self._engine.balancer, self._engine.clock.now())
+        return self._engine.balancer.demand_per_s_by_tenant(self._engine.clock.now())
 
     def _plane_bound(self) -> None:
         assert self._link is not None
@@ -282,8 +284,8 @@
             from sidecar_balancer.persistence.persister import resume_membership
 
             resume_membership(self._link.transport, self._kept)
-        self._link.set_disabled_servers(self.operations.disabled_servers)
-        self._timers.every(_ORDERS_EVERY_S, self.operations.apply_disabled_servers)
+        self._link.set_disabled_servers(self.operations.disabled_servers.by_own_overrides)
+        self._timers.every(_ORDERS_EVERY_S, self.operations.disabled_servers.refresh)
 
     def _publish_server_verdict(self, action: PublishServerVerdict) -> None:
         if self._link is not None:
--- a/tests/admin/test_operators.py
+++ b/tests/admin/test_operators.py
@@ -79,13 +79,13 @@
             assert w.sidecar.door is not None
             held = [
                 await asyncio.open_connection(*w.sidecar.door.address)
-                for _ in range(3 * admin.CONNECTIONS_MOST)
+                for _ in range(3 * admin.MAX_CONNECTIONS)
             ]
             for _, writer in held:
                 with contextlib.suppress(ConnectionError):
                     writer.write(b"PUT /api/evac")
             assert await call(w, "GET", "/api/ready") == 200
-            assert len(w.sidecar.door._callers) <= admin.CONNECTIONS_MOST
+            assert w.sidecar.door.connection_count <= admin.MAX_CONNECTIONS
             for _, writer in held:
                 writer.close()
 
@@ -93,7 +93,7 @@
 
 
 def test_a_call_that_does_not_come_in_time_is_ended(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(admin, "_WHOLE_S", 0.05)
+    monkeypatch.setattr(admin, "_REQUEST_TIMEOUT_S", 0.05)
     monkeypatch.setattr(admin, "_LINGER_S", 0.05)
 
     async def scene() -> None:
@@ -103,7 +103,7 @@
             reader, writer = await asyncio.open_connection(*door.address)
             writer.write(b"PUT /api/evac")
             assert (await read_answer(reader))[0] == 408
-            await until(lambda: not door._callers)
+            await until(lambda: not door.connection_count)
             writer.close()
 
     play(scene())
@@ -277,7 +277,7 @@
             assert await health(w) == 503
             assert await call(w, "PUT", "/api/exclude/s-0") == 200  # bans go on during a drain
             w.stop.set()
-            await until(lambda: w.sidecar.operations.is_shutting_down)
+            await until(lambda: w.sidecar.operations.lifecycle.is_shutting_down)
             OperatorOverrides(tmp_path).end_drain()
             w.sidecar.operations.apply_stored_overrides()
             assert w.sidecar.frontend.draining
--- /dev/null
+++ b/tests/admin/test_views.py
@@ -0,0 +1,33 @@
+"""The views of a balancer in the admin API."""
+
+from __future__ import annotations
+
+import pytest
+
+from helpers import Stage
+from sidecar_balancer.admin.views import servers_view
+from sidecar_balancer.policy.types import ServerVerdict
+
+
+@pytest.mark.parametrize(
+    ("verdict", "name"),
+    [
+        (ServerVerdict.EJECTED, "ejected"),
+        (ServerVerdict.SLOW, "slow"),
+        (ServerVerdict.REJECTING, "full"),
+        (ServerVerdict.FAILING, "failing"),
+        (ServerVerdict.CLEARED, "cleared"),
+    ],
+)
+def test_published_verdicts_keep_their_names_in_the_api(verdict: ServerVerdict, name: str) -> None:
+    stage = Stage()
+    stage.servers(["s-1"])
+    stage.balancer.servers["s-1"].published_verdicts["look"] = verdict
+    assert servers_view(stage.balancer, stage.now)["s-1"]["told"] == {"look": name}
+
+
+def test_a_verdict_on_all_classes_is_named_all() -> None:
+    stage = Stage()
+    stage.servers(["s-1"])
+    stage.balancer.servers["s-1"].published_verdicts[""] = ServerVerdict.EJECTED
+    assert servers_view(stage.balancer, stage.now)["s-1"]["told"] == {"all": "ejected"}
--- a/tests/runtime/test_close_range.py
+++ b/tests/runtime/test_close_range.py
@@ -975,14 +975,14 @@
 ) -> None:
     async def scene() -> None:
         async with world(served, drained=True, orders=tmp_path) as w:
-            real, failed = w.sidecar.operations._overrides.load, list[bool]()
+            real, failed = w.sidecar.operations.overrides.load, list[bool]()
 
             def fails() -> Any:
-                monkeypatch.setattr(w.sidecar.operations._overrides, "load", real)
+                monkeypatch.setattr(w.sidecar.operations.overrides, "load", real)
                 failed.append(True)
                 raise ZeroDivisionError
 
-            monkeypatch.setattr(w.sidecar.operations._overrides, "load", fails)
+            monkeypatch.setattr(w.sidecar.operations.overrides, "load", fails)
             with told_to_the_loop() as faults:
                 await until(lambda: failed)
                 await asyncio.sleep(0)
--- a/tests/support/virtual.py
+++ b/tests/support/virtual.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from sidecar_balancer.admin import handlers as operations
+from sidecar_balancer.admin import status_handlers
 from sidecar_balancer.runtime import clock, sidecar
 from sidecar_balancer.runtime.queueing import PollTimes
 
@@ -85,7 +85,7 @@
         time_ns=lambda: round((loop.time() + offset) * 1e9),
         process_time=time.process_time,
     )
-    for module in (clock, operations, sidecar):
+    for module in (clock, status_handlers, sidecar):
         monkeypatch.setattr(module, "time", virtual)
     gc.collect()
     before = descriptors()
