--- a/sidecar_balancer/observability/latency.py
+++ b/sidecar_balancer/observability/latency.py
@@ -1,7 +1,7 @@
-"""How long answers take: HDR histograms by class and by server, of bounded size.
+"""Latency histograms of bounded memory, by class of requests and by server.
 
-Times from 0.1 ms to 60 s; a class's to two significant digits, a server's to one (some 3 KB each).  At most
-`SERVERS_MOST` servers have one: beyond it the one unused longest goes.
+HDR histograms from 0.1 ms to 60 s: of a class to two significant digits, of a server to one (some 3 KB each).
+Beyond `MAX_SERVERS` servers, the one least recently used loses its histogram.
 """
 
 from __future__ import annotations
@@ -11,46 +11,63 @@
 
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-LOWEST_US, HIGHEST_US = 100, 60_000_000
-SERVERS_MOST = 256
-CLASSES_MOST = 64
-QUANTILES = {"p50": 50.0, "p90": 90.0, "p99": 99.0, "p999": 99.9}
+MIN_US = 100
+MAX_US = 60_000_000
+MAX_SERVERS = 256
+MAX_CLASSES = 64
+_CLASS_DIGITS = 2
+_SERVER_DIGITS = 1
+_PERCENTILES = {"p50": 50.0, "p90": 90.0, "p99": 99.0, "p999": 99.9}
+_US_PER_MS = 1_000
 
 
 class LatencyHistograms:
-    """`answered` takes a client's whole wait, by class; `served` what a server took."""
+    """Latencies since the start: what clients waited by class, and what attempts took by server."""
 
     def __init__(self) -> None:
         self._classes: dict[str, Any] = {}
-        self._servers: OrderedDict[str, Any] = OrderedDict()
+        self._servers: OrderedDict[str, Any] = OrderedDict()  # the least recently used first
 
-    def record_response(self, name: str, took_us: int) -> None:
-        histogram = self._classes.get(name)
+    def record_response(self, class_name: str, latency_us: int) -> None:
+        """Record how long a client waited for its response.
+
+        Clients may invent names of classes: beyond `MAX_CLASSES` a new one is not recorded.
+        """
+        histogram = self._classes.get(class_name)
         if histogram is None:
-            if len(self._classes) >= CLASSES_MOST:
-                return  # classes that the settings do not name are the clients' to invent
-            histogram = self._classes[name] = HdrHistogram(LOWEST_US, HIGHEST_US, 2)
-        histogram.record_value(min(max(took_us, LOWEST_US), HIGHEST_US))
+            if len(self._classes) >= MAX_CLASSES:
+                return
+            histogram = self._classes[class_name] = HdrHistogram(MIN_US, MAX_US, _CLASS_DIGITS)
+        histogram.record_value(_clamped(latency_us))
 
-    def record_attempt(self, server: str, took_us: int) -> None:
+    def record_attempt(self, server: str, latency_us: int) -> None:
+        """Record how long an attempt at a server took."""
         histogram = self._servers.get(server)
         if histogram is None:
-            histogram = self._servers[server] = HdrHistogram(LOWEST_US, HIGHEST_US, 1)
-            if len(self._servers) > SERVERS_MOST:
+            histogram = self._servers[server] = HdrHistogram(MIN_US, MAX_US, _SERVER_DIGITS)
+            if len(self._servers) > MAX_SERVERS:
                 self._servers.popitem(last=False)
         else:
             self._servers.move_to_end(server)
-        histogram.record_value(min(max(took_us, LOWEST_US), HIGHEST_US))
+        histogram.record_value(_clamped(latency_us))
 
     def by_class(self) -> dict[str, dict[str, float]]:
-        """By class: `count`, and p50, p90, p99, p999 in ms."""
-        return {name: _told(histogram) for name, histogram in sorted(self._classes.items())}
+        """Return by class `count`, and `p50`, `p90`, `p99` and `p999` in ms."""
+        return {name: _summary(histogram) for name, histogram in sorted(self._classes.items())}
 
     def for_server(self, name: str) -> dict[str, float] | None:
+        """Return the same of a server, None where it has no histogram."""
         histogram = self._servers.get(name)
-        return None if histogram is None else _told(histogram)
+        return None if histogram is None else _summary(histogram)
+
+
+def _clamped(latency_us: int) -> int:
+    return min(max(latency_us, MIN_US), MAX_US)
 
 
-def _told(histogram: Any) -> dict[str, float]:
-    values = {name: histogram.get_value_at_percentile(share) / 1000 for name, share in QUANTILES.items()}
-    return {"count": histogram.get_total_count()} | values
+def _summary(histogram: Any) -> dict[str, float]:
+    latencies_ms = {
+        name: histogram.get_value_at_percentile(percentile) / _US_PER_MS
+        for name, percentile in _PERCENTILES.items()
+    }
+    return {"count": histogram.get_total_count()} | latencies_ms
--- a/sidecar_balancer/observability/logs.py
+++ b/sidecar_balancer/observability/logs.py
@@ -1,26 +1,28 @@
-"""The log on standard error: JSON lines through structlog over stdlib logging, or plain text for a person.
+"""The log on standard error: JSON lines, or plain text for a person, bounded in number.
 
-A JSON line holds `ts` (UTC), `level`, `event` (a name that stays the same from line to line), `subsystem`,
-`msg` (the words) and what the line is about: `request`, `class`, `server`, `took_ms`, `suppressed`, ...
-where it is so. docs/on-call.md lists the events.
+A JSON line has `ts` (UTC), `level`, `event` (a fixed name for each kind of line), `subsystem`, `msg` (the
+text) and the fields of its event, such as `request`, `server` or `took_ms`; docs/on-call.md lists the events.
+A log call gives the event and its fields as `extra`.
 """
 
 from __future__ import annotations
 
 import logging
-import re
 import sys
+from collections import Counter
 from collections.abc import MutableMapping
 from dataclasses import dataclass
 from typing import Any
 
 LEVELS = ("debug", "info", "warning", "error")
 FORMATS = ("json", "plain")
+_PACKAGE_PREFIX = "sidecar_balancer."
+_FIELDS = ("request", "class", "server", "zone", "status", "took_ms", "attempts", "answered", "suppressed")
 
 
 @dataclass(frozen=True, slots=True)
 class LogConfig:
-    """The operators' `logging` object."""
+    """How to log, and how much."""
 
     level: str = "info"
     format: str = ""  # "": plain on a terminal, else JSON
@@ -29,91 +31,87 @@
 
 
 class LogRateLimiter(logging.Filter):
-    """Lets through so many lines a second, and so many of one event; tells later how many it kept back.
+    """Bounds the lines a second, in all and of one event, and reports later how many it suppressed.
 
-    Guards against junk from outside that would fill the log, and against a day on which all goes wrong.
+    It keeps malformed input from outside, or a fault that affects every request, from filling the log.
     """
 
-    def __init__(self, lines: int, repeats: int) -> None:
+    def __init__(self, max_lines_per_s: int, max_repeats_per_s: int) -> None:
         super().__init__()
-        self._lines_most, self._repeats_most = lines, repeats
-        self._second = self._lines = 0
-        self._repeats: dict[str, int] = {}
-        self._kept_back: dict[str, int] = {}
+        self._max_lines_per_s = max_lines_per_s
+        self._max_repeats_per_s = max_repeats_per_s
+        self._second = 0
+        self._lines = 0  # in this second, as the repeats by event
+        self._repeats = Counter[str]()
+        self._unreported = Counter[str]()  # suppressed lines by event
         self.suppressed = 0  # since the start
 
     def filter(self, record: logging.LogRecord) -> bool:
+        """Return whether the record is logged; one that is gets the number suppressed before it."""
         if int(record.created) != self._second:
             self._second, self._lines = int(record.created), 0
             self._repeats.clear()
         event = event_of(record)
         self._lines += 1
-        seen = self._repeats[event] = self._repeats.get(event, 0) + 1
-        if self._lines > self._lines_most or seen > self._repeats_most:
+        self._repeats[event] += 1
+        if self._lines > self._max_lines_per_s or self._repeats[event] > self._max_repeats_per_s:
             self.suppressed += 1
-            self._kept_back[event] = self._kept_back.get(event, 0) + 1
+            self._unreported[event] += 1
             return False
-        if (kept_back := self._kept_back.pop(event, 0)) > 0:
-            record.suppressed = kept_back
+        if (count := self._unreported.pop(event, 0)) > 0:
+            record.suppressed = count
         return True
 
 
-_DIRECTIVES = re.compile(r"%[-+#0-9.*]*[a-zA-Z]")
-_GAPS = re.compile(r"[^a-z0-9]+")
-_names: dict[str, str] = {}
+def event_of(record: logging.LogRecord) -> str:
+    """Return the name of the record's event; that of its logger where it has none, as from other packages."""
+    return str(getattr(record, "event", "") or record.name)
 
 
-def event_of(record: logging.LogRecord) -> str:
-    """The event's name: the record's `event` (`extra={"event": ...}`), else its unformatted words as one."""
-    event = getattr(record, "event", "")
-    if event:
-        return str(event)
-    template = str(record.msg)
-    name = _names.get(template)
-    if name is None:
-        name = _GAPS.sub("_", _DIRECTIVES.sub(" ", template).lower()).strip("_")[:48].rstrip("_") or "line"
-        if len(_names) < 1024:
-            _names[template] = name
-    return name
-
-
-class _Plain(logging.Formatter):
-    def format(self, record: logging.LogRecord) -> str:
-        kept_back = getattr(record, "suppressed", 0)
-        return super().format(record) + (f" ({kept_back} like it kept back)" if kept_back else "")
+def configure_logging(config: LogConfig) -> LogRateLimiter:
+    """Write the log to standard error as `config` says; return the limiter, which counts suppressed lines."""
+    is_plain = config.format == "plain" or (not config.format and sys.stderr.isatty())
+    handler = logging.StreamHandler(sys.stderr)
+    handler.setFormatter(
+        _PlainFormatter("%(asctime)s %(name)s %(message)s") if is_plain else _json_formatter()
+    )
+    limiter = LogRateLimiter(config.lines_per_s, config.repeats_per_s)
+    handler.addFilter(limiter)
+    logging.basicConfig(level=config.level.upper(), handlers=[handler], force=True)
+    return limiter
 
 
-def _json() -> logging.Formatter:
-    import structlog  # a dozen ms of CPU: only where it writes the log
+class _PlainFormatter(logging.Formatter):
+    def format(self, record: logging.LogRecord) -> str:
+        suppressed = getattr(record, "suppressed", 0)
+        return super().format(record) + (f" ({suppressed} like it suppressed)" if suppressed else "")
+
 
-    def named(_: Any, __: str, event: MutableMapping[str, Any]) -> dict[str, Any]:
-        record = event["_record"]
-        own = {"event": event_of(record), "subsystem": record.name.removeprefix("sidecar_balancer.")}
-        told = {"msg": event.pop("event")} | {key: event[key] for key in _EXTRAS if key in event}
-        if "exception" in event:
-            told["exception"] = event["exception"]
-        return {"ts": event["ts"], "level": event["level"]} | own | told
+def _json_formatter() -> logging.Formatter:
+    import structlog  # costs a dozen ms of CPU, so only where it formats the log
 
-    chain: list[Any] = [
+    processors: list[Any] = [
         structlog.stdlib.add_log_level,
         structlog.processors.TimeStamper(fmt="iso", utc=True, key="ts"),
-        structlog.stdlib.ExtraAdder(allow=_EXTRAS),
+        structlog.stdlib.ExtraAdder(allow=_FIELDS),
     ]
     return structlog.stdlib.ProcessorFormatter(
-        foreign_pre_chain=chain,
-        processors=[structlog.processors.format_exc_info, named, structlog.processors.JSONRenderer()],
+        foreign_pre_chain=processors,
+        processors=[structlog.processors.format_exc_info, _order_fields, structlog.processors.JSONRenderer()],
     )
 
 
-_EXTRAS = ("request", "class", "server", "zone", "status", "took_ms", "attempts", "answered", "suppressed")
-
-
-def configure_logging(config: LogConfig) -> LogRateLimiter:
-    """Write the log to standard error as `config` says; give the filter that counts what is kept back."""
-    plain = config.format == "plain" or (not config.format and sys.stderr.isatty())
-    handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(_Plain("%(asctime)s %(name)s %(message)s") if plain else _json())
-    limiter = LogRateLimiter(config.lines_per_s, config.repeats_per_s)
-    handler.addFilter(limiter)
-    logging.basicConfig(level=config.level.upper(), handlers=[handler], force=True)
-    return limiter
+def _order_fields(_logger: Any, _method: str, line: MutableMapping[str, Any]) -> dict[str, Any]:
+    """Return the fields of a line in the order in which they are read; structlog has the text as `event`."""
+    record = line["_record"]
+    fields = {
+        "ts": line["ts"],
+        "level": line["level"],
+        "event": event_of(record),
+        "subsystem": record.name.removeprefix(_PACKAGE_PREFIX),
+        "msg": line["event"],
+    }
+    fields |= {name: line[name] for name in _FIELDS if name in line}
+    if "exception" in line:
+        fields["exception"] = line["exception"]
+    return fields
--- /dev/null
+++ b/tests/observability/test_logs.py
@@ -0,0 +1,135 @@
+"""The log: its JSON and plain lines, its rate limits, and the events of the package's own lines."""
+
+from __future__ import annotations
+
+import ast
+import json
+import logging
+from collections.abc import Iterator
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from sidecar_balancer.observability.logs import LogConfig, LogRateLimiter, configure_logging
+
+PACKAGE = Path(__file__).parent.parent.parent / "sidecar_balancer"
+FINISHED = ["__main__.py", "cli.py", "admin", "config", "observability", "persistence"]
+LOGGER_NAMES = {"log", "_log", "logger", "logging"}
+LOG_METHODS = {"debug", "info", "warning", "error", "exception", "critical", "log"}
+
+
+@pytest.fixture
+def log() -> Iterator[logging.Logger]:
+    """A logger of the package; the handlers that a test installs are removed after it."""
+    yield logging.getLogger("sidecar_balancer.runtime.sidecar")
+    logging.getLogger().handlers.clear()
+
+
+def record(created: float, event: str) -> logging.LogRecord:
+    return logging.makeLogRecord({"created": created, "msg": "lost %s", "event": event})
+
+
+def fail() -> None:
+    raise ValueError("odd")
+
+
+def json_lines(capsys: pytest.CaptureFixture[str]) -> list[dict[str, Any]]:
+    return [json.loads(line) for line in capsys.readouterr().err.splitlines()]
+
+
+def test_repeats_of_one_event_are_limited_a_second_and_counted() -> None:
+    limiter = LogRateLimiter(5, 3)
+    records = [record(created, "lost") for created in (7.0, 7.1, 7.2, 7.3, 7.9, 8.0)]
+    assert [limiter.filter(each) for each in records] == [True, True, True, False, False, True]
+    assert limiter.suppressed == 2
+    assert vars(records[-1])["suppressed"] == 2
+
+
+def test_lines_of_all_events_together_are_limited_a_second() -> None:
+    limiter = LogRateLimiter(5, 3)
+    assert limiter.filter(record(8.0, "lost"))
+    others = [record(8.5, f"event_{letter}") for letter in "abcdef"]
+    assert [limiter.filter(each) for each in others] == [True] * 4 + [False] * 2
+
+
+def test_a_json_line_has_its_event_and_the_fields_of_the_event(
+    log: logging.Logger, capsys: pytest.CaptureFixture[str]
+) -> None:
+    configure_logging(LogConfig(format="json"))
+    log.info("%s: %d", "ejected s-1", 3, extra={"event": "ejected", "server": "s-1"})
+    (line,) = json_lines(capsys)
+    assert line["event"] == "ejected"
+    assert line["server"] == "s-1"
+    assert line["msg"] == "ejected s-1: 3"
+    assert line["level"] == "info"
+    assert line["subsystem"] == "runtime.sidecar"
+    assert line["ts"].endswith("Z")
+
+
+def test_a_json_line_without_an_event_has_the_name_of_its_logger(
+    log: logging.Logger, capsys: pytest.CaptureFixture[str]
+) -> None:
+    configure_logging(LogConfig(format="json"))
+    log.warning("the event loop was %.0f ms late", 70.2)
+    logging.getLogger("asyncio").error("a line of another package")
+    own, foreign = json_lines(capsys)
+    assert own["event"] == "sidecar_balancer.runtime.sidecar"
+    assert own["level"] == "warning"
+    assert foreign["event"] == "asyncio"
+
+
+def test_a_json_line_has_the_traceback_of_an_exception(
+    log: logging.Logger, capsys: pytest.CaptureFixture[str]
+) -> None:
+    configure_logging(LogConfig(format="json"))
+    try:
+        fail()
+    except ValueError:
+        log.exception("it failed on %r", "x")
+    (line,) = json_lines(capsys)
+    assert "ValueError: odd" in line["exception"]
+
+
+def test_a_plain_line_has_the_logger_and_the_text(
+    log: logging.Logger, capsys: pytest.CaptureFixture[str]
+) -> None:
+    configure_logging(LogConfig(format="plain", level="warning"))
+    log.info("not told")
+    log.error("told %d", 1)
+    (line,) = capsys.readouterr().err.splitlines()
+    assert line.endswith("sidecar_balancer.runtime.sidecar told 1")
+
+
+def sources() -> list[Path]:
+    paths = [PACKAGE / name for name in FINISHED]
+    return [each for path in paths for each in ([path] if path.is_file() else sorted(path.rglob("*.py")))]
+
+
+def calls_without_event(path: Path) -> list[int]:
+    """The lines of a source file whose log call gives no event by name."""
+    nodes = ast.walk(ast.parse(path.read_text(encoding="utf-8")))
+    calls = [node for node in nodes if isinstance(node, ast.Call) and is_log_call(node)]
+    return [call.lineno for call in calls if not gives_event(call)]
+
+
+def is_log_call(call: ast.Call) -> bool:
+    return (
+        isinstance(call.func, ast.Attribute)
+        and call.func.attr in LOG_METHODS
+        and isinstance(call.func.value, ast.Name)
+        and call.func.value.id in LOGGER_NAMES
+    )
+
+
+def gives_event(call: ast.Call) -> bool:
+    extra = next((keyword.value for keyword in call.keywords if keyword.arg == "extra"), None)
+    if not isinstance(extra, ast.Dict):
+        return False
+    keys = [key.value for key in extra.keys if isinstance(key, ast.Constant)]
+    return "event" in keys
+
+
+@pytest.mark.parametrize("path", sources(), ids=lambda path: str(path.relative_to(PACKAGE)))
+def test_every_log_call_gives_the_name_of_its_event(path: Path) -> None:
+    assert calls_without_event(path) == []
