--- a/sidecar_balancer/admin/client.py
+++ b/sidecar_balancer/admin/client.py
@@ -29,7 +29,7 @@
     path: str
 
     @property
-    def takes_name(self) -> bool:
+    def needs_name(self) -> bool:
         """Whether the call is about one server or zone."""
         return "{}" in self.path
 
--- a/sidecar_balancer/cli.py
+++ b/sidecar_balancer/cli.py
@@ -62,7 +62,7 @@
 
 
 def _add_call(parser: argparse.ArgumentParser, call: AdminCall) -> None:
-    if call.takes_name:
+    if call.needs_name:
         parser.add_argument("name", metavar="ID", help="the server's id, or the zone's name")
     parser.add_argument("--door", metavar="HOST:PORT", help="address of the admin server")
     parser.add_argument("--config", help="a configuration whose mgmt is that address")
@@ -97,7 +97,7 @@
         )
         return EXIT_USAGE
     call = CALLS[arguments.command]
-    name = arguments.name if call.takes_name else ""
+    name = arguments.name if call.needs_name else ""
     try:
         response = call.send(address, name, arguments.wait)
     except AdminCallError as error:
--- a/sidecar_balancer/config/logs.py
+++ b/sidecar_balancer/config/logs.py
@@ -17,8 +17,8 @@
     reader = ValueReader(given, "logging")
     reader.reject_unknown(_KEYS)
     return LogConfig(
-        level=reader.word("level", LEVELS, defaults.level),
-        format=reader.word("format", FORMATS, defaults.format),
+        level=reader.string_choice("level", LEVELS, defaults.level),
+        format=reader.string_choice("format", FORMATS, defaults.format),
         lines_per_s=reader.exact_integer("lines_per_s", defaults.lines_per_s, 1, _MAX_LINES_PER_S),
         repeats_per_s=reader.exact_integer("repeats_per_s", defaults.repeats_per_s, 1, _MAX_LINES_PER_S),
     )
--- a/sidecar_balancer/config/values.py
+++ b/sidecar_balancer/config/values.py
@@ -155,13 +155,13 @@
         """Whether the key holds true; any other value counts as false."""
         return self._value(key) is True
 
-    def word(self, key: str, words: Sequence[str], default: str) -> str:
-        """Return one of `words`; a null is an error."""
+    def string_choice(self, key: str, choices: Sequence[str], default: str) -> str:
+        """Return one of `choices`; a null is an error."""
         if key not in self._given:
             return default
         value = self._given[key]
-        if value not in words:
-            raise self._error(key, f"one of {', '.join(words)}")
+        if value not in choices:
+            raise self._error(key, f"one of {', '.join(choices)}")
         return str(value)
 
     def address(self, key: str) -> Address:
