--- a/sidecar_balancer/admin/disabled_servers.py
+++ b/sidecar_balancer/admin/disabled_servers.py
@@ -8,7 +8,7 @@
 from sidecar_balancer.policy.actions import ApplyDisabledServers
 from sidecar_balancer.policy.events import DisabledServersChanged, ServerOverrideRequested
 from sidecar_balancer.runtime.engine import Engine
-from sidecar_balancer.upstream.connection import Upstream
+from sidecar_balancer.upstream.endpoint_pool import EndpointPool
 
 if TYPE_CHECKING:  # loaded only where membership is configured: starts cost CPU
     from sidecar_balancer.membership.bridge import MembershipBridge
@@ -21,9 +21,9 @@
 class DisabledServers:
     """Brings the balancer and the connections in line with the disabled servers."""
 
-    def __init__(self, engine: Engine, upstream: Upstream, bridge: MembershipBridge | None) -> None:
+    def __init__(self, engine: Engine, endpoint_pool: EndpointPool, bridge: MembershipBridge | None) -> None:
         self._engine = engine
-        self._upstream = upstream
+        self._endpoint_pool = endpoint_pool
         self._bridge = bridge
         self._by_own_overrides: frozenset[str] = frozenset()
         self._in_force: frozenset[str] = frozenset()
@@ -66,6 +66,6 @@
         self._was_accepted = True
         if action.servers != self._in_force:
             self._in_force = action.servers
-            self._upstream.exclude(action.servers)
+            self._endpoint_pool.set_disabled(action.servers)
             names = ", ".join(sorted(action.servers))[:_MAX_LOGGED_NAMES_LENGTH]
             log.info("excluded now: %s", names or "none", extra={"event": "disabled_servers_changed"})
--- a/sidecar_balancer/admin/drain.py
+++ b/sidecar_balancer/admin/drain.py
@@ -30,4 +30,4 @@
             self._frontend.drain(IDLE_CLOSE_DELAY_S)
         else:
             log.info("drain ended", extra={"event": "drain_ended"})
-            self._frontend.undrain()
+            self._frontend.cancel_drain()
--- a/sidecar_balancer/admin/handlers.py
+++ b/sidecar_balancer/admin/handlers.py
@@ -20,7 +20,7 @@
 from sidecar_balancer.policy.types import ZoneOverride
 from sidecar_balancer.runtime.engine import Engine
 from sidecar_balancer.runtime.proxy import Proxy
-from sidecar_balancer.upstream.connection import Upstream
+from sidecar_balancer.upstream.endpoint_pool import EndpointPool
 
 if TYPE_CHECKING:  # loaded only where configured: starts cost CPU
     from sidecar_balancer.membership.bridge import MembershipBridge
@@ -37,7 +37,7 @@
         engine: Engine,
         proxy: Proxy,
         frontend: Frontend,
-        upstream: Upstream,
+        endpoint_pool: EndpointPool,
         discovery: DiscoveryClient,
         overrides: OperatorOverrides,
         bridge: MembershipBridge | None,
@@ -45,14 +45,14 @@
     ) -> None:
         self.lifecycle = Lifecycle()
         self.overrides = overrides
-        self.disabled_servers = DisabledServers(engine, upstream, bridge)
+        self.disabled_servers = DisabledServers(engine, endpoint_pool, bridge)
         self._zone_overrides = ZoneOverrides(engine)
         self._drain = SidecarDrain(frontend, self.lifecycle)
         self.status = StatusHandlers(
             engine,
             proxy,
             frontend,
-            upstream,
+            endpoint_pool,
             discovery,
             self.disabled_servers,
             self.lifecycle,
--- a/sidecar_balancer/admin/status_handlers.py
+++ b/sidecar_balancer/admin/status_handlers.py
@@ -14,8 +14,8 @@
 from sidecar_balancer.discovery.client import DiscoveryClient
 from sidecar_balancer.downstream.frontend import Frontend
 from sidecar_balancer.runtime.engine import Engine
-from sidecar_balancer.runtime.proxy import Proxy, by_status
-from sidecar_balancer.upstream.connection import Upstream
+from sidecar_balancer.runtime.proxy import Proxy, count_by_status
+from sidecar_balancer.upstream.endpoint_pool import EndpointPool
 
 if TYPE_CHECKING:  # loaded only where configured: starts cost CPU
     from sidecar_balancer.membership.bridge import MembershipBridge
@@ -31,7 +31,7 @@
         engine: Engine,
         proxy: Proxy,
         frontend: Frontend,
-        upstream: Upstream,
+        endpoint_pool: EndpointPool,
         discovery: DiscoveryClient,
         disabled_servers: DisabledServers,
         lifecycle: Lifecycle,
@@ -41,7 +41,7 @@
         self._engine = engine
         self._proxy = proxy
         self._frontend = frontend
-        self._upstream = upstream
+        self._endpoint_pool = endpoint_pool
         self._discovery = discovery
         self._disabled_servers = disabled_servers
         self._lifecycle = lifecycle
@@ -65,10 +65,10 @@
         limiter, latencies = self.log_rate_limiter, self._latencies
         view = {
             "ready": self._lifecycle.accepts_clients and not self._frontend.draining,
-            "held": len(self._proxy.by_call),
+            "held": len(self._proxy.by_client_request),
             "clients": len(self._frontend.connections),
-            "connections_to_servers": self._upstream.open_count,
-            "answered": by_status(self._proxy.answers),
+            "connections_to_servers": self._endpoint_pool.open_count,
+            "answered": count_by_status(self._proxy.response_counts),
             "state": state_summary(self._engine.balancer),
             "discovery": asdict(self._discovery.status()),
             "cpu_s": round(time.process_time(), 3),
--- a/sidecar_balancer/discovery/client.py
+++ b/sidecar_balancer/discovery/client.py
@@ -20,7 +20,9 @@
 from sidecar_balancer.discovery.sources import STALE_AFTER_S, SourceSelector
 from sidecar_balancer.discovery.watch_events import PollFailed, WatchEvent
 from sidecar_balancer.runtime.queueing import PollTimes
-from sidecar_balancer.upstream.connection import Connection, Response, connect
+from sidecar_balancer.upstream.dialing import connect
+from sidecar_balancer.upstream.response import Response
+from sidecar_balancer.upstream.server_connection import ServerConnection
 
 log = logging.getLogger(__name__)
 
@@ -311,7 +313,7 @@
         finally:
             connection.abort()
 
-    async def _exchange(self, connection: Connection, target: str) -> Response | None:
+    async def _exchange(self, connection: ServerConnection, target: str) -> Response | None:
         loop = asyncio.get_running_loop()
         answer: asyncio.Future[Response | None] = loop.create_future()
         headers = [("Host", "{}:{}".format(*self._sources.current)), ("Connection", "close")]
