--- a/tests/admin/test_drain.py
+++ b/tests/admin/test_drain.py
@@ -93,9 +93,8 @@
             assert await call(sidecar_world, "PUT", "/api/evacuate") == 200
         async with world(served, orders=tmp_path) as sidecar_world:
             assert await readiness(sidecar_world) == 503
-            assert (
-                await call(sidecar_world, "PUT", "/api/exclude/s-0") == 200
-            )  # servers can be disabled during a drain
+            # Servers can be disabled during a drain.
+            assert await call(sidecar_world, "PUT", "/api/exclude/s-0") == 200
             sidecar_world.stop.set()
             await until(lambda: sidecar_world.sidecar.operations.lifecycle.is_shutting_down)
             OperatorOverrides(tmp_path).end_drain()
--- a/tests/cluster/test_cli.py
+++ b/tests/cluster/test_cli.py
@@ -1,4 +1,4 @@
-"""The `weirlock` command against a sidecar process on loopback."""
+"""The `sidecar-balancer` command against a sidecar process on loopback."""
 
 from __future__ import annotations
 
@@ -6,13 +6,23 @@
 import json
 import sys
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
+
+import pytest
 
 from harness import ROOT, Tier, free_ports, new_host, play, text, tier
 from world import Catalogue, world
 
 
-async def weirlock(*arguments: str) -> tuple[int, str, str]:
+class Completed(NamedTuple):
+    """How a command ended."""
+
+    code: int
+    out: str
+    err: str
+
+
+async def run(*arguments: str) -> Completed:
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -24,95 +34,130 @@
     )
     out, err = await process.communicate()
     assert process.returncode is not None
-    return process.returncode, out.decode(), err.decode()
+    return Completed(process.returncode, out.decode(), err.decode())
+
+
+async def _answers(sidecars: Tier) -> bool:
+    return await sidecars.members(0) is not None
+
+
+def test_the_command_calls_the_admin_server_of_an_address_or_a_configuration(tmp_path: Path) -> None:
+    async def scene() -> None:
+        async with tier(2, tmp_path, seed=17) as sidecars:
+            address = text(sidecars.doors[0])
+            await sidecars.until(lambda: _answers(sidecars))
+            members = await run("members", "--door", address)
+            assert members.code == 0
+            assert json.loads(members.out)["me"] == 0
+            assert (await run("ban", "s-1", "--door", address))[:2] == (0, "yes\n")
+            members = await run("members", "--config", str(tmp_path / "n0" / "config.json"))
+            assert members.code == 0
+            assert json.loads(members.out)["excluded"] == ["s-1"]
+            rejected = await run("ban", "nobody", "--door", address)
+            assert rejected.code == 1
+            assert rejected.out.startswith("no (404)")
+
+    play(scene())
 
 
-def test_the_command_calls_the_door_and_says_what_is_wrong(tmp_path: Path) -> None:
+def test_an_address_where_nothing_listens_is_one_line_and_exit_code_1() -> None:
     async def scene() -> None:
-        async with tier(2, tmp_path, seed=17) as made:
-            door = text(made.doors[0])
-            await made.until(lambda: _answers(made))
-            code, out, _ = await weirlock("members", "--door", door)
-            assert code == 0 and json.loads(out)["me"] == 0
-            assert (await weirlock("ban", "s-1", "--door", door))[:2] == (0, "yes\n")
-            code, out, _ = await weirlock("members", "--config", str(tmp_path / "n0" / "config.json"))
-            assert code == 0 and json.loads(out)["excluded"] == ["s-1"]
-            code, out, _ = await weirlock("ban", "nobody", "--door", door)
-            assert code == 1 and out.startswith("no (404)")
-        code, _, err = await weirlock("members", "--door", text(free_ports(new_host(), 1)[0]), "--wait", "1")
-        assert code == 1 and len(err.splitlines()) == 1 and "did not answer" in err
-        code, _, err = await weirlock("drain")
-        assert code == 2 and err.startswith("no door")
+        nowhere = text(free_ports(new_host(), 1)[0])
+        completed = await run("members", "--door", nowhere, "--wait", "1")
+        assert completed.code == 1
+        assert len(completed.err.splitlines()) == 1
+        assert "did not answer" in completed.err
 
     play(scene())
 
 
-def test_status_servers_and_zones_show_what_a_sidecar_under_load_holds(tmp_path: Path) -> None:
+def test_without_an_address_the_exit_code_is_2() -> None:
+    async def scene() -> None:
+        completed = await run("drain")
+        assert completed.code == 2
+        assert completed.err.startswith("no door")
+
+    play(scene())
+
+
+def test_the_views_show_the_state_of_a_sidecar_under_load(tmp_path: Path) -> None:
     async def scene() -> None:
         servers = [Catalogue("a-0", "a"), Catalogue("b-0", "b")]
         locality = {"locality": {"on": True}}
         async with world(tmp_path, 1, servers, "a", changes=locality) as made:
-            door = text(made.tier.doors[0])
+            address = text(made.tier.doors[0])
             made.load.start()
-            while len(made.load.answers) < 100:
-                await asyncio.sleep(0.01)
+            await made.load.answered(100)
             await made.load.stop()
-            code, out, _ = await weirlock("status", "--door", door, "--json")
-            told = json.loads(out)
-            good = sum(each.status == 200 for each in made.load.answers)
-            assert code == 0 and told["ready"] and told["answered"]["200"] == good
-            assert sum(each["count"] for each in told["latency_ms"].values()) == good
-            for each in told["latency_ms"].values():
-                assert 15.0 < each["p50"] <= each["p90"] <= each["p99"] <= each["p999"]
-            code, out, _ = await weirlock("servers", "--door", door)
-            assert code == 0 and {"a-0", "b-0"} <= {line.split(" ")[0] for line in out.splitlines()}
-            code, out, _ = await weirlock("zones", "--door", door)
-            assert code == 0 and "here: a" in out and "failed_share" in out
-            assert (await weirlock("duties", "--door", door))[:1] == (1,)  # there are none here
+            good = sum(answer.status == 200 for answer in made.load.answers)
+            await _assert_status(address, good)
+            shown = await run("servers", "--door", address)
+            assert shown.code == 0
+            assert {"a-0", "b-0"} <= {line.split(" ")[0] for line in shown.out.splitlines()}
+            shown = await run("zones", "--door", address)
+            assert shown.code == 0
+            assert "here: a" in shown.out
+            assert "failed_share" in shown.out
+            assert (await run("duties", "--door", address)).code == 1  # leases are off
 
     play(scene())
 
 
-def test_check_config_says_ok_or_a_line_for_each_fault(tmp_path: Path) -> None:
+async def _assert_status(address: str, good: int) -> None:
+    shown = await run("status", "--door", address, "--json")
+    status = json.loads(shown.out)
+    assert shown.code == 0
+    assert status["ready"]
+    assert status["answered"]["200"] == good
+    latencies = status["latency_ms"].values()
+    assert sum(latency["count"] for latency in latencies) == good
+    for latency in latencies:
+        assert 15.0 < latency["p50"] <= latency["p90"] <= latency["p99"] <= latency["p999"]
+
+
+@pytest.mark.parametrize(
+    ("changes", "faults"),
+    [
+        ({}, []),
+        ({"peer_plane": {"on": True, "period_ms": "fast"}}, ["peer_plane"]),
+        ({"listen": 7, "logging": {"level": "loud"}}, ["listen", "logging.level"]),
+        ({"locality": {"on": True, "panic": 7}, "surprise": 1}, ["locality.panic", "surprise"]),
+        ({"duties": {"on": True, "term_ms": 10}, "state": {"folder": 3}}, ["duties", "state"]),
+    ],
+    ids=["good", "membership", "listen and logging", "locality and unknown", "leases and state"],
+)
+def test_check_config_prints_ok_or_a_line_for_each_fault(
+    tmp_path: Path, changes: dict[str, Any], faults: list[str]
+) -> None:
     async def scene() -> None:
-        made = Tier(1, tmp_path)
-        await made.open()
-        good = made.config(0)
-        cases: list[tuple[dict[str, Any], list[str]]] = [
-            (good, []),
-            (good | {"peer_plane": {"on": True, "period_ms": "fast"}}, ["peer_plane"]),
-            (good | {"listen": 7, "logging": {"level": "loud"}}, ["listen", "logging.level"]),
-            (good | {"locality": {"on": True, "panic": 7}, "surprise": 1}, ["locality.panic", "surprise"]),
-            (good | {"duties": {"on": True, "term_ms": 10}, "state": {"folder": 3}}, ["duties", "state"]),
-        ]
-        for number, (given, wrong) in enumerate(cases):
-            path = tmp_path / f"c{number}.json"
-            path.write_text(json.dumps(given), encoding="utf-8")
-            code, out, err = await weirlock("check-config", str(path))
-            lines = err.splitlines()
-            assert (code, out) == ((2, "") if wrong else (0, "ok\n"))
-            assert len(lines) == len(wrong)
-            for line, name in zip(lines, wrong, strict=True):
-                assert line.startswith("bad configuration: ") and name in line
-        await made.close()
+        sidecars = Tier(1, tmp_path)
+        await sidecars.open()
+        path = tmp_path / "config.json"
+        path.write_text(json.dumps(sidecars.config(0) | changes), encoding="utf-8")
+        completed = await run("check-config", str(path))
+        lines = completed.err.splitlines()
+        assert (completed.code, completed.out) == ((2, "") if faults else (0, "ok\n"))
+        assert len(lines) == len(faults)
+        for line, name in zip(lines, faults, strict=True):
+            assert line.startswith("bad configuration: ")
+            assert name in line
+        await sidecars.close()
 
     play(scene())
 
 
-def test_a_door_that_never_answers_is_waited_for_no_longer_than_told(tmp_path: Path) -> None:
+def test_an_admin_server_that_never_answers_is_waited_for_no_longer_than_the_limit() -> None:
     async def scene() -> None:
         async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.read()
             writer.close()
 
         server = await asyncio.start_server(silent, "127.0.0.1", 0)
-        door = text(server.sockets[0].getsockname()[:2])
-        code, out, err = await weirlock("status", "--door", door, "--wait", "0.2")
-        assert (code, out, len(err.splitlines())) == (1, "", 1) and "timed out" in err
+        address = text(server.sockets[0].getsockname()[:2])
+        completed = await run("status", "--door", address, "--wait", "0.2")
+        assert (completed.code, completed.out) == (1, "")
+        assert len(completed.err.splitlines()) == 1
+        assert "timed out" in completed.err
         server.close()
 
     play(scene())
-
-
-async def _answers(made: Tier) -> bool:
-    return await made.members(0) is not None
--- a/tests/cluster/test_recovery.py
+++ b/tests/cluster/test_recovery.py
@@ -1,4 +1,4 @@
-"""Restart after kill -9 under load: from what is on disk, from peers, and cold (docs/recovery.md)."""
+"""Restart after kill -9 under load: from the disk, from the peers, and cold (docs/recovery.md)."""
 
 from __future__ import annotations
 
@@ -7,12 +7,15 @@
 from pathlib import Path
 
 from harness import PLANE, play
+from sidecar_balancer.persistence import state_records
+from sidecar_balancer.persistence.store import Store
 from world import Catalogue, World, world
 
 STATE = {"state": {"on": True, "every_ms": 50, "warm_ms": 400}}
+MAX_BYTES = 1 << 20
 
 
-def servers(count: int = 4) -> list[Catalogue]:
+def catalogue(count: int = 4) -> list[Catalogue]:
     return [Catalogue(f"a-{number}", "a") for number in range(count)]
 
 
@@ -20,59 +23,76 @@
     return (folder / f"n{number}" / "log").read_text(encoding="utf-8")
 
 
-async def again(made: World, number: int) -> None:
-    """kill -9 and a new start."""
+async def is_logged(folder: Path, number: int, text: str) -> bool:
+    return text in log_of(folder, number)
+
+
+async def is_ejection_on_disk(folder: Path, server: str) -> bool:
+    """Whether sidecar 0 has persisted the server's ejection; reads a copy, as opening a store writes."""
+    copy = folder / "copy"
+    shutil.copytree(folder / "n0", copy)
+    state = state_records.decode(Store(copy, MAX_BYTES).open().records)
+    shutil.rmtree(copy)
+    learned = state.learned.servers.get(server)
+    return learned is not None and learned.ejected_us > 0
+
+
+async def has_published_ejection(made: World, number: int, server: str) -> bool:
+    view = await made.tier.members(number)
+    return view is not None and view["told"].get(f"{server} -1") == "ejected"
+
+
+async def kill_and_start(made: World, number: int) -> None:
     await made.tier.kill(number)
     await made.tier.start(number)
     await made.tier.until(made.tier.all_ready)
 
 
-def test_after_kill_9_under_load_it_goes_on_from_its_disk_and_nothing_ran_twice(tmp_path: Path) -> None:
+def test_after_kill_9_under_load_it_restores_its_disk_and_nothing_runs_twice(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with world(tmp_path, 1, servers(), "a", changes=STATE) as made:
+        async with world(tmp_path, 1, catalogue(), "a", changes=STATE) as made:
             made.load.start()
             await made.load.answered(200)
-            dead = made.servers[0]
-            dead.die()
-            await made.tier.until(lambda: logged(tmp_path, 0, "ejected a-0"))
-            await made.tier.until(lambda: kept(tmp_path))
-            await again(made, 0)
+            made.servers[0].die()
+            await made.tier.until(lambda: is_logged(tmp_path, 0, "ejected a-0"))
+            await made.tier.until(lambda: is_ejection_on_disk(tmp_path, "a-0"))
+            await kill_and_start(made, 0)
             assert "servers and 0 verdicts recalled" in log_of(tmp_path, 0)
             assert "ejected a-0: recalled" in log_of(tmp_path, 0)
-            at = asyncio.get_running_loop().time()
+            restarted_at = asyncio.get_running_loop().time()
             await made.load.answered(100)
-            assert sum(each.status == 200 for each in made.load.since(at)) >= 90
+            assert sum(answer.status == 200 for answer in made.load.since(restarted_at)) >= 90
             await made.load.stop()
             assert not made.ran_twice()
 
     play(scene())
 
 
-def test_one_that_kept_nothing_is_told_by_its_peers_before_it_says_ready(tmp_path: Path) -> None:
+def test_without_state_on_disk_it_takes_its_peers_state_before_it_is_ready(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with world(tmp_path, 3, servers(), "a", plane=PLANE, changes=STATE) as made:
+        async with world(tmp_path, 3, catalogue(), "a", plane=PLANE, changes=STATE) as made:
             made.load.start()
             await made.load.answered(300)
             made.servers[0].die()
-            await made.tier.until(lambda: held(made, 1, "a-0"))
-            await made.tier.until(lambda: held(made, 2, "a-0"))
+            await made.tier.until(lambda: has_published_ejection(made, 1, "a-0"))
+            await made.tier.until(lambda: has_published_ejection(made, 2, "a-0"))
             await made.tier.kill(0)
             for path in (tmp_path / "n0").glob("state-*"):
                 path.unlink()
             await made.tier.start(0)
             await made.tier.until(made.tier.all_ready)
             assert "warm start: all that a peer held" in log_of(tmp_path, 0)
-            told = await made.tier.members(0)
-            assert told is not None
-            assert {each[1] for each in told["verdicts"] if each[2] == "ejected"} == {"a-0"}
+            view = await made.tier.members(0)
+            assert view is not None
+            assert {verdict[1] for verdict in view["verdicts"] if verdict[2] == "ejected"} == {"a-0"}
 
     play(scene())
 
 
-def test_one_cut_off_from_its_peers_starts_cold_within_its_bound(tmp_path: Path) -> None:
+def test_cut_off_from_its_peers_it_starts_cold_within_its_time_limit(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with world(tmp_path, 3, servers(), "a", plane=PLANE, changes=STATE) as made:
-            made.tier.faults.cut = {frozenset((0, each)) for each in (1, 2)}
+        async with world(tmp_path, 3, catalogue(), "a", plane=PLANE, changes=STATE) as made:
+            made.tier.faults.cut = {frozenset((0, peer)) for peer in (1, 2)}
             await made.tier.kill(0)
             shutil.rmtree(tmp_path / "n0")
             await made.tier.start(0)
@@ -80,28 +100,6 @@
             assert "warm start: no whole answer" in log_of(tmp_path, 0)
             made.load.start([0])
             await made.load.answered(50)
-            assert {each.status for each in made.load.answers} == {200}
+            assert {answer.status for answer in made.load.answers} == {200}
 
     play(scene())
-
-
-async def logged(folder: Path, number: int, what: str) -> bool:
-    return what in log_of(folder, number)
-
-
-async def kept(folder: Path) -> bool:
-    """Whether the ejection is on disk."""
-    from sidecar_balancer.persistence import state_records
-    from sidecar_balancer.persistence.store import Store
-
-    copy = folder / "copy"
-    shutil.copytree(folder / "n0", copy)
-    found = state_records.decode(Store(copy, 1 << 20).open().records)
-    shutil.rmtree(copy)
-    each = found.learned.servers.get("a-0")
-    return each is not None and each.ejected_us > 0
-
-
-async def held(made: World, number: int, server: str) -> bool:
-    told = await made.tier.members(number)
-    return told is not None and told["told"].get(f"{server} -1") == "ejected"
--- a/tests/runtime/test_life.py
+++ b/tests/runtime/test_life.py
@@ -1,4 +1,4 @@
-"""The program as the platform starts and stops it, in a process of its own."""
+"""The program's start, signals, upgrade and exit codes, in a process of its own."""
 
 from __future__ import annotations
 
@@ -44,15 +44,20 @@
 
 
 def config(**changes: Any) -> dict[str, Any]:
+    """The content of a configuration file, with the given keys changed."""
     known = {"index": 1, "snapshot": True, "endpoints": []}
     given = {"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "seed": "8c1f"}
     return given | {"known": known, "settings": SETTINGS} | changes
 
 
+def write_config(path: Path, given: object) -> None:
+    path.write_text(given if isinstance(given, str) else json.dumps(given), encoding="utf-8")
+
+
 async def launch(
     path: Path, given: object, accept_fd: int | None = None, **environment: str
 ) -> asyncio.subprocess.Process:
-    path.write_text(given if isinstance(given, str) else json.dumps(given), encoding="utf-8")
+    write_config(path, given)
     environ = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
     return await asyncio.create_subprocess_exec(
         sys.executable,
@@ -87,19 +92,20 @@
         process = await launch(tmp_path / "config.json", given)
         _, err = await asyncio.wait_for(process.communicate(), PATIENCE_S)
         assert process.returncode == 2
-        assert len(err.decode().strip().splitlines()) == 1 and err.startswith(b"bad configuration: ")
+        assert len(err.decode().strip().splitlines()) == 1
+        assert err.startswith(b"bad configuration: ")
 
     play(scene())
 
 
 def free_address() -> Address:
-    """Port 0 is no address to be told, so a free one is picked and given back just before."""
+    """Port 0 is no address to configure, so a free port is picked and closed again just before."""
     with socket.create_server(("127.0.0.1", 0)) as free:
         host, port = free.getsockname()
         return host, port
 
 
-async def says_yes(address: Address, data: bytes) -> None:
+async def wait_until_ok(address: Address, data: bytes) -> None:
     async with asyncio.timeout(PATIENCE_S):
         while True:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
@@ -115,13 +121,13 @@
     await discovery.start()
     await server.start()
     known = {"index": 1, "snapshot": True, "endpoints": [server.entry()]}
-    where = "{}:{}".format(*discovery.address)
+    address = "{}:{}".format(*discovery.address)
     listen = free_address()
     process = await launch(
-        tmp_path / "config.json", config(listen="{}:{}".format(*listen), discovery=where, known=known)
+        tmp_path / "config.json", config(listen="{}:{}".format(*listen), discovery=address, known=known)
     )
     try:
-        await says_yes(listen, request(path="/health/ready"))
+        await wait_until_ok(listen, request(path="/health/ready"))
         yield process, listen
     finally:
         with contextlib.suppress(ProcessLookupError):
@@ -131,28 +137,29 @@
         discovery.stop()
 
 
-def test_on_sigterm_all_that_is_held_is_answered_and_the_program_ends(tmp_path: Path) -> None:
+def test_on_sigterm_requests_in_flight_are_answered_and_the_program_ends(tmp_path: Path) -> None:
     async def scene() -> None:
         server = FakeServer("s-0", lambda first, *_: None if "held" in first else answer(200, b"served"))
         async with program(tmp_path, server) as (process, listen):
-            resting, resting_writer = await asyncio.open_connection(*listen)
-            resting_writer.write(request())
-            status, headers, _ = await read_answer(resting)
-            assert status == 200 and "connection" not in headers
+            idle, idle_writer = await asyncio.open_connection(*listen)
+            idle_writer.write(request())
+            status, headers, _ = await read_answer(idle)
+            assert status == 200
+            assert "connection" not in headers
             reader, writer = await asyncio.open_connection(*listen)
             writer.write(request("pay", path="/api/held", body=b"x"))
             await until(lambda: len(server.requests) == 2)
 
             process.send_signal(signal.SIGTERM)
-            assert await is_closed(resting)
-            for each in server.writers:
-                if not each.is_closing():
-                    each.write(answer(200, b"held"))
+            assert await is_closed(idle)
+            for server_writer in server.writers:
+                if not server_writer.is_closing():
+                    server_writer.write(answer(200, b"held"))
             status, headers, body = await read_answer(reader)
             assert (status, headers["connection"], body) == (200, "close", b"held")
             assert await asyncio.wait_for(process.wait(), PATIENCE_S) == 0
-            for each in (resting_writer, writer):
-                each.close()
+            for client_writer in (idle_writer, writer):
+                client_writer.close()
 
     play(scene())
 
@@ -161,7 +168,7 @@
 
 
 @pytest.mark.parametrize("signals", [(TERM, TERM), (TERM, HUP), (HUP, TERM)])
-def test_signals_that_come_together_leave_what_is_held_answered(
+def test_signals_that_arrive_together_leave_requests_in_flight_answered(
     tmp_path: Path, signals: tuple[signal.Signals, ...]
 ) -> None:
     async def scene() -> None:
@@ -170,9 +177,9 @@
             reader, writer = await asyncio.open_connection(*listen)
             writer.write(request("pay", body=b"x"))
             await until(lambda: server.requests)
-            for each in signals:
-                process.send_signal(each)
-            await logged(process, "draining")
+            for number in signals:
+                process.send_signal(number)
+            await wait_for_log(process, "draining")
             server.writers[-1].write(answer(200, b"held"))
             assert (await read_answer(reader))[2] == b"held"
             assert await asyncio.wait_for(process.wait(), PATIENCE_S) == 0
@@ -181,7 +188,7 @@
     play(scene())
 
 
-def test_sigterm_before_it_is_ready_leaves_whoever_could_connect_answered(tmp_path: Path) -> None:
+def test_sigterm_before_it_is_ready_leaves_no_connected_client_unanswered(tmp_path: Path) -> None:
     async def scene() -> None:
         server = FakeServer("s-0", lambda *_: answer(200, b"served"))
         await server.start()
@@ -206,7 +213,7 @@
     play(scene())
 
 
-def test_after_sigterm_a_request_that_never_ends_is_failed_in_time(tmp_path: Path) -> None:
+def test_after_sigterm_a_request_that_never_ends_fails_by_its_deadline(tmp_path: Path) -> None:
     async def scene() -> None:
         server = FakeServer("s-0", lambda *_: None)
         async with program(tmp_path, server) as (process, listen):
@@ -221,25 +228,25 @@
     play(scene())
 
 
-def test_a_drain_still_takes_connections_and_serves_those_just_opened(
+def test_a_shutdown_still_accepts_connections_and_serves_those_just_opened(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Guards the 0.4 s in which connections still come; made long, so that a slow machine can't miss them.
     monkeypatch.setattr(sidecar, "_ACCEPT_WHILE_DRAINING_S", 600.0)
 
     async def scene() -> None:
-        async with world(lambda *_: answer(200, b"served")) as w:
-            listen = w.sidecar.frontend.address
-            rested, rested_writer = await asyncio.open_connection(*listen)
-            rested_writer.write(request())
-            assert (await read_answer(rested))[0] == 200
+        async with world(lambda *_: answer(200, b"served")) as sidecar_world:
+            listen = sidecar_world.sidecar.frontend.address
+            idle, idle_writer = await asyncio.open_connection(*listen)
+            idle_writer.write(request())
+            assert (await read_answer(idle))[0] == 200
             opened, opened_writer = await asyncio.open_connection(*listen)
-            await until(lambda: len(w.sidecar.frontend.connections) == 2)
-            w.stop.set()
-            # What is at rest is closed while a request that crosses it can still come again.
-            assert await is_closed(rested)
+            await until(lambda: len(sidecar_world.sidecar.frontend.connections) == 2)
+            sidecar_world.stop.set()
+            # Idle connections are closed while a request that crosses the close can still be retried.
+            assert await is_closed(idle)
             assert (await ask(listen, request(path="/health/ready")))[0] == 503
-            # What was just opened keeps its request, and so does what is opened now.
+            # Those just opened have their requests served, and so has one opened now.
             late, late_writer = await asyncio.open_connection(*listen)
             for reader, writer in ((opened, opened_writer), (late, late_writer)):
                 writer.write(request())
@@ -247,39 +254,41 @@
                 assert (status, headers["connection"], body) == (200, "close", b"served")
                 assert await is_closed(reader)
                 writer.close()
-            rested_writer.close()
+            idle_writer.close()
 
     play(scene())
 
 
-async def logged(process: asyncio.subprocess.Process, words: str) -> None:
-    """Wait for a line of the program's log."""
+async def wait_for_log(process: asyncio.subprocess.Process, text: str) -> None:
+    """Wait for a line with `text` in the program's log."""
     assert process.stderr is not None
-    while words.encode() not in (line := await asyncio.wait_for(process.stderr.readline(), PATIENCE_S)):
-        assert line, f"it ended without a word of {words!r}"
+    while text.encode() not in (line := await asyncio.wait_for(process.stderr.readline(), PATIENCE_S)):
+        assert line, f"it ended without logging {text!r}"
 
 
-def test_on_sighup_discovery_is_asked_where_the_file_says_and_a_bad_file_changes_nothing(
+def test_sighup_moves_discovery_to_the_address_in_the_file_and_a_faulty_file_changes_nothing(
     tmp_path: Path,
 ) -> None:
     async def scene() -> None:
         server = FakeServer("s-0", lambda *_: answer(200, b"served"))
-        moved = FakeDiscovery()
-        await moved.start()
+        new_discovery = FakeDiscovery()
+        await new_discovery.start()
         async with program(tmp_path, server) as (process, address):
             path = tmp_path / "config.json"
             good = json.loads(path.read_text(encoding="utf-8"))
             path.write_text("not json", encoding="utf-8")
             process.send_signal(signal.SIGHUP)
-            await logged(process, "bad configuration, the old one stays")
-            assert (await ask(address, request()))[0] == 200 and not moved.targets
+            await wait_for_log(process, "bad configuration, the old one stays")
+            assert (await ask(address, request()))[0] == 200
+            assert not new_discovery.targets
             path.write_text(
-                json.dumps(good | {"discovery": "{}:{}".format(*moved.address)}), encoding="utf-8"
+                json.dumps(good | {"discovery": "{}:{}".format(*new_discovery.address)}), encoding="utf-8"
             )
             process.send_signal(signal.SIGHUP)
-            await until(lambda: moved.targets)
-            assert (await ask(address, request()))[0] == 200 and process.returncode is None
-        moved.stop()
+            await until(lambda: new_discovery.targets)
+            assert (await ask(address, request()))[0] == 200
+            assert process.returncode is None
+        new_discovery.stop()
 
     play(scene())
 
@@ -287,70 +296,106 @@
 READY = b"GET /api/ready HTTP/1.1\r\nHost: ops\r\n\r\n"
 
 
-def test_an_upgrade_hands_the_clients_over_and_keeps_bans_and_held_requests(tmp_path: Path) -> None:
-    async def scene() -> None:
-        server, banned = (
+EXCLUDE = b"PUT /api/exclude/s-1 HTTP/1.1\r\nHost: ops\r\n\r\n"
+
+
+class Upgrade:
+    """Processes that inherit one listening socket, before two servers that hold requests for /api/held."""
+
+    def __init__(self, folder: Path) -> None:
+        self._folder = folder
+        self.server, self.disabled = (
             FakeServer(name, lambda first, *_: None if "held" in first else answer(200, b"served"))
             for name in ("s-0", "s-1")
         )
-        discovery = FakeDiscovery()
-        for each in (server, banned, discovery):
-            await each.start()
-        known = {"index": 1, "snapshot": True, "endpoints": [server.entry(), banned.entry()]}
-        listening = socket.create_server(("127.0.0.1", 0))
-        listen: Address = listening.getsockname()[:2]
-        told = config(
-            listen="{}:{}".format(*listen), discovery="{}:{}".format(*discovery.address), known=known
+        self._discovery = FakeDiscovery()
+        self._listener = socket.create_server(("127.0.0.1", 0))
+        self.listen: Address = self._listener.getsockname()[:2]
+        self._processes: list[asyncio.subprocess.Process] = []
+
+    async def open(self) -> None:
+        for stand_in in (self.server, self.disabled, self._discovery):
+            await stand_in.start()
+
+    async def start(self, admin_address: Address) -> asyncio.subprocess.Process:
+        """Start a process and wait until it is ready."""
+        self._discovery.say(2, [])
+        entries = [self.server.entry(), self.disabled.entry()]
+        given = config(
+            listen="{}:{}".format(*self.listen),
+            discovery="{}:{}".format(*self._discovery.address),
+            known={"index": 1, "snapshot": True, "endpoints": entries},
         )
-        doors = [free_address(), free_address()]
-        processes = []
-
-        async def start(door: Address) -> Any:
-            discovery.say(2, [])
-            fd = listening.fileno()
-            variables = {"RELAY_MGMT": "{}:{}".format(*door), "TMPDIR": str(tmp_path)}
-            process = await launch(tmp_path / "config.json", told, fd, RELAY_ACCEPT_FD=str(fd), **variables)
-            processes.append(process)
-            await says_yes(door, READY)
-            return process
-
-        try:
-            old = await start(doors[0])
-            kept, kept_writer = await asyncio.open_connection(*listen)
-            kept_writer.write(request())
-            assert (await read_answer(kept))[0] == 200
-            held, held_writer = await asyncio.open_connection(*listen)
-            held_writer.write(request())
-            assert (await read_answer(held))[0] == 200
-            exclude = b"PUT /api/exclude/s-1 HTTP/1.1\r\nHost: ops\r\n\r\n"
-            assert (await ask(doors[0], exclude))[0] == 200
-
-            new = await start(doors[1])
-            held_writer.write(request("pay", path="/api/held", body=b"x", budget="3"))
-            await until(lambda: any("held" in first for first, *_ in server.requests + banned.requests))
+        fd = self._listener.fileno()
+        variables = {"RELAY_MGMT": "{}:{}".format(*admin_address), "TMPDIR": str(self._folder)}
+        path = self._folder / "config.json"
+        process = await launch(path, given, fd, RELAY_ACCEPT_FD=str(fd), **variables)
+        self._processes.append(process)
+        await wait_until_ok(admin_address, READY)
+        return process
+
+    def requests(self) -> list[Any]:
+        return self.server.requests + self.disabled.requests
+
+    def answer_held_requests(self) -> None:
+        for writer in self.server.writers + self.disabled.writers:
+            if not writer.is_closing():
+                writer.write(answer(200, b"held"))
+
+    async def close(self) -> None:
+        for process in self._processes:
+            with contextlib.suppress(ProcessLookupError):
+                process.kill()
+            await process.communicate()
+        for stand_in in (self.server, self.disabled, self._discovery):
+            stand_in.stop()
+        self._listener.close()
+
+
+@contextlib.asynccontextmanager
+async def upgrade(folder: Path) -> AsyncIterator[Upgrade]:
+    stage = Upgrade(folder)
+    await stage.open()
+    try:
+        yield stage
+    finally:
+        await stage.close()
+
+
+async def connect_and_ask(address: Address) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+    """Open a connection that has carried one request."""
+    reader, writer = await asyncio.open_connection(*address)
+    writer.write(request())
+    assert (await read_answer(reader))[0] == 200
+    return reader, writer
+
+
+def test_an_upgrade_hands_the_clients_over_and_keeps_overrides_and_requests_in_flight(tmp_path: Path) -> None:
+    async def scene() -> None:
+        old_address, new_address = free_address(), free_address()
+        async with upgrade(tmp_path) as stage:
+            old = await stage.start(old_address)
+            idle, idle_writer = await connect_and_ask(stage.listen)
+            busy, busy_writer = await connect_and_ask(stage.listen)
+            assert (await ask(old_address, EXCLUDE))[0] == 200
+
+            new = await stage.start(new_address)
+            busy_writer.write(request("pay", path="/api/held", body=b"x", budget="3"))
+            await until(lambda: any("held" in first for first, *_ in stage.requests()))
             old.send_signal(signal.SIGTERM)
-            assert await is_closed(kept)
-            for writer in server.writers + banned.writers:
-                if not writer.is_closing():
-                    writer.write(answer(200, b"held"))
-            status, headers, body = await read_answer(held)
+            assert await is_closed(idle)
+            stage.answer_held_requests()
+            status, headers, body = await read_answer(busy)
             assert (status, headers["connection"], body) == (200, "close", b"held")
             assert await asyncio.wait_for(old.wait(), PATIENCE_S) == 0
 
-            had = len(banned.requests)
-            for _ in range(20):  # the shared socket still listens, and the ban is known to the new process
-                assert (await ask(listen, request()))[2] == b"served"
-            assert len(banned.requests) == had and new.returncode is None
-            kept_writer.close()
-            held_writer.close()
-        finally:
-            for process in processes:
-                with contextlib.suppress(ProcessLookupError):
-                    process.kill()
-                await process.communicate()
-            for each in (server, banned, discovery):
-                each.stop()
-            listening.close()
+            before = len(stage.disabled.requests)
+            for _ in range(20):  # the new process listens, and knows the override
+                assert (await ask(stage.listen, request()))[2] == b"served"
+            assert len(stage.disabled.requests) == before
+            assert new.returncode is None
+            idle_writer.close()
+            busy_writer.close()
 
     play(scene())
 
@@ -363,25 +408,27 @@
         quiet = socket.socket()
         file = os.open(tmp_path, os.O_RDONLY)
         fd = {"not listening": quiet.fileno(), "no socket": file}.get(kind)
-        told = "four" if kind == "no number" else str(fd if fd is not None else 1_000)
-        process = await launch(tmp_path / "config.json", config(), fd, RELAY_ACCEPT_FD=told)
+        descriptor = "four" if kind == "no number" else str(fd if fd is not None else 1_000)
+        process = await launch(tmp_path / "config.json", config(), fd, RELAY_ACCEPT_FD=descriptor)
         _, err = await asyncio.wait_for(process.communicate(), PATIENCE_S)
         assert process.returncode not in (0, None)
-        assert len(err.decode().strip().splitlines()) == 1 and (b"descriptor" in err)
+        assert len(err.decode().strip().splitlines()) == 1
+        assert b"descriptor" in err
         quiet.close()
         os.close(file)
 
     play(scene())
 
 
-def test_a_door_that_cannot_be_bound_ends_the_start_with_one_line(tmp_path: Path) -> None:
+def test_an_admin_address_that_cannot_be_bound_ends_the_start_with_one_line(tmp_path: Path) -> None:
     async def scene() -> None:
         with socket.create_server(("127.0.0.1", 0)) as taken:
-            door = "{}:{}".format(*taken.getsockname())
-            given = config(listen="{}:{}".format(*free_address()), mgmt=door)
+            address = "{}:{}".format(*taken.getsockname())
+            given = config(listen="{}:{}".format(*free_address()), mgmt=address)
             process = await launch(tmp_path / "config.json", given)
             _, err = await asyncio.wait_for(process.communicate(), PATIENCE_S)
         assert process.returncode not in (0, None)
-        assert len(err.decode().strip().splitlines()) == 1 and err.startswith(b"can't serve: ")
+        assert len(err.decode().strip().splitlines()) == 1
+        assert err.startswith(b"can't serve: ")
 
     play(scene())
