--- a/bench/earlier.py
+++ b/bench/earlier.py
@@ -1,8 +1,9 @@
-"""For the benchmarks: the harness made known, an earlier version's sources in a folder, CPU of a process."""
+"""For the benchmarks: the tests' support on the import path, earlier versions' files, CPU of a process."""
 
 from __future__ import annotations
 
 import contextlib
+import os
 import subprocess
 import sys
 import tempfile
@@ -10,13 +11,15 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-for part in ("tests/support", "tools"):  # the harness and the stand-ins
-    sys.path.insert(0, str(ROOT / part))
+for folder in ("tests/support", "tools"):
+    sys.path.insert(0, str(ROOT / folder))
+
+_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 @contextlib.contextmanager
 def sources(revision: str) -> Iterator[Path]:
-    """The tree of a commit, in a folder that goes on leaving; raise CalledProcessError for no such commit."""
+    """The files of a commit, in a temporary folder; raises CalledProcessError for no such commit."""
     with tempfile.TemporaryDirectory() as folder:
         archive = subprocess.run(["git", "archive", revision], cwd=ROOT, check=True, capture_output=True)
         subprocess.run(["tar", "-x", "-C", folder], input=archive.stdout, check=True)
@@ -24,12 +27,12 @@
 
 
 def revision() -> str:
-    """The commit that is measured."""
-    told = subprocess.run(["git", "rev-parse", "--short", "HEAD"], cwd=ROOT, capture_output=True, text=True)
-    return told.stdout.strip()
+    """The abbreviated hash of the commit that is measured."""
+    command = ["git", "rev-parse", "--short", "HEAD"]
+    return subprocess.run(command, cwd=ROOT, capture_output=True, text=True).stdout.strip()
 
 
 def cpu_s(pid: int) -> float:
-    """Seconds of CPU that a process has taken so far, user and system."""
+    """Seconds of CPU that a process has used so far, user and system."""
     fields = Path(f"/proc/{pid}/stat").read_text(encoding="ascii").rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / 100.0
+    return (int(fields[11]) + int(fields[12])) / _TICKS_PER_S
--- a/bench/logging_cost.py
+++ b/bench/logging_cost.py
@@ -1,8 +1,8 @@
-"""CPU per request of one sidecar process with the log as it was, as plain text now, and as JSON now.
+"""CPU per request of one sidecar with the log of an earlier version, with plain text now and with JSON now.
 
-Two loads: healthy servers, and servers that fail a class, so that requests end badly and are logged, at the
-most that closed-loop clients reach.  Variants take turns; a figure is the median of the rounds, in us of
-CPU a request, and its ratio to the version before.  Run from the repository's root:
+Two loads: healthy servers, and servers that fail a class, so that requests fail and are logged at the highest
+rate that closed-loop clients reach.  Variants take turns; a figure is the median of the rounds, in us of CPU
+a request, and its ratio to the earlier version.  Run from the repository's root:
 
     .venv/bin/python bench/logging_cost.py [--before REV] [--rounds K] [--requests N]
 """
@@ -17,84 +17,119 @@
 import tempfile
 import time
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from earlier import ROOT, cpu_s, sources
 
 from sidecar_balancer.observability.logs import LogConfig, configure_logging
 from world import Catalogue, world
 
-_log = logging.getLogger(__name__)
-BEFORE = "51ec53d"  # the last version that logged plain text alone
+log = logging.getLogger(__name__)
+BEFORE = "51ec53d"  # the last version that logged plain text only
+UNLIMITED_LINES = 100_000
 
 
-async def measure(
-    program: Path, changes: dict[str, Any], failing: bool, requests: int
-) -> tuple[float, float]:
-    """CPU us a request, and lines of log a second."""
+class Variant(NamedTuple):
+    """A version of the program, and what its configuration has beside the usual."""
+
+    name: str
+    root: Path
+    changes: dict[str, Any]
+
+
+class Cost(NamedTuple):
+    """What serving took."""
+
+    cpu_us_per_request: float
+    log_lines_per_s: float
+
+
+async def measure(variant: Variant, failing: bool, requests: int) -> Cost:
     servers = [Catalogue(f"a-{number}", "a", work_s=0.002, slots=16) for number in range(6)]
-    for each in servers if failing else ():
-        each.fails = {"pay"}
+    if failing:
+        for server in servers:
+            server.fails = {"pay"}
     with tempfile.TemporaryDirectory() as folder:
-        async with world(Path(folder), 1, servers, "a", clients=16, changes=changes, program=program) as made:
+        stage = world(
+            Path(folder), 1, servers, "a", clients=16, changes=variant.changes, program=variant.root
+        )
+        async with stage as made:
             pid = made.tier.processes[0].pid
             made.load.pay_every = 3
             made.load.start()
-            while len(made.load.answers) < requests // 4:  # past the start
-                await asyncio.sleep(0.01)
+            await made.load.answered(requests // 4)  # past the start
             loop = asyncio.get_running_loop()
-            began, cpu, count = loop.time(), cpu_s(pid), len(made.load.answers)
-            while len(made.load.answers) < count + requests:
-                await asyncio.sleep(0.01)
-            took, spent = loop.time() - began, cpu_s(pid) - cpu
-            done = len(made.load.answers) - count
+            began, cpu_before, count = loop.time(), cpu_s(pid), len(made.load.answers)
+            await made.load.answered(requests)
+            took_s, spent_s = loop.time() - began, cpu_s(pid) - cpu_before
+            answered = len(made.load.answers) - count
             await made.load.stop()
-            lines = (Path(folder) / "n0" / "log").read_bytes().count(b"\n")
-            return 1e6 * spent / done, lines / took
+        lines = (Path(folder) / "n0" / "log").read_bytes().count(b"\n")
+        return Cost(1e6 * spent_s / answered, lines / took_s)
 
 
-def a_line(format: str, lines: int = 5000) -> float:
-    """CPU us to render one line of the log, with all that is told of a request that ended badly."""
-    configure_logging(LogConfig(format=format, lines_per_s=100_000, repeats_per_s=100_000))
+def cpu_us_per_line(log_format: str, lines: int = 5000) -> float:
+    """CPU us to render one line of the log, with the fields of a request that failed."""
+    configure_logging(
+        LogConfig(format=log_format, lines_per_s=UNLIMITED_LINES, repeats_per_s=UNLIMITED_LINES)
+    )
     handler = logging.getLogger().handlers[0]
     assert isinstance(handler, logging.StreamHandler)
     handler.setStream(io.StringIO())
-    about = {"kind": "request_ended", "request": "9b1f03aa5c7e2d41", "class": "look", "status": "500"}
-    about |= {"took_ms": 3.1, "attempts": ["s-1 error 500 3.0 ms"]}  # type: ignore[dict-item]
     began = time.process_time()
     for number in range(lines):
-        _log.info("%s from port %d -> %s", "look", number, "500", extra=about)
+        log.info(
+            "%s from port %d -> %s",
+            "look",
+            number,
+            "500",
+            extra={
+                "event": "request_ended",
+                "request": "9b1f03aa5c7e2d41",
+                "class": "look",
+                "status": "500",
+                "took_ms": 3.1,
+                "attempts": ["s-1 error 500 3.0 ms"],
+            },
+        )
     logging.getLogger().handlers.clear()
     return 1e6 * (time.process_time() - began) / lines
 
 
+def compare(variants: list[Variant], failing: bool, rounds: int, requests: int) -> None:
+    costs: dict[str, list[Cost]] = {variant.name: [] for variant in variants}
+    for _ in range(rounds):
+        for variant in variants:
+            costs[variant.name].append(asyncio.run(measure(variant, failing, requests)))
+    print("servers that fail a class" if failing else "healthy servers")
+    base_us = 0.0
+    for name, measured in costs.items():
+        cpu_us = statistics.median(cost.cpu_us_per_request for cost in measured)
+        lines_per_s = statistics.median(cost.log_lines_per_s for cost in measured)
+        base_us = base_us or cpu_us
+        print(
+            f"  {name:26} {cpu_us:7.0f} us a request  ratio {cpu_us / base_us:.3f}"
+            f"  {lines_per_s:5.0f} lines/s"
+        )
+
+
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__.split("\n\n")[0])
     parser.add_argument("--before", default=BEFORE)
     parser.add_argument("--rounds", type=int, default=5)
     parser.add_argument("--requests", type=int, default=4000)
     args = parser.parse_args()
-    for format in ("plain", "json"):
-        cost = a_line(format)
-        print(f"a line, {format:5} {cost:5.1f} us; 50 a second {50 * cost / 1e6:.3%} of a core")
-    with sources(args.before) as old:
-        variants: dict[str, tuple[Path, dict[str, Any]]] = {
-            f"before ({args.before}), plain": (old, {}),
-            "now, plain": (ROOT, {"logging": {"format": "plain"}}),
-            "now, JSON": (ROOT, {"logging": {"format": "json"}}),
-        }
+    for log_format in ("plain", "json"):
+        cpu_us = cpu_us_per_line(log_format)
+        print(f"a line, {log_format:5} {cpu_us:5.1f} us; 50 a second {50 * cpu_us / 1e6:.3%} of a core")
+    with sources(args.before) as earlier_root:
+        variants = [
+            Variant(f"before ({args.before}), plain", earlier_root, {}),
+            Variant("now, plain", ROOT, {"logging": {"format": "plain"}}),
+            Variant("now, JSON", ROOT, {"logging": {"format": "json"}}),
+        ]
         for failing in (False, True):
-            taken: dict[str, list[tuple[float, float]]] = {name: [] for name in variants}
-            for _ in range(args.rounds):
-                for name, (program, changes) in variants.items():
-                    taken[name].append(asyncio.run(measure(program, changes, failing, args.requests)))
-            base = 0.0
-            print("servers that fail a class" if failing else "healthy servers")
-            for name, each in taken.items():
-                cost = statistics.median(us for us, _ in each)
-                base = base or cost
-                lines = statistics.median(rate for _, rate in each)
-                print(f"  {name:26} {cost:7.0f} us a request  ratio {cost / base:.3f}  {lines:5.0f} lines/s")
+            compare(variants, failing, args.rounds, args.requests)
 
 
 if __name__ == "__main__":
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -1,9 +1,9 @@
 """After kill -9 under load: time to service and failed requests, cold against snapshot against peers.
 
-Three sidecars before twelve servers, of which three are dead though listed and one fails a class: what a
-sidecar that forgot them has to learn anew.  Sidecar 0 is killed and started again; figures from exec on,
-medians over the trials: ms until its door says ready, ms until its first good answer, and of what its
-clients asked in the first seconds the part that failed or came after its aim.
+Three sidecars before twelve servers, of which three never respond though they are listed: what a sidecar
+without state has to learn again.  Sidecar 0 is killed and started.  Figures from exec on, medians over the
+trials: ms until its admin server says ready, ms until its first good response, and the part of its clients'
+requests that failed or missed the latency objective.
 
     .venv/bin/python bench/recovery.py [--trials K] [--span S]
 """
@@ -15,51 +15,99 @@
 import statistics
 import tempfile
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from earlier import revision
 
 from harness import PLANE
-from world import Catalogue, world
+from world import Catalogue, World, world
 
-ON = {"state": {"on": True, "every_ms": 100, "warm_ms": 400}}
-VARIANTS: dict[str, dict[str, Any]] = {"cold": {}, "snapshot": ON, "peers": ON}
-AIM_S = 1.0
+STATE_ON = {"state": {"on": True, "every_ms": 100, "warm_ms": 400}}
+VARIANTS: dict[str, dict[str, Any]] = {"cold": {}, "snapshot": STATE_ON, "peers": STATE_ON}
+LATENCY_OBJECTIVE_S = 1.0
+SILENT_SERVERS = 3
+WARM_UP_RESPONSES = 600
+LEARNING_S = 4.0  # in which the sidecars eject the silent servers and persist that
 
 
-async def trial(variant: str, seed: int, span: float) -> tuple[float, float, int, int, int]:
-    """ms to ready, ms to the first good answer, failed of how many, its attempts at silent servers."""
+class Trial(NamedTuple):
+    """What one restart took."""
+
+    ready_ms: float
+    first_good_ms: float
+    failed: int
+    responses: int
+    sent_to_silent: int
+
+
+async def run_trial(variant: str, seed: int, span_s: float) -> Trial:
     servers = [Catalogue(f"a-{number}", "a", work_s=0.01) for number in range(12)]
+    silent = servers[:SILENT_SERVERS]
     with tempfile.TemporaryDirectory() as folder:
-        given = world(Path(folder), 3, servers, "a", seed, PLANE, 8, VARIANTS[variant])
-        async with given as made:
-            made.load.pay_every = 2
-            made.load.start()
-            while len(made.load.answers) < 600:
-                await asyncio.sleep(0.01)
-            for each in servers[:3]:
-                each.silent = True
-            at = asyncio.get_running_loop().time()
-            while asyncio.get_running_loop().time() < at + 4.0:  # they learn of it, and keep it
-                await asyncio.sleep(0.05)
+        stage = world(Path(folder), 3, servers, "a", seed, PLANE, 8, VARIANTS[variant])
+        async with stage as made:
+            await learn(made, silent)
             await made.tier.kill(0)
-            before = sum(each.met[0] for each in servers[:3])
-            for path in (Path(folder) / "n0").glob("state-*") if variant == "peers" else ():
-                path.unlink()
-            loop = asyncio.get_running_loop()
-            began = loop.time()
+            before = requests_met(silent)
+            if variant == "peers":
+                for path in (Path(folder) / "n0").glob("state-*"):
+                    path.unlink()
+            started_at = asyncio.get_running_loop().time()
             await made.tier.start(0)
-            ready = None
-            while loop.time() < began + span:
-                if ready is None and (await made.tier.call(0, "GET", "/api/ready"))[0] == 200:
-                    ready = 1000 * (loop.time() - began)
-                await asyncio.sleep(0.005 if ready is None else 0.1)
-            met = sum(each.met[0] for each in servers[:3]) - before
+            ready_ms = await measure_readiness(made, started_at, span_s)
+            sent_to_silent = requests_met(silent) - before
             await made.load.stop()
-            mine = [each for each in made.load.since(began) if each.sidecar == 0 and each.status]
-            good = [each for each in mine if each.status == 200 and each.took_s <= AIM_S]
-            first = 1000 * (min(each.at for each in good) - began)
-            return ready or float("nan"), first, len(mine) - len(good), len(mine), met
+            return evaluate(made, started_at, ready_ms, sent_to_silent)
+
+
+async def learn(made: World, silent: list[Catalogue]) -> None:
+    """Load the sidecars, then silence some servers and let the sidecars learn of it."""
+    made.load.pay_every = 2
+    made.load.start()
+    await made.load.answered(WARM_UP_RESPONSES)
+    for server in silent:
+        server.silent = True
+    await asyncio.sleep(LEARNING_S)
+
+
+def requests_met(servers: list[Catalogue]) -> int:
+    """Requests of sidecar 0 that reached the servers."""
+    return sum(server.met[0] for server in servers)
+
+
+async def measure_readiness(made: World, started_at: float, span_s: float) -> float:
+    """Poll for readiness, let the span pass, and return the ms until ready (NaN: never)."""
+    loop = asyncio.get_running_loop()
+    ready_ms = float("nan")
+    while loop.time() < started_at + span_s:
+        status, _ = await made.tier.call(0, "GET", "/api/ready")
+        if status == 200:
+            ready_ms = 1000 * (loop.time() - started_at)
+            break
+        await asyncio.sleep(0.005)
+    await asyncio.sleep(max(started_at + span_s - loop.time(), 0.0))
+    return ready_ms
+
+
+def evaluate(made: World, started_at: float, ready_ms: float, sent_to_silent: int) -> Trial:
+    answers = [answer for answer in made.load.since(started_at) if answer.sidecar == 0 and answer.status]
+    good = [answer for answer in answers if answer.status == 200 and answer.took_s <= LATENCY_OBJECTIVE_S]
+    first_good_ms = 1000 * (min(answer.at for answer in good) - started_at)
+    return Trial(ready_ms, first_good_ms, len(answers) - len(good), len(answers), sent_to_silent)
+
+
+def print_trials(variant: str, trials: list[Trial]) -> None:
+    ready_ms = statistics.median(trial.ready_ms for trial in trials)
+    first_good_ms = statistics.median(trial.first_good_ms for trial in trials)
+    failed = sum(trial.failed for trial in trials)
+    responses = sum(trial.responses for trial in trials)
+    sent_to_silent = sum(trial.sent_to_silent for trial in trials)
+    share = f"{failed} of {responses}"
+    rate = f"{failed / responses:.3%}"
+    print(
+        f"{variant:9} {ready_ms:5.0f} ms {first_good_ms:8.0f} ms {share:>13} {rate:>8} {sent_to_silent:19}",
+        flush=True,
+    )
 
 
 def main() -> None:
@@ -70,12 +118,8 @@
     print(f"program {revision()}, {args.trials} trials")
     print(f"{'start':9} {'ready':>8} {'first good':>11} {'failed or late':>22} {'sent to the silent':>19}")
     for variant in VARIANTS:
-        done = [asyncio.run(trial(variant, seed, args.span)) for seed in range(1, args.trials + 1)]
-        ready, first = (statistics.median(each[at] for each in done) for at in (0, 1))
-        failed, asked, met = (sum(each[at] for each in done) for at in (2, 3, 4))
-        share = f"{failed} of {asked}"
-        rate = f"{failed / asked:.3%}"
-        print(f"{variant:9} {ready:5.0f} ms {first:8.0f} ms {share:>13} {rate:>8} {met:19}", flush=True)
+        trials = [asyncio.run(run_trial(variant, seed, args.span)) for seed in range(1, args.trials + 1)]
+        print_trials(variant, trials)
 
 
 if __name__ == "__main__":
--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -14,9 +14,11 @@
 import json
 import os
 import random
+import shlex
 import signal
 import socket
 import sys
+import tomllib
 from collections.abc import AsyncIterator, Callable
 from dataclasses import dataclass, field
 from functools import partial
@@ -52,6 +54,16 @@
         return found
 
 
+def program_command(root: Path) -> list[str]:
+    """The command of the `run` line in deploy/balancer.toml of the version in `root`, with this interpreter.
+
+    Earlier versions' package had another name.
+    """
+    with (root / "deploy" / "balancer.toml").open("rb") as file:
+        words = shlex.split(tomllib.load(file)["run"])
+    return [sys.executable if word == ".venv/bin/python" else word for word in words if word != "exec"]
+
+
 def text(address: Address) -> str:
     return "{}:{}".format(*address)
 
@@ -160,9 +172,7 @@
         environ = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
         log = open(folder / "log", "ab")
         self.processes[number] = await asyncio.create_subprocess_exec(
-            sys.executable,
-            "-m",
-            "sidecar_balancer",
+            *program_command(self.program),
             cwd=self.program,
             env=environ | {"RELAY_CONFIG": str(path), "TMPDIR": str(folder)},
             stderr=log,
