--- a/sidecar_balancer/__main__.py
+++ b/sidecar_balancer/__main__.py
@@ -69,9 +69,9 @@
         print(f"bad configuration: {error}".replace("\n", " "), file=sys.stderr)
         return EXIT_BAD_CONFIGURATION
     limiter = configure_logging(config.logging)
-    client_lines = LogRateLimiter(_MAX_CLIENT_LOG_LINES_PER_S, _MAX_CLIENT_LOG_LINES_PER_S)
+    client_log_limiter = LogRateLimiter(_MAX_CLIENT_LOG_LINES_PER_S, _MAX_CLIENT_LOG_LINES_PER_S)
     for module in (acceptor, client_connection):
-        module.log.addFilter(client_lines)
+        module.log.addFilter(client_log_limiter)
     gc.freeze()  # what is loaded by now stays, so collections need not look at it
     try:
         with asyncio.Runner(loop_factory=TimedLoop) as runner:
--- a/sidecar_balancer/admin/drain.py
+++ b/sidecar_balancer/admin/drain.py
@@ -26,8 +26,8 @@
             return
         self._is_draining = drain
         if drain:
-            log.info("drain started", extra={"event": "drain_started"})
+            log.info("drain started", extra={"event": "operator_drain_started"})
             self._frontend.drain(IDLE_CLOSE_DELAY_S)
         else:
-            log.info("drain ended", extra={"event": "drain_ended"})
+            log.info("drain ended", extra={"event": "operator_drain_ended"})
             self._frontend.cancel_drain()
