--- a/tests/admin/test_drain.py
+++ b/tests/admin/test_drain.py
@@ -96,9 +96,9 @@
             # Servers can be disabled during a drain.
             assert await call(sidecar_world, "PUT", "/api/exclude/s-0") == 200
             sidecar_world.stop.set()
-            await until(lambda: sidecar_world.sidecar.operations.lifecycle.is_shutting_down)
+            await until(lambda: sidecar_world.sidecar.admin_handlers.lifecycle.is_shutting_down)
             OperatorOverrides(tmp_path).end_drain()
-            sidecar_world.sidecar.operations.apply_stored_overrides()
+            sidecar_world.sidecar.admin_handlers.apply_stored_overrides()
             assert sidecar_world.sidecar.frontend.draining
 
     play(scene())
--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -100,6 +100,6 @@
 def test_without_an_address_there_is_no_admin_server() -> None:
     async def scene() -> None:
         async with world(served) as sidecar_world:
-            assert sidecar_world.sidecar.door is None
+            assert sidecar_world.sidecar.admin_server is None
 
     play(scene())
--- a/tests/observability/test_logs.py
+++ b/tests/observability/test_logs.py
@@ -14,7 +14,7 @@
 from sidecar_balancer.observability.logs import LogConfig, LogRateLimiter, configure_logging
 
 PACKAGE = Path(__file__).parent.parent.parent / "sidecar_balancer"
-WITHOUT_EVENTS_YET = {"runtime/sidecar.py"}
+SOURCES = sorted(PACKAGE.rglob("*.py"))
 LOGGER_NAMES = {"log", "_log", "logger", "logging"}
 LOG_METHODS = {"debug", "info", "warning", "error", "exception", "critical", "log"}
 
@@ -101,11 +101,6 @@
     assert line.endswith("sidecar_balancer.runtime.sidecar told 1")
 
 
-def sources() -> list[Path]:
-    paths = sorted(PACKAGE.rglob("*.py"))
-    return [path for path in paths if str(path.relative_to(PACKAGE)) not in WITHOUT_EVENTS_YET]
-
-
 def calls_without_event(path: Path) -> list[int]:
     """The lines of a source file whose log call gives no event by name."""
     tree = ast.parse(path.read_text(encoding="utf-8"))
@@ -149,6 +144,8 @@
     return "event" in [key.value for key in extra.keys if isinstance(key, ast.Constant)]
 
 
-@pytest.mark.parametrize("path", sources(), ids=lambda path: str(path.relative_to(PACKAGE)))
+@pytest.mark.parametrize(
+    "path", sorted(PACKAGE.rglob("*.py")), ids=lambda path: str(path.relative_to(PACKAGE))
+)
 def test_every_log_call_gives_the_name_of_its_event(path: Path) -> None:
     assert calls_without_event(path) == []
--- a/tests/runtime/test_life.py
+++ b/tests/runtime/test_life.py
@@ -29,7 +29,7 @@
     world,
 )
 from sidecar_balancer.addresses import Address
-from sidecar_balancer.runtime import sidecar
+from sidecar_balancer.runtime import shutdown
 
 ROOT = Path(__file__).parent.parent.parent
 SETTINGS: dict[str, Any] = {
@@ -232,7 +232,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Guards the 0.4 s in which connections still come; made long, so that a slow machine can't miss them.
-    monkeypatch.setattr(sidecar, "_ACCEPT_WHILE_DRAINING_S", 600.0)
+    monkeypatch.setattr(shutdown, "_ACCEPT_WHILE_DRAINING_S", 600.0)
 
     async def scene() -> None:
         async with world(lambda *_: answer(200, b"served")) as sidecar_world:
--- a/tests/support/admin_calls.py
+++ b/tests/support/admin_calls.py
@@ -13,7 +13,7 @@
 
 
 def admin_server(sidecar_world: World) -> AdminServer:
-    server = sidecar_world.sidecar.door
+    server = sidecar_world.sidecar.admin_server
     assert server is not None
     return server
 
