--- a/sidecar_balancer/config/membership.py
+++ b/sidecar_balancer/config/membership.py
@@ -27,4 +27,4 @@
     try:
         return MembershipSettings(**{key: type(defaults[key])(value) for key, value in numbers.items()})
     except (ValueError, OverflowError) as error:  # int() raises both, for an infinity and a NaN
-        raise ConfigurationError(f"peer_plane: {error}") from None
+        raise ConfigurationError(str(error)) from None
