--- a/sidecar_balancer/config/values.py
+++ b/sidecar_balancer/config/values.py
@@ -177,10 +177,3 @@
             if value == each.value:
                 return each
         raise self._error(key, "one of " + ", ".join(str(each.value) for each in kind))
-
-
-def read_bounded_integer(value: object, key: str, low: int, high: int) -> int:
-    """Check an integer of `low` to `high`, written without a fraction; raises ConfigurationError."""
-    if type(value) is not int or not low <= value <= high:
-        raise ConfigurationError(f"{key}: a whole number in {low}..{high} is needed")
-    return value
--- a/sidecar_balancer/relay/config.py
+++ b/sidecar_balancer/relay/config.py
@@ -3,14 +3,12 @@
 from __future__ import annotations
 
 import tomllib
-from collections.abc import Mapping
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
 from sidecar_balancer.addresses import Address
 from sidecar_balancer.config.logs import read_logging
-from sidecar_balancer.config.values import ConfigurationError, ValueReader, read_address, read_bounded_integer
+from sidecar_balancer.config.values import ConfigurationError, ValueReader, read_address
 from sidecar_balancer.observability.logs import LogConfig
 
 MAX_UPSTREAMS = 64
@@ -48,12 +46,13 @@
     """
     with Path(path).open("rb") as file:
         values = tomllib.load(file)
-    ValueReader(values, "configuration", prefix="").reject_unknown(_KEYS)
+    reader = ValueReader(values, "configuration", prefix="")
+    reader.reject_unknown(_KEYS)
     return RelayConfig(
-        listen=read_address(values.get("listen"), "listen"),
+        listen=reader.address("listen"),
         upstreams=_read_upstreams(values.get("upstreams")),
-        admin_address=read_address(values["mgmt"], "mgmt") if "mgmt" in values else None,
-        limits=_read_limits(values),
+        admin_address=reader.address("mgmt") if "mgmt" in reader else None,
+        limits=_read_limits(reader),
         logging=read_logging(values.get("logging")),
     )
 
@@ -67,11 +66,9 @@
     return addresses
 
 
-def _read_limits(values: Mapping[str, Any]) -> RelayLimits:
+def _read_limits(reader: ValueReader) -> RelayLimits:
     defaults = RelayLimits()
-    connections = values.get("connections", defaults.connections)
-    snapshots = values.get("snapshots", defaults.snapshots)
     return RelayLimits(
-        connections=read_bounded_integer(connections, "connections", 1, MAX_CONNECTIONS),
-        snapshots=read_bounded_integer(snapshots, "snapshots", 1, MAX_SNAPSHOTS),
+        connections=reader.exact_integer("connections", defaults.connections, 1, MAX_CONNECTIONS),
+        snapshots=reader.exact_integer("snapshots", defaults.snapshots, 1, MAX_SNAPSHOTS),
     )
