--- a/sidecar_balancer/config/settings.py
+++ b/sidecar_balancer/config/settings.py
@@ -44,12 +44,12 @@
     Raises ConfigurationError, which names the key at fault.
     """
     top = ValueReader(given, "settings", prefix="")
-    classes = tuple(_read_class(each) for each in top.sections("classes"))
+    classes = tuple(_read_class(reader) for reader in top.sections("classes"))
     if not classes:
         raise ConfigurationError("classes: at least one class of requests is needed")
-    tenants = tuple(_read_tenant(each) for each in top.sections("tenants"))
-    _reject_repeated_names("classes", [each.name for each in classes])
-    _reject_repeated_names("tenants", [each.name for each in tenants])
+    tenants = tuple(_read_tenant(reader) for reader in top.sections("tenants"))
+    _reject_repeated_names("classes", [service_class.name for service_class in classes])
+    _reject_repeated_names("tenants", [tenant.name for tenant in tenants])
     report = top.section("report")
     return Settings(
         classes=classes,
--- a/sidecar_balancer/config/values.py
+++ b/sidecar_balancer/config/values.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Collection, Mapping, Sequence
+from collections.abc import Collection, Iterable, Mapping, Sequence
 from enum import Enum
 from typing import Any, TypeVar
 
@@ -61,7 +61,7 @@
             return []
         if not isinstance(value, Sequence) or isinstance(value, (str, bytes)):
             raise self._error(key, "a list")
-        return [ValueReader(each, f"{self._prefix}{key}[{index}]") for index, each in enumerate(value)]
+        return [ValueReader(item, f"{self._prefix}{key}[{index}]") for index, item in enumerate(value)]
 
     def string(self, key: str, default: str | None = None) -> str:
         """Return a string; without a default it is required."""
@@ -89,7 +89,7 @@
         value = self._value(key)
         if value is None:
             return {}
-        if not isinstance(value, Mapping) or not all(isinstance(e, str) for e in [*value, *value.values()]):
+        if not isinstance(value, Mapping) or not _are_strings([*value, *value.values()]):
             raise self._error(key, "a mapping of texts to texts")
         return dict(value)
 
@@ -98,9 +98,7 @@
         value = self._value(key)
         if value is None:
             return ()
-        if not isinstance(value, Sequence) or isinstance(value, str):
-            raise self._error(key, "a list of texts")
-        if not all(isinstance(each, str) for each in value):
+        if not isinstance(value, Sequence) or isinstance(value, str) or not _are_strings(value):
             raise self._error(key, "a list of texts")
         return tuple(value)
 
@@ -173,7 +171,11 @@
         value = self._value(key)
         if value is None:
             return default
-        for each in kind:
-            if value == each.value:
-                return each
-        raise self._error(key, "one of " + ", ".join(str(each.value) for each in kind))
+        for member in kind:
+            if value == member.value:
+                return member
+        raise self._error(key, "one of " + ", ".join(str(member.value) for member in kind))
+
+
+def _are_strings(values: Iterable[object]) -> bool:
+    return all(isinstance(value, str) for value in values)
--- a/sidecar_balancer/config/wire_names.py
+++ b/sidecar_balancer/config/wire_names.py
@@ -89,7 +89,7 @@
     for key, names in _SECTION_NAMES.items():
         section = named.get(key)
         if isinstance(section, list):
-            named[key] = [_renamed(each, names) if isinstance(each, Mapping) else each for each in section]
+            named[key] = [_renamed(item, names) if isinstance(item, Mapping) else item for item in section]
         elif isinstance(section, Mapping):
             named[key] = _renamed(section, names)
     domain = given.get("domain")
--- a/tests/observability/test_logs.py
+++ b/tests/observability/test_logs.py
@@ -41,7 +41,7 @@
 def test_repeats_of_one_event_are_limited_a_second_and_counted() -> None:
     limiter = LogRateLimiter(5, 3)
     records = [record(created, "lost") for created in (7.0, 7.1, 7.2, 7.3, 7.9, 8.0)]
-    assert [limiter.filter(each) for each in records] == [True, True, True, False, False, True]
+    assert [limiter.filter(line) for line in records] == [True, True, True, False, False, True]
     assert limiter.suppressed == 2
     assert vars(records[-1])["suppressed"] == 2
 
@@ -50,7 +50,7 @@
     limiter = LogRateLimiter(5, 3)
     assert limiter.filter(record(8.0, "lost"))
     others = [record(8.5, f"event_{letter}") for letter in "abcdef"]
-    assert [limiter.filter(each) for each in others] == [True] * 4 + [False] * 2
+    assert [limiter.filter(line) for line in others] == [True] * 4 + [False] * 2
 
 
 def test_a_json_line_has_its_event_and_the_fields_of_the_event(
