--- a/bench/logging_cost.py
+++ b/bench/logging_cost.py
@@ -22,7 +22,8 @@
 from earlier import ROOT, cpu_s, sources
 
 from sidecar_balancer.observability.logs import LogConfig, configure_logging
-from world import Catalogue, world
+from stub_cluster import running_cluster
+from stub_servers import StubServer
 
 log = logging.getLogger(__name__)
 BEFORE = "51ec53d"  # the last version that logged plain text only
@@ -45,25 +46,30 @@
 
 
 async def measure(variant: Variant, failing: bool, requests: int) -> Cost:
-    servers = [Catalogue(f"a-{number}", "a", work_s=0.002, slots=16) for number in range(6)]
+    servers = [StubServer(f"a-{number}", "a", work_s=0.002, slots=16) for number in range(6)]
     if failing:
         for server in servers:
-            server.fails = {"pay"}
+            server.failing_classes = {"pay"}
     with tempfile.TemporaryDirectory() as folder:
-        stage = world(
-            Path(folder), 1, servers, "a", clients=16, changes=variant.changes, program=variant.root
-        )
-        async with stage as made:
-            pid = made.tier.processes[0].pid
-            made.load.pay_every = 3
-            made.load.start()
-            await made.load.answered(requests // 4)  # past the start
+        async with running_cluster(
+            Path(folder),
+            1,
+            servers,
+            "a",
+            clients=16,
+            config_changes=variant.changes,
+            program_folder=variant.root,
+        ) as cluster:
+            pid = cluster.tier.processes[0].pid
+            cluster.load.requests_per_payment = 3
+            cluster.load.start()
+            await cluster.load.wait_for_responses(requests // 4)  # past the start
             loop = asyncio.get_running_loop()
-            began, cpu_before, count = loop.time(), cpu_s(pid), len(made.load.answers)
-            await made.load.answered(requests)
+            began, cpu_before, count = loop.time(), cpu_s(pid), len(cluster.load.responses)
+            await cluster.load.wait_for_responses(requests)
             took_s, spent_s = loop.time() - began, cpu_s(pid) - cpu_before
-            answered = len(made.load.answers) - count
-            await made.load.stop()
+            answered = len(cluster.load.responses) - count
+            await cluster.load.stop()
         lines = (Path(folder) / "n0" / "log").read_bytes().count(b"\n")
         return Cost(1e6 * spent_s / answered, lines / took_s)
 
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -19,8 +19,9 @@
 
 from earlier import revision
 
-from harness import PLANE
-from world import Catalogue, World, world
+from harness import MEMBERSHIP_ON
+from stub_cluster import Cluster, running_cluster
+from stub_servers import StubServer
 
 STATE_ON = {"state": {"on": True, "every_ms": 100, "warm_ms": 400}}
 VARIANTS: dict[str, dict[str, Any]] = {"cold": {}, "snapshot": STATE_ON, "peers": STATE_ON}
@@ -41,47 +42,48 @@
 
 
 async def run_trial(variant: str, seed: int, span_s: float) -> Trial:
-    servers = [Catalogue(f"a-{number}", "a", work_s=0.01) for number in range(12)]
+    servers = [StubServer(f"a-{number}", "a", work_s=0.01) for number in range(12)]
     silent = servers[:SILENT_SERVERS]
     with tempfile.TemporaryDirectory() as folder:
-        stage = world(Path(folder), 3, servers, "a", seed, PLANE, 8, VARIANTS[variant])
-        async with stage as made:
-            await learn(made, silent)
-            await made.tier.kill(0)
+        async with running_cluster(
+            Path(folder), 3, servers, "a", seed, MEMBERSHIP_ON, 8, VARIANTS[variant]
+        ) as cluster:
+            await learn(cluster, silent)
+            await cluster.tier.kill(0)
             before = requests_met(silent)
             if variant == "peers":
                 for path in (Path(folder) / "n0").glob("state-*"):
                     path.unlink()
             started_at = asyncio.get_running_loop().time()
-            await made.tier.start(0)
-            ready_ms = await measure_readiness(made, started_at, span_s)
+            await cluster.tier.start(0)
+            ready_ms = await measure_readiness(cluster, started_at, span_s)
             sent_to_silent = requests_met(silent) - before
-            await made.load.stop()
-            return evaluate(made, started_at, ready_ms, sent_to_silent)
+            await cluster.load.stop()
+            return evaluate(cluster, started_at, ready_ms, sent_to_silent)
 
 
-async def learn(made: World, silent: list[Catalogue]) -> None:
+async def learn(cluster: Cluster, silent: list[StubServer]) -> None:
     """Load the sidecars, then silence some servers and let the sidecars learn of it."""
-    made.load.pay_every = 2
-    made.load.start()
-    await made.load.answered(WARM_UP_RESPONSES)
+    cluster.load.requests_per_payment = 2
+    cluster.load.start()
+    await cluster.load.wait_for_responses(WARM_UP_RESPONSES)
     for server in silent:
-        server.silent = True
+        server.unresponsive = True
     await asyncio.sleep(LEARNING_S)
 
 
-def requests_met(servers: list[Catalogue]) -> int:
+def requests_met(servers: list[StubServer]) -> int:
     """Requests of sidecar 0 that reached the servers."""
-    return sum(server.met[0] for server in servers)
+    return sum(server.attempts_by_sidecar[0] for server in servers)
 
 
-async def measure_readiness(made: World, started_at: float, span_s: float) -> float:
+async def measure_readiness(cluster: Cluster, started_at: float, span_s: float) -> float:
     """Poll for readiness, let the span pass, and return the ms until ready (NaN: never)."""
     loop = asyncio.get_running_loop()
     ready_ms = float("nan")
     while loop.time() < started_at + span_s:
-        status, _ = await made.tier.call(0, "GET", "/api/ready")
-        if status == 200:
+        response = await cluster.tier.call_admin(0, "GET", "/api/ready")
+        if response.status == 200:
             ready_ms = 1000 * (loop.time() - started_at)
             break
         await asyncio.sleep(0.005)
@@ -89,11 +91,18 @@
     return ready_ms
 
 
-def evaluate(made: World, started_at: float, ready_ms: float, sent_to_silent: int) -> Trial:
-    answers = [answer for answer in made.load.since(started_at) if answer.sidecar == 0 and answer.status]
-    good = [answer for answer in answers if answer.status == 200 and answer.took_s <= LATENCY_OBJECTIVE_S]
-    first_good_ms = 1000 * (min(answer.at for answer in good) - started_at)
-    return Trial(ready_ms, first_good_ms, len(answers) - len(good), len(answers), sent_to_silent)
+def evaluate(cluster: Cluster, started_at: float, ready_ms: float, sent_to_silent: int) -> Trial:
+    responses = [
+        response for response in cluster.load.since(started_at) if response.sidecar == 0 and response.status
+    ]
+    good = [
+        response
+        for response in responses
+        if response.status == 200 and response.took_s <= LATENCY_OBJECTIVE_S
+    ]
+    first_good_ms = 1000 * (min(response.at_s for response in good) - started_at)
+    failed = len(responses) - len(good)
+    return Trial(ready_ms, first_good_ms, failed, len(responses), sent_to_silent)
 
 
 def print_trials(variant: str, trials: list[Trial]) -> None:
--- a/tests/admin/test_views.py
+++ b/tests/admin/test_views.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from helpers import Stage
+from helpers import BalancerDriver
 from sidecar_balancer.admin.views import servers_view
 from sidecar_balancer.policy.types import ServerVerdict
 
@@ -20,14 +20,14 @@
     ],
 )
 def test_published_verdicts_keep_their_names_in_the_api(verdict: ServerVerdict, name: str) -> None:
-    stage = Stage()
-    stage.servers(["s-1"])
-    stage.balancer.servers["s-1"].published_verdicts["look"] = verdict
-    assert servers_view(stage.balancer, stage.now)["s-1"]["told"] == {"look": name}
+    driver = BalancerDriver()
+    driver.receive_list(["s-1"])
+    driver.balancer.servers["s-1"].published_verdicts["look"] = verdict
+    assert servers_view(driver.balancer, driver.now)["s-1"]["told"] == {"look": name}
 
 
 def test_a_verdict_on_all_classes_is_named_all() -> None:
-    stage = Stage()
-    stage.servers(["s-1"])
-    stage.balancer.servers["s-1"].published_verdicts[None] = ServerVerdict.EJECTED
-    assert servers_view(stage.balancer, stage.now)["s-1"]["told"] == {"all": "ejected"}
+    driver = BalancerDriver()
+    driver.receive_list(["s-1"])
+    driver.balancer.servers["s-1"].published_verdicts[None] = ServerVerdict.EJECTED
+    assert servers_view(driver.balancer, driver.now)["s-1"]["told"] == {"all": "ejected"}
--- a/tests/cluster/test_cli.py
+++ b/tests/cluster/test_cli.py
@@ -10,8 +10,9 @@
 
 import pytest
 
-from harness import ROOT, Tier, free_ports, new_host, play, text, tier
-from world import Catalogue, world
+from harness import ROOT, Tier, free_ports, new_host, running_tier, scenario, text
+from stub_cluster import running_cluster
+from stub_servers import StubServer
 
 
 class Completed(NamedTuple):
@@ -41,66 +42,58 @@
     return await sidecars.members(0) is not None
 
 
-def test_the_command_calls_the_admin_server_of_an_address_or_a_configuration(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with tier(2, tmp_path, seed=17) as sidecars:
-            address = text(sidecars.doors[0])
-            await sidecars.until(lambda: _answers(sidecars))
-            members = await run("members", "--door", address)
-            assert members.code == 0
-            assert json.loads(members.out)["me"] == 0
-            assert (await run("ban", "s-1", "--door", address))[:2] == (0, "yes\n")
-            members = await run("members", "--config", str(tmp_path / "n0" / "config.json"))
-            assert members.code == 0
-            assert json.loads(members.out)["excluded"] == ["s-1"]
-            rejected = await run("ban", "nobody", "--door", address)
-            assert rejected.code == 1
-            assert rejected.out.startswith("no (404)")
-
-    play(scene())
-
-
-def test_an_address_where_nothing_listens_is_one_line_and_exit_code_1() -> None:
-    async def scene() -> None:
-        nowhere = text(free_ports(new_host(), 1)[0])
-        completed = await run("members", "--door", nowhere, "--wait", "1")
-        assert completed.code == 1
-        assert len(completed.err.splitlines()) == 1
-        assert "did not answer" in completed.err
-
-    play(scene())
-
-
-def test_without_an_address_the_exit_code_is_2() -> None:
-    async def scene() -> None:
-        completed = await run("drain")
-        assert completed.code == 2
-        assert completed.err.startswith("no door")
-
-    play(scene())
-
-
-def test_the_views_show_the_state_of_a_sidecar_under_load(tmp_path: Path) -> None:
-    async def scene() -> None:
-        servers = [Catalogue("a-0", "a"), Catalogue("b-0", "b")]
-        locality = {"locality": {"on": True}}
-        async with world(tmp_path, 1, servers, "a", changes=locality) as made:
-            address = text(made.tier.doors[0])
-            made.load.start()
-            await made.load.answered(100)
-            await made.load.stop()
-            good = sum(answer.status == 200 for answer in made.load.answers)
-            await _assert_status(address, good)
-            shown = await run("servers", "--door", address)
-            assert shown.code == 0
-            assert {"a-0", "b-0"} <= {line.split(" ")[0] for line in shown.out.splitlines()}
-            shown = await run("zones", "--door", address)
-            assert shown.code == 0
-            assert "here: a" in shown.out
-            assert "failed_share" in shown.out
-            assert (await run("duties", "--door", address)).code == 1  # leases are off
-
-    play(scene())
+@scenario
+async def test_the_command_calls_the_admin_server_of_an_address_or_a_configuration(tmp_path: Path) -> None:
+    async with running_tier(2, tmp_path, seed=17) as sidecars:
+        address = text(sidecars.admin_addresses[0])
+        await sidecars.wait_until(lambda: _answers(sidecars))
+        members = await run("members", "--door", address)
+        assert members.code == 0
+        assert json.loads(members.out)["me"] == 0
+        assert (await run("ban", "s-1", "--door", address))[:2] == (0, "yes\n")
+        members = await run("members", "--config", str(tmp_path / "n0" / "config.json"))
+        assert members.code == 0
+        assert json.loads(members.out)["excluded"] == ["s-1"]
+        rejected = await run("ban", "nobody", "--door", address)
+        assert rejected.code == 1
+        assert rejected.out.startswith("no (404)")
+
+
+@scenario
+async def test_an_address_where_nothing_listens_is_one_line_and_exit_code_1() -> None:
+    nowhere = text(free_ports(new_host(), 1)[0])
+    completed = await run("members", "--door", nowhere, "--wait", "1")
+    assert completed.code == 1
+    assert len(completed.err.splitlines()) == 1
+    assert "did not answer" in completed.err
+
+
+@scenario
+async def test_without_an_address_the_exit_code_is_2() -> None:
+    completed = await run("drain")
+    assert completed.code == 2
+    assert completed.err.startswith("no door")
+
+
+@scenario
+async def test_the_views_show_the_state_of_a_sidecar_under_load(tmp_path: Path) -> None:
+    servers = [StubServer("a-0", "a"), StubServer("b-0", "b")]
+    locality = {"locality": {"on": True}}
+    async with running_cluster(tmp_path, 1, servers, "a", config_changes=locality) as cluster:
+        address = text(cluster.tier.admin_addresses[0])
+        cluster.load.start()
+        await cluster.load.wait_for_responses(100)
+        await cluster.load.stop()
+        good = sum(response.status == 200 for response in cluster.load.responses)
+        await _assert_status(address, good)
+        shown = await run("servers", "--door", address)
+        assert shown.code == 0
+        assert {"a-0", "b-0"} <= {line.split(" ")[0] for line in shown.out.splitlines()}
+        shown = await run("zones", "--door", address)
+        assert shown.code == 0
+        assert "here: a" in shown.out
+        assert "failed_share" in shown.out
+        assert (await run("duties", "--door", address)).code == 1  # leases are off
 
 
 async def _assert_status(address: str, good: int) -> None:
@@ -126,38 +119,34 @@
     ],
     ids=["good", "membership", "listen and logging", "locality and unknown", "leases and state"],
 )
-def test_check_config_prints_ok_or_a_line_for_each_fault(
+@scenario
+async def test_check_config_prints_ok_or_a_line_for_each_fault(
     tmp_path: Path, changes: dict[str, Any], faults: list[str]
 ) -> None:
-    async def scene() -> None:
-        sidecars = Tier(1, tmp_path)
-        await sidecars.open()
-        path = tmp_path / "config.json"
-        path.write_text(json.dumps(sidecars.config(0) | changes), encoding="utf-8")
-        completed = await run("check-config", str(path))
-        lines = completed.err.splitlines()
-        assert (completed.code, completed.out) == ((2, "") if faults else (0, "ok\n"))
-        assert len(lines) == len(faults)
-        for line, name in zip(lines, faults, strict=True):
-            assert line.startswith("bad configuration: ")
-            assert name in line
-        await sidecars.close()
-
-    play(scene())
-
-
-def test_an_admin_server_that_never_answers_is_waited_for_no_longer_than_the_limit() -> None:
-    async def scene() -> None:
-        async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await reader.read()
-            writer.close()
-
-        server = await asyncio.start_server(silent, "127.0.0.1", 0)
-        address = text(server.sockets[0].getsockname()[:2])
-        completed = await run("status", "--door", address, "--wait", "0.2")
-        assert (completed.code, completed.out) == (1, "")
-        assert len(completed.err.splitlines()) == 1
-        assert "timed out" in completed.err
-        server.close()
-
-    play(scene())
+    sidecars = Tier(1, tmp_path)
+    await sidecars.open()
+    path = tmp_path / "config.json"
+    path.write_text(json.dumps(sidecars.config(0) | changes), encoding="utf-8")
+    completed = await run("check-config", str(path))
+    lines = completed.err.splitlines()
+    assert (completed.code, completed.out) == ((2, "") if faults else (0, "ok\n"))
+    assert len(lines) == len(faults)
+    for line, name in zip(lines, faults, strict=True):
+        assert line.startswith("bad configuration: ")
+        assert name in line
+    await sidecars.close()
+
+
+@scenario
+async def test_an_admin_server_that_never_answers_is_waited_for_no_longer_than_the_limit() -> None:
+    async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.read()
+        writer.close()
+
+    server = await asyncio.start_server(silent, "127.0.0.1", 0)
+    address = text(server.sockets[0].getsockname()[:2])
+    completed = await run("status", "--door", address, "--wait", "0.2")
+    assert (completed.code, completed.out) == (1, "")
+    assert len(completed.err.splitlines()) == 1
+    assert "timed out" in completed.err
+    server.close()
--- a/tests/discovery/test_poll_timing.py
+++ b/tests/discovery/test_poll_timing.py
@@ -12,13 +12,13 @@
 import pytest
 
 from discovery_world import balancer_of, served
-from helpers import START, S, Stage, names, settings
+from helpers import START, BalancerDriver, S, server_names, settings
 from loopback import answer, ask, request, until, world
 from sidecar_balancer.discovery import watch_state
 from sidecar_balancer.policy.actions import WatchEndpoints
 from sidecar_balancer.policy.events import EndpointListReceived
 from sidecar_balancer.policy.types import ListKind, ServerState
-from virtual import RunScene
+from virtual import RunScenario
 
 IN_FORCE_S = 6.0  # after discovery had a change and could be reached
 RESPONSE_S = 2.0  # discovery responds to a request or fails it within this
@@ -28,12 +28,12 @@
 READINESS_REQUEST = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-def seconds_to_next_poll(stage: Stage) -> float:
+def seconds_to_next_poll(driver: BalancerDriver) -> float:
     """Let time pass until discovery is polled once more; return how long that took."""
-    started_at, polls = stage.now, len(stage.said(WatchEndpoints))
-    while len(stage.said(WatchEndpoints)) == polls:
-        stage.wait(S // 100)
-    return (stage.now - started_at) / S
+    started_at, polls = driver.now, len(driver.actions_of(WatchEndpoints))
+    while len(driver.actions_of(WatchEndpoints)) == polls:
+        driver.advance(S // 100)
+    return (driver.now - started_at) / S
 
 
 @pytest.mark.parametrize("poll_interval_us", [1 * S, 10 * S, 60 * S])
@@ -43,14 +43,14 @@
 ) -> None:
     longest_s = 0.0
     for seed in range(12):
-        stage = Stage(
+        driver = BalancerDriver(
             settings(fleet_size=fleet_size, rules={"poll_interval_us": poll_interval_us}), seed=seed
         )
-        stage.servers(names(2), ListKind.CACHED)
-        longest_s = max(longest_s, 0.0 if stage.said(WatchEndpoints) else seconds_to_next_poll(stage))
+        driver.receive_list(server_names(2), ListKind.CACHED)
+        longest_s = max(longest_s, 0.0 if driver.actions_of(WatchEndpoints) else seconds_to_next_poll(driver))
         for _ in range(FAILED_POLLS):
-            stage.play(EndpointListReceived(ListKind.FAILED))
-            longest_s = max(longest_s, seconds_to_next_poll(stage))
+            driver.feed(EndpointListReceived(ListKind.FAILED))
+            longest_s = max(longest_s, seconds_to_next_poll(driver))
     # Discovery comes back just after a poll failed: the wait, the next poll and its response follow.
     assert longest_s + RESPONSE_S + MARGIN_S <= IN_FORCE_S
 
@@ -59,10 +59,10 @@
 def test_waits_after_failures_spread_the_polls_of_a_large_fleet(fleet_size: int) -> None:
     polled_at = []
     for seed in range(100):
-        stage = Stage(settings(fleet_size=fleet_size), seed=seed)
-        stage.servers(names(2))
-        stage.play(EndpointListReceived(ListKind.FAILED))  # all watches end together as discovery goes down
-        polled_at.append(seconds_to_next_poll(stage))
+        driver = BalancerDriver(settings(fleet_size=fleet_size), seed=seed)
+        driver.receive_list(server_names(2))
+        driver.feed(EndpointListReceived(ListKind.FAILED))  # all watches end together as discovery goes down
+        polled_at.append(seconds_to_next_poll(driver))
     busiest = max(sum(start <= at < start + 0.5 for at in polled_at) for start in polled_at)
     assert busiest <= 35  # of 100 in any half second
 
@@ -70,9 +70,9 @@
 @pytest.mark.parametrize("failures", [1, 3, 7])
 @pytest.mark.parametrize("fleet_size", FLEET_SIZES)
 def test_a_drain_is_in_force_in_time_when_discovery_comes_back(
-    fleet_size: int, failures: int, on_virtual_clock: RunScene
+    fleet_size: int, failures: int, on_virtual_clock: RunScenario
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
         async with world(served, drained=True, fleet_size=fleet_size) as w:
             for polls in range(1, failures + 1):
@@ -86,15 +86,15 @@
             await until(lambda: balancer_of(w).servers["s-0"].state is ServerState.DRAINING)
             assert loop.time() - back_at <= IN_FORCE_S - MARGIN_S
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 def test_idle_clients_that_use_up_the_descriptors_keep_no_poll_out(
-    on_virtual_clock: RunScene, monkeypatch: pytest.MonkeyPatch
+    on_virtual_clock: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(watch_state, "MIN_WAIT_MS", 100)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served, drained=True, sockets=96) as w:  # 16 of them are for clients
             await until(lambda: w.discovery.targets)
             w.discovery.answers.put_nowait(answer(503, b""))
@@ -112,15 +112,15 @@
                 status, _, _ = await ask(w.sidecar.frontend.address, request())
                 assert status == 200
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
 @pytest.mark.parametrize("is_unresponsive", [True, False], ids=["unresponsive", "down"])
 def test_a_start_does_not_wait_for_discovery(
-    mode: str, is_unresponsive: bool, on_virtual_clock: RunScene
+    mode: str, is_unresponsive: bool, on_virtual_clock: RunScenario
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         started_at = asyncio.get_running_loop().time()
         async with world(served, drained=True, discovery=mode, fleet_size=200) as w:
             if not is_unresponsive:
@@ -132,14 +132,14 @@
             status, _, _ = await ask(w.sidecar.frontend.address, request())
             assert status == 200  # by the configured list
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("fleet_size", FLEET_SIZES)
 def test_the_first_poll_of_a_fleet_of_any_size_comes_within_the_bound(fleet_size: int) -> None:
     for seed in range(20):
-        stage = Stage(settings(fleet_size=fleet_size), seed=seed)
-        stage.servers(names(2), ListKind.CACHED)
-        if not stage.said(WatchEndpoints):
-            seconds_to_next_poll(stage)
-        assert (stage.now - START) / S + RESPONSE_S + MARGIN_S <= IN_FORCE_S
+        driver = BalancerDriver(settings(fleet_size=fleet_size), seed=seed)
+        driver.receive_list(server_names(2), ListKind.CACHED)
+        if not driver.actions_of(WatchEndpoints):
+            seconds_to_next_poll(driver)
+        assert (driver.now - START) / S + RESPONSE_S + MARGIN_S <= IN_FORCE_S
--- a/tests/runtime/test_close_range.py
+++ b/tests/runtime/test_close_range.py
@@ -17,7 +17,7 @@
 import h11
 import pytest
 
-from helpers import SAFE, UNSAFE, S
+from helpers import IDEMPOTENT, NON_IDEMPOTENT, S
 from loopback import (
     FakeDiscovery,
     FakeServer,
@@ -50,7 +50,7 @@
 from sidecar_balancer.upstream.endpoint_pool import EndpointPool
 from sidecar_balancer.upstream.exchange import Exchange, UpstreamRequest
 from sidecar_balancer.upstream.server_connection import ServerConnection
-from virtual import play_on_clock, stall
+from virtual import run_on_virtual_clock, stall
 
 GRACE_S = 0.55  # of a drain, with the slack of the rules
 SILENT_S = 6.0  # what a watch that fell silent misses counts as told so long after
@@ -61,7 +61,7 @@
 
 @pytest.fixture
 def on_clock(monkeypatch: pytest.MonkeyPatch) -> Play:
-    return lambda scene: play_on_clock(scene, monkeypatch)
+    return lambda scene: run_on_virtual_clock(scene, monkeypatch)
 
 
 @contextlib.contextmanager
@@ -711,7 +711,7 @@
 
     async def scene() -> None:
         limits = {"max_attempts": 3, "may_cancel": False}
-        classes = [SAFE | {"deadline_us": 2 * S}, UNSAFE | {"deadline_us": 4 * S}]
+        classes = [IDEMPOTENT | {"deadline_us": 2 * S}, NON_IDEMPOTENT | {"deadline_us": 4 * S}]
         async with world(hung, drained=True, limits=limits, classes=classes) as w:
             client = Client(w)
             client.send(request(budget="1.0"))
@@ -831,7 +831,7 @@
                 else:
                     await until(w.sent)
                 seen, earlier = len(w.sent()), len(balancer.actions)
-                balancer.placement.place(w.sidecar._engine.clock.now(), asked)  # a hedged request
+                balancer.components.placement.place(w.sidecar._engine.clock.now(), asked)  # a hedged request
                 w.sidecar._engine.execute(balancer.actions[earlier:])
                 await until(lambda: len(w.sent()) > seen)
                 name = asked.attempts[1].server.name
@@ -893,7 +893,7 @@
 ) -> None:
     async def scene() -> None:
         async with world(hung, hung, drained=True) as w:
-            requests, failed = w.sidecar._engine.balancer.requests, list[int]()
+            requests, failed = w.sidecar._engine.balancer.components.requests, list[int]()
             real = requests.finish
 
             def finish(given: Any) -> None:
@@ -921,7 +921,7 @@
 ) -> None:
     async def scene() -> None:
         async with world(hung, drained=True) as w:
-            timers = w.sidecar._engine.balancer.timers
+            timers = w.sidecar._engine.balancer.components.timers
             real = timers.pop_due
 
             def fails(_: int) -> None:
@@ -947,7 +947,7 @@
             def fails(_now: int, _request: object) -> None:
                 raise ZeroDivisionError
 
-            placement = w.sidecar._engine.balancer.placement
+            placement = w.sidecar._engine.balancer.components.placement
             real = placement.place
             monkeypatch.setattr(placement, "place", fails)
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
@@ -965,7 +965,7 @@
 ) -> None:
     async def scene() -> None:
         async with world(hung, drained=True) as w:
-            timers = w.sidecar._engine.balancer.timers
+            timers = w.sidecar._engine.balancer.components.timers
             real = timers.arm
 
             def fails(*_: object) -> None:
@@ -1145,7 +1145,7 @@
             w.sidecar._discovery._notify_failure_soon(timed_out=True)  # it is told in the next turn
             w.move_discovery(moved.address)
             await until(lambda: moved.targets)
-            schedule = w.sidecar._engine.balancer.discovery
+            schedule = w.sidecar._engine.balancer.components.discovery
             assert schedule.failed_calls == schedule.unanswered_watches == 0
             await moved.end()
 
@@ -1191,7 +1191,7 @@
 
 def test_what_is_held_at_the_last_moment_is_answered_on_the_wire(on_clock: Play) -> None:
     async def scene() -> None:
-        async with world(hung, classes=[UNSAFE | {"deadline_us": 60 * S}]) as w:
+        async with world(hung, classes=[NON_IDEMPOTENT | {"deadline_us": 60 * S}]) as w:
             client = Client(w)
             client.send(request("pay", body=b"x", budget="50") + b"unread" * 100)
             await until(w.sent)
@@ -1211,7 +1211,7 @@
 @pytest.mark.parametrize("version", [b"HTTP/1.0", b"HTTP/1.1"])
 def test_a_long_answer_that_the_exit_cuts_off_is_visibly_broken(on_clock: Play, version: bytes) -> None:
     async def scene() -> None:
-        async with world(hung, classes=[SAFE | {"deadline_us": 1 * S}]) as w:
+        async with world(hung, classes=[IDEMPOTENT | {"deadline_us": 1 * S}]) as w:
             client = Client(w)
             client.send(request(budget="1.0").replace(b"HTTP/1.1", version))
             await until(w.sent)
@@ -1313,7 +1313,10 @@
 
 
 def test_two_sidecars_of_one_process_go_each_by_its_own_settings(on_clock: Play) -> None:
-    other = [UNSAFE | {"name": "look", "deadline_us": 1 * S}, SAFE | {"name": "pay"}]
+    other = [
+        NON_IDEMPOTENT | {"name": "look", "deadline_us": 1 * S},
+        IDEMPOTENT | {"name": "pay"},
+    ]
     limits = {"max_attempts": 1, "may_hedge": False, "may_cancel": False}
 
     async def scene() -> None:
--- a/tests/upstream/test_attempts.py
+++ b/tests/upstream/test_attempts.py
@@ -29,7 +29,7 @@
 from sidecar_balancer.upstream.exchange import Exchange, UpstreamRequest
 from sidecar_balancer.upstream.load_report import parse_load_report
 from sidecar_balancer.upstream.response import Response, classify_outcome
-from virtual import play_on_clock
+from virtual import run_on_virtual_clock
 
 
 def served(*_: object) -> bytes:
@@ -196,7 +196,7 @@
                 await asyncio.sleep(endpoint_pool._REUSE_DELAY_S)
             assert len(w.servers[0].writers) == 1
 
-    play_on_clock(scene(), monkeypatch)
+    run_on_virtual_clock(scene(), monkeypatch)
 
 
 # Guards against a request that is written to a connection which its server has already ended.
