--- a/tests/admin/test_disabled_servers.py
+++ b/tests/admin/test_disabled_servers.py
@@ -4,7 +4,7 @@
 
 from pathlib import Path
 
-from admin_calls import balancer, call, served
+from admin_calls import call, disabled_servers, served, wait_until_disabled
 from loopback import World, play, until, world
 from sidecar_balancer.admin.overrides import OperatorOverrides
 
@@ -54,11 +54,11 @@
     async def scene() -> None:
         async with world(served, orders=tmp_path) as one, world(served, orders=tmp_path) as two:
             assert await call(one, "PUT", "/api/exclude/s-0") == 200
-            await until(lambda: balancer(two).disabled_servers == {"s-0"})
+            await wait_until_disabled(two, {"s-0"})
             assert await call(two, "PUT", "/api/evacuate") == 200
             await until(lambda: one.sidecar.frontend.draining)
             assert await call(two, "PUT", "/api/include/s-0") == 200
-            await until(lambda: not balancer(one).disabled_servers)
+            await wait_until_disabled(one, set())
 
     play(scene())
 
@@ -68,7 +68,7 @@
         (tmp_path / "excluded").write_text("junk")
         async with world(served, orders=tmp_path) as sidecar_world:
             assert await call(sidecar_world, "PUT", "/api/exclude/s-0") == 500
-            assert not balancer(sidecar_world).disabled_servers
+            assert await disabled_servers(sidecar_world) == set()
             assert (await sidecar_world.ask())[0] == 200
 
     play(scene())
--- a/tests/support/admin_calls.py
+++ b/tests/support/admin_calls.py
@@ -2,9 +2,11 @@
 
 from __future__ import annotations
 
-from loopback import World, answer, ask, request
+import asyncio
+import json
+
+from loopback import PATIENCE_S, World, answer, ask, request
 from sidecar_balancer.admin.server import AdminServer
-from sidecar_balancer.policy.balancer import Balancer
 
 
 def served(*_: object) -> bytes:
@@ -29,5 +31,15 @@
     return (await ask(sidecar_world.sidecar.frontend.address, request(path="/health/ready")))[0]
 
 
-def balancer(sidecar_world: World) -> Balancer:
-    return sidecar_world.sidecar._engine.balancer
+async def disabled_servers(sidecar_world: World) -> set[str]:
+    """Return the listed servers that the balancer holds as disabled."""
+    data = b"GET /api/servers HTTP/1.1\r\nHost: ops\r\n\r\n"
+    _, _, body = await ask(admin_server(sidecar_world).address, data)
+    return {name for name, server in json.loads(body).items() if server["excluded"]}
+
+
+async def wait_until_disabled(sidecar_world: World, servers: set[str]) -> None:
+    """Wait until these of the listed servers are disabled and no others."""
+    async with asyncio.timeout(PATIENCE_S):
+        while await disabled_servers(sidecar_world) != servers:
+            pass
