--- a/tests/observability/test_logs.py
+++ b/tests/observability/test_logs.py
@@ -149,3 +149,23 @@
 )
 def test_every_log_call_gives_the_name_of_its_event(path: Path) -> None:
     assert calls_without_event(path) == []
+
+
+def events_in(path: Path) -> set[str]:
+    """The events that a source file's dicts name."""
+    dicts = [
+        node for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))) if isinstance(node, ast.Dict)
+    ]
+    pairs = [pair for node in dicts for pair in zip(node.keys, node.values, strict=True)]
+    return {
+        str(value.value)
+        for key, value in pairs
+        if isinstance(key, ast.Constant) and key.value == "event" and isinstance(value, ast.Constant)
+    }
+
+
+def test_every_event_is_listed_on_the_on_call_page() -> None:
+    page = (PACKAGE.parent / "docs" / "on-call.md").read_text(encoding="utf-8")
+    events = set().union(*(events_in(path) for path in SOURCES))
+    assert len(events) > 40
+    assert [event for event in sorted(events) if f"| `{event}` |" not in page] == []
