--- a/sidecar_balancer/admin/lifecycle.py
+++ b/sidecar_balancer/admin/lifecycle.py
@@ -2,12 +2,10 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 
-
-@dataclass(slots=True)
 class Lifecycle:
     """Written by the sidecar, read by the admin handlers."""
 
-    accepts_clients: bool = False
-    is_shutting_down: bool = False
+    def __init__(self) -> None:
+        self.accepts_clients = False
+        self.is_shutting_down = False
--- a/sidecar_balancer/config/loading.py
+++ b/sidecar_balancer/config/loading.py
@@ -9,9 +9,9 @@
 import json
 import tempfile
 from collections.abc import Callable, Mapping
-from dataclasses import dataclass, replace
+from dataclasses import replace
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from sidecar_balancer.addresses import Address
 from sidecar_balancer.config.leases import read_leases
@@ -74,8 +74,7 @@
     return faults + [f"{key:.60}: no such key" for key in unknown]
 
 
-@dataclass(frozen=True, slots=True)
-class _Source:
+class _Source(NamedTuple):
     """Where the parts of a configuration are read from."""
 
     given: dict[str, Any]
@@ -92,8 +91,7 @@
         return Path(self.environ.get("TMPDIR") or tempfile.gettempdir())
 
 
-@dataclass(frozen=True, slots=True)
-class _Part:
+class _Part(NamedTuple):
     """A part of the configuration: its name in faults, its field of SidecarConfig and its reader."""
 
     key: str
