--- a/sidecar_balancer/config/values.py
+++ b/sidecar_balancer/config/values.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Collection, Mapping, Sequence
+from collections.abc import Collection, Iterable, Mapping, Sequence
 from enum import Enum
 from typing import Any, TypeVar
 
@@ -61,7 +61,7 @@
             return []
         if not isinstance(value, Sequence) or isinstance(value, (str, bytes)):
             raise self._error(key, "a list")
-        return [ValueReader(each, f"{self._prefix}{key}[{index}]") for index, each in enumerate(value)]
+        return [ValueReader(item, f"{self._prefix}{key}[{index}]") for index, item in enumerate(value)]
 
     def string(self, key: str, default: str | None = None) -> str:
         """Return a string; without a default it is required."""
@@ -89,7 +89,7 @@
         value = self._value(key)
         if value is None:
             return {}
-        if not isinstance(value, Mapping) or not all(isinstance(e, str) for e in [*value, *value.values()]):
+        if not isinstance(value, Mapping) or not _are_strings([*value, *value.values()]):
             raise self._error(key, "a mapping of texts to texts")
         return dict(value)
 
@@ -98,9 +98,7 @@
         value = self._value(key)
         if value is None:
             return ()
-        if not isinstance(value, Sequence) or isinstance(value, str):
-            raise self._error(key, "a list of texts")
-        if not all(isinstance(each, str) for each in value):
+        if not isinstance(value, Sequence) or isinstance(value, str) or not _are_strings(value):
             raise self._error(key, "a list of texts")
         return tuple(value)
 
@@ -155,13 +153,13 @@
         """Whether the key holds true; any other value counts as false."""
         return self._value(key) is True
 
-    def word(self, key: str, words: Sequence[str], default: str) -> str:
-        """Return one of `words`; a null is an error."""
+    def string_choice(self, key: str, choices: Sequence[str], default: str) -> str:
+        """Return one of `choices`; a null is an error."""
         if key not in self._given:
             return default
         value = self._given[key]
-        if value not in words:
-            raise self._error(key, f"one of {', '.join(words)}")
+        if value not in choices:
+            raise self._error(key, f"one of {', '.join(choices)}")
         return str(value)
 
     def address(self, key: str) -> Address:
@@ -173,14 +171,11 @@
         value = self._value(key)
         if value is None:
             return default
-        for each in kind:
-            if value == each.value:
-                return each
-        raise self._error(key, "one of " + ", ".join(str(each.value) for each in kind))
+        for member in kind:
+            if value == member.value:
+                return member
+        raise self._error(key, "one of " + ", ".join(str(member.value) for member in kind))
 
 
-def read_bounded_integer(value: object, key: str, low: int, high: int) -> int:
-    """Check an integer of `low` to `high`, written without a fraction; raises ConfigurationError."""
-    if type(value) is not int or not low <= value <= high:
-        raise ConfigurationError(f"{key}: a whole number in {low}..{high} is needed")
-    return value
+def _are_strings(values: Iterable[object]) -> bool:
+    return all(isinstance(value, str) for value in values)
--- a/sidecar_balancer/relay/app.py
+++ b/sidecar_balancer/relay/app.py
@@ -11,7 +11,7 @@
 import sys
 
 from sidecar_balancer.addresses import Address
-from sidecar_balancer.admin.server import AdminServer
+from sidecar_balancer.admin.server import AdminServer, Route
 from sidecar_balancer.discovery.client import DiscoveryClient
 from sidecar_balancer.discovery.endpoint_list import ListUpdate
 from sidecar_balancer.discovery.watch_events import WatchEvent
@@ -48,7 +48,9 @@
         self._server: asyncio.Server | None = None
         self._admin_server: AdminServer | None = None
         if config.admin_address is not None:
-            self._admin_server = AdminServer(config.admin_address, {"status": ("GET", self._status_json)})
+            self._admin_server = AdminServer(
+                config.admin_address, {"status": Route("GET", self._status_json)}
+            )
 
     @property
     def is_serving(self) -> bool:
--- a/sidecar_balancer/runtime/membership_setup.py
+++ b/sidecar_balancer/runtime/membership_setup.py
@@ -5,7 +5,6 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from sidecar_balancer.admin.views import request_rates_per_s
 from sidecar_balancer.config.sidecar import SidecarConfig
 from sidecar_balancer.policy.balancer import Balancer
 from sidecar_balancer.runtime.engine import Engine
@@ -41,7 +40,7 @@
 
 
 def _request_rates(engine: Engine) -> dict[str, float]:
-    return request_rates_per_s(engine.balancer, engine.clock.now())
+    return engine.balancer.demand_per_s_by_tenant(engine.clock.now())
 
 
 def _healthy_server_latencies(balancer: Balancer) -> dict[str, float]:
--- a/sidecar_balancer/runtime/shutdown.py
+++ b/sidecar_balancer/runtime/shutdown.py
@@ -5,7 +5,7 @@
 import asyncio
 import logging
 
-from sidecar_balancer.admin.handlers import EVACUATION_KEPT_S
+from sidecar_balancer.admin.drain import IDLE_CLOSE_DELAY_S
 from sidecar_balancer.downstream.frontend import Frontend
 from sidecar_balancer.runtime.proxy import Proxy
 
@@ -36,7 +36,7 @@
     log.info("draining: %d requests in flight", in_flight, extra={"event": "drain_started"})
     if is_takeover:
         frontend.stop_listening(accept_pending=False)
-        frontend.drain(EVACUATION_KEPT_S)
+        frontend.drain(IDLE_CLOSE_DELAY_S)
     else:
         frontend.drain()
         await asyncio.sleep(_ACCEPT_WHILE_DRAINING_S)
--- a/sidecar_balancer/runtime/sidecar.py
+++ b/sidecar_balancer/runtime/sidecar.py
@@ -132,7 +132,8 @@
         try:
             await self._start(stop)
             await stop.wait()
-            self.admin_handlers.accepts_clients, self.admin_handlers.is_shutting_down = False, True
+            self.admin_handlers.lifecycle.accepts_clients = False
+            self.admin_handlers.lifecycle.is_shutting_down = True
             longest_deadline_us = max(service_class.deadline_us for service_class in self._settings.classes)
             await drain_clients(self.frontend, self.proxy, longest_deadline_us / 1e6, self._is_takeover)
         finally:
@@ -169,7 +170,7 @@
             await _wait_for_first(stop, self._endpoints_received, _TAKEOVER_LIST_TIMEOUT_S)
         if not stop.is_set():
             self.frontend.start()
-            self.admin_handlers.accepts_clients = True
+            self.admin_handlers.lifecycle.accepts_clients = True
 
     async def _close(self) -> None:
         """Close what is open and cancel what is scheduled, whether or not all was answered."""
@@ -189,8 +190,8 @@
         assert self._membership is not None
         if self._state_persistence is not None:
             self._state_persistence.resume_membership(self._membership)
-        self._membership.set_disabled_servers(self.admin_handlers.disabled_servers)
-        self._timers.call_every(_OVERRIDES_POLL_INTERVAL_S, self.admin_handlers.apply_disabled_servers)
+        self._membership.set_disabled_servers(self.admin_handlers.disabled_servers.by_own_overrides)
+        self._timers.call_every(_OVERRIDES_POLL_INTERVAL_S, self.admin_handlers.disabled_servers.refresh)
 
     async def _apply_restored_state(self, stop: asyncio.Event) -> None:
         """Give the balancer what was persisted, or else what peers know, within a bounded time."""
--- a/tests/runtime/test_defects.py
+++ b/tests/runtime/test_defects.py
@@ -121,14 +121,14 @@
 ) -> None:
     async def scene() -> None:
         async with world(served, drained=True, orders=tmp_path) as w:
-            real, failed = w.sidecar.admin_handlers._overrides.load, list[bool]()
+            real, failed = w.sidecar.admin_handlers.overrides.load, list[bool]()
 
             def fails() -> Any:
-                monkeypatch.setattr(w.sidecar.admin_handlers._overrides, "load", real)
+                monkeypatch.setattr(w.sidecar.admin_handlers.overrides, "load", real)
                 failed.append(True)
                 raise ZeroDivisionError
 
-            monkeypatch.setattr(w.sidecar.admin_handlers._overrides, "load", fails)
+            monkeypatch.setattr(w.sidecar.admin_handlers.overrides, "load", fails)
             with collect_loop_exceptions() as faults:
                 await until(lambda: failed)
                 await asyncio.sleep(0)
