--- a/sidecar_balancer/discovery/client.py
+++ b/sidecar_balancer/discovery/client.py
@@ -16,6 +16,7 @@
 
 from sidecar_balancer.addresses import Address
 from sidecar_balancer.discovery.endpoint_list import ListUpdate
+from sidecar_balancer.discovery.restarting_task import RestartingTask
 from sidecar_balancer.discovery.source_connection import ListResponse, connect_to_source
 from sidecar_balancer.discovery.sources import STALE_AFTER_S, SourceSelector
 from sidecar_balancer.discovery.watch_events import PollFailed, WatchEvent
@@ -75,19 +76,17 @@
         self._sources = SourceSelector(sources, random_fraction)
         self._state = WatchState(version, random_fraction, min_wait_ms)
         self._notify = notify
-        self._restart_after_s = restart_after_s
         self._random_fraction = random_fraction
         self._poll_times = poll_times or PollTimes(math.inf)
         self._generation = 0  # of the sources; responses to polls of an earlier one are dropped
         self._is_closed = False
-        self._watch: asyncio.Task[None] | None = None
-        self._restart: asyncio.TimerHandle | None = None
+        self._watch = RestartingTask(self._run_watch, restart_after_s)
         self._fetches: set[asyncio.Task[bool]] = set()
 
     @property
     def is_watching(self) -> bool:
         """Whether a watch is under way."""
-        return self._watch is not None and not self._watch.done()
+        return self._watch.is_running
 
     @property
     def is_fetching(self) -> bool:
@@ -122,10 +121,8 @@
         """Begin a watch or end it; one that is under way goes on."""
         if not wanted:
             self.stop()
-        elif not self._is_closed and not self.is_watching:
-            self._cancel_restart()
-            self._watch = asyncio.get_running_loop().create_task(self._run_watch())
-            self._watch.add_done_callback(self._on_watch_done)
+        elif not self._is_closed:
+            self._watch.start()
 
     def fetch(self) -> None:
         """Request the full list once."""
@@ -150,33 +147,18 @@
 
     def stop(self) -> None:
         """End the watch; no restart is planned any more."""
-        self._cancel_restart()
-        if self._watch is not None:
-            self._watch.cancel()
-            self._watch = None
+        self._watch.stop()
 
     async def close(self) -> None:
         """End all polls for good."""
         self._is_closed = True
-        tasks = [task for task in (self._watch, *self._fetches) if task is not None]
-        self.stop()
+        tasks = [task for task in (self._watch.stop(), *self._fetches) if task is not None]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     # Watches
 
-    def _cancel_restart(self) -> None:
-        if self._restart is not None:
-            self._restart.cancel()
-            self._restart = None
-
-    def _on_watch_done(self, watch: asyncio.Task[None]) -> None:
-        """Plan a restart, whatever ended a watch that is still wanted."""
-        if watch is self._watch:
-            loop = asyncio.get_running_loop()
-            self._restart = loop.call_later(self._restart_after_s, self.set_watching, True)
-
     async def _run_watch(self) -> None:
         """Poll again as soon as a poll is answered."""
         loop = asyncio.get_running_loop()
