--- a/tests/discovery/test_watch_recovery.py
+++ b/tests/discovery/test_watch_recovery.py
@@ -17,7 +17,7 @@
 from sidecar_balancer.discovery.endpoint_list import ListUpdate
 from sidecar_balancer.discovery.watch_events import WatchEvent
 from timed_scenes import fail_discovery_calls, hung, served
-from virtual import RunScene
+from virtual import RunScenario
 
 DRAIN_GRACE_S = 0.55  # of a drain, with the slack of the rules
 
@@ -32,7 +32,7 @@
 @pytest.mark.parametrize("chance", [0.0, 0.999])
 @pytest.mark.parametrize("first", [True, False])
 def test_silent_watch_is_restarted_before_its_missed_events_count_as_known(
-    on_virtual_clock: RunScene, mode: str, chance: float, first: bool
+    on_virtual_clock: RunScenario, mode: str, chance: float, first: bool
 ) -> None:
     async def scene() -> None:
         async with world(served, drained=True, discovery=mode) as w:
@@ -52,7 +52,7 @@
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
 @pytest.mark.parametrize("failures", [1, 4])
 def test_watch_silent_after_failures_is_restarted_as_early(
-    on_virtual_clock: RunScene, mode: str, failures: int
+    on_virtual_clock: RunScenario, mode: str, failures: int
 ) -> None:
     async def scene() -> None:
         async with world(served, drained=True, discovery=mode) as w:
@@ -72,7 +72,7 @@
 @pytest.mark.parametrize("silent_calls", [1, 2])
 @pytest.mark.parametrize("failures", [0, 4])
 def test_silence_after_a_reload_leaves_time_to_receive_the_list(
-    on_virtual_clock: RunScene, silent_calls: int, failures: int
+    on_virtual_clock: RunScenario, silent_calls: int, failures: int
 ) -> None:
     async def scene() -> None:
         async with world(served, served, drained=True) as w:
@@ -94,7 +94,7 @@
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
 @pytest.mark.parametrize("where", ["reading", "hearing"])
 def test_watch_ended_by_an_exception_is_restarted(
-    on_virtual_clock: RunScene, mode: str, where: str, monkeypatch: pytest.MonkeyPatch
+    on_virtual_clock: RunScenario, mode: str, where: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
         failed: list[bool] = []
@@ -122,7 +122,7 @@
     on_virtual_clock(scene())
 
 
-def test_watch_restarts_by_itself_where_its_end_is_not_handled(on_virtual_clock: RunScene) -> None:
+def test_watch_restarts_by_itself_where_its_end_is_not_handled(on_virtual_clock: RunScenario) -> None:
     async def scene() -> None:
         service = FakeDiscovery()
         await service.start()
@@ -139,7 +139,7 @@
     on_virtual_clock(scene())
 
 
-def test_responses_to_calls_before_a_move_there_and_back_are_ignored(on_virtual_clock: RunScene) -> None:
+def test_responses_to_calls_before_a_move_there_and_back_are_ignored(on_virtual_clock: RunScenario) -> None:
     async def scene() -> None:
         old, other = FakeDiscovery(), FakeDiscovery()
         await old.start()
@@ -167,7 +167,7 @@
 
 
 def test_backoff_restarts_at_a_new_discovery_address(
-    on_virtual_clock: RunScene,
+    on_virtual_clock: RunScenario,
 ) -> None:
     async def scene() -> None:
         async with world(served, served, drained=True) as w:
@@ -189,7 +189,9 @@
     on_virtual_clock(scene())
 
 
-def test_late_failure_of_the_old_address_does_not_count_for_the_new_one(on_virtual_clock: RunScene) -> None:
+def test_late_failure_of_the_old_address_does_not_count_for_the_new_one(
+    on_virtual_clock: RunScenario,
+) -> None:
     async def scene() -> None:
         async with world(served, drained=True) as w:
             await until(lambda: w.discovery.targets)
@@ -198,14 +200,14 @@
             w.sidecar._discovery._notify_failure_soon(timed_out=True)  # it is told in the next turn
             w.move_discovery(moved.address)
             await until(lambda: moved.targets)
-            schedule = w.sidecar._engine.balancer.discovery
+            schedule = w.sidecar._engine.balancer.components.discovery
             assert schedule.failed_calls == schedule.unanswered_watches == 0
             await moved.end()
 
     on_virtual_clock(scene())
 
 
-def test_endpoint_list_older_than_the_requested_version_is_ignored(on_virtual_clock: RunScene) -> None:
+def test_endpoint_list_older_than_the_requested_version_is_ignored(on_virtual_clock: RunScenario) -> None:
     async def scene() -> None:
         async with world(served, served, drained=True) as w:
             gone, stays = w.servers
@@ -221,7 +223,7 @@
     on_virtual_clock(scene())
 
 
-def test_reload_during_or_after_the_shutdown_keeps_nothing_running(on_virtual_clock: RunScene) -> None:
+def test_reload_during_or_after_the_shutdown_keeps_nothing_running(on_virtual_clock: RunScenario) -> None:
     async def scene() -> None:
         moved = FakeDiscovery()
         await moved.start()
--- a/tests/downstream/test_client_disconnects.py
+++ b/tests/downstream/test_client_disconnects.py
@@ -28,13 +28,13 @@
     wait_until_nothing_in_flight,
     world_with_unreading_server,
 )
-from virtual import RunScene, stall
+from virtual import RunScenario, stall
 
 
 @pytest.mark.parametrize("how", DISCONNECT_KINDS)
 @pytest.mark.parametrize("kind", ["look", "pay"])
 def test_request_read_together_with_its_clients_close_is_not_forwarded(
-    on_virtual_clock: RunScene, how: str, kind: str
+    on_virtual_clock: RunScenario, how: str, kind: str
 ) -> None:
     async def scene() -> None:
         async with world(served, served, drained=True) as w:
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("how", DISCONNECT_KINDS)
-def test_dial_ends_at_once_when_its_client_disconnects(on_virtual_clock: RunScene, how: str) -> None:
+def test_dial_ends_at_once_when_its_client_disconnects(on_virtual_clock: RunScenario, how: str) -> None:
     async def scene() -> None:
         limits = {"max_attempts": 3, "may_cancel": False, "dial_timeout_us": 600_000_000}
         with deaf() as address:
@@ -72,7 +72,7 @@
 
 @pytest.mark.parametrize("how", DISCONNECT_KINDS)
 def test_nothing_is_written_where_the_client_left_unnoticed_during_the_dial(
-    on_virtual_clock: RunScene, how: str, monkeypatch: pytest.MonkeyPatch
+    on_virtual_clock: RunScenario, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
         up, real = asyncio.Event(), dialing.connect
@@ -103,7 +103,7 @@
 @pytest.mark.parametrize("ahead", [b"", PIPELINED_INPUT])
 @pytest.mark.parametrize("end", [answer(503, b"", X_Rejected="1"), answer(500, b"")])
 def test_attempt_that_fails_as_its_client_disconnects_is_not_retried(
-    on_virtual_clock: RunScene, how: str, ahead: bytes, end: bytes
+    on_virtual_clock: RunScenario, how: str, ahead: bytes, end: bytes
 ) -> None:
     async def scene() -> None:
         async with world(hung, hung, drained=True) as w:
@@ -125,7 +125,7 @@
 @pytest.mark.parametrize("how", DISCONNECT_KINDS)
 @pytest.mark.parametrize("may_cancel", [True, False])
 def test_client_that_disconnects_while_it_is_not_read_is_noticed_in_time(
-    on_virtual_clock: RunScene, how: str, may_cancel: bool
+    on_virtual_clock: RunScenario, how: str, may_cancel: bool
 ) -> None:
     async def scene() -> None:
         limits = {"max_attempts": 3, "may_cancel": may_cancel}
@@ -154,7 +154,7 @@
     ("how", "behind"), [("close", 0), ("half-close", 0), ("reset", 0), ("reset", 9_000_000)]
 )
 def test_paused_upload_ends_when_its_client_disconnects(
-    on_virtual_clock: RunScene, how: str, behind: int
+    on_virtual_clock: RunScenario, how: str, behind: int
 ) -> None:
     async def scene() -> None:
         async with world_with_unreading_server() as (w, server):
@@ -176,7 +176,7 @@
 
 
 def test_upload_behind_a_full_buffer_is_not_completed_after_its_client_left(
-    on_virtual_clock: RunScene,
+    on_virtual_clock: RunScenario,
 ) -> None:
     size = 8_000_000  # more than the kernel holds on the way: nobody can see yet that the client has left
 
@@ -197,7 +197,7 @@
 
 @pytest.mark.parametrize("how", DISCONNECT_KINDS)
 def test_upload_whose_end_comes_with_its_clients_close_is_not_completed(
-    on_virtual_clock: RunScene, how: str
+    on_virtual_clock: RunScenario, how: str
 ) -> None:
     async def scene() -> None:
         async with world_with_unreading_server() as (w, server):
@@ -217,7 +217,7 @@
 
 
 def test_client_that_sends_too_far_ahead_gets_one_response_and_a_close(
-    on_virtual_clock: RunScene,
+    on_virtual_clock: RunScenario,
 ) -> None:
     async def scene() -> None:
         async with world(hung, drained=True) as w:
@@ -238,7 +238,7 @@
     on_virtual_clock(scene())
 
 
-def test_pipelined_request_is_not_forwarded_after_its_client_left(on_virtual_clock: RunScene) -> None:
+def test_pipelined_request_is_not_forwarded_after_its_client_left(on_virtual_clock: RunScenario) -> None:
     async def scene() -> None:
         async with world(hung, hung, drained=True) as w:
             client = RawClient(w)
--- a/tests/runtime/test_defects.py
+++ b/tests/runtime/test_defects.py
@@ -20,15 +20,15 @@
     TimerFired,
 )
 from timed_scenes import collect_loop_exceptions, hung, nothing_in_flight, served
-from virtual import RunScene, stall
+from virtual import RunScenario, stall
 
 
 def test_timer_event_that_raises_half_way_loses_no_decided_or_due_action(
-    on_virtual_clock: RunScene, monkeypatch: pytest.MonkeyPatch
+    on_virtual_clock: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
         async with world(hung, hung, drained=True) as w:
-            requests, failed = w.sidecar._engine.balancer.requests, list[int]()
+            requests, failed = w.sidecar._engine.balancer.components.requests, list[int]()
             real = requests.finish
 
             def finish(given: Any) -> None:
@@ -53,11 +53,11 @@
 
 
 def test_balancer_is_woken_after_an_exception_for_what_else_was_due(
-    on_virtual_clock: RunScene, monkeypatch: pytest.MonkeyPatch
+    on_virtual_clock: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
         async with world(hung, drained=True) as w:
-            timers = w.sidecar._engine.balancer.timers
+            timers = w.sidecar._engine.balancer.components.timers
             real = timers.pop_due
 
             def fails(_: int) -> None:
@@ -75,7 +75,7 @@
 
 
 def test_request_whose_placement_raised_is_forgotten_by_the_balancer(
-    on_virtual_clock: RunScene, monkeypatch: pytest.MonkeyPatch
+    on_virtual_clock: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
         async with world(hung, drained=True) as w:
@@ -83,7 +83,7 @@
             def fails(_now: int, _request: object) -> None:
                 raise ZeroDivisionError
 
-            placement = w.sidecar._engine.balancer.placement
+            placement = w.sidecar._engine.balancer.components.placement
             real = placement.place
             monkeypatch.setattr(placement, "place", fails)
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
@@ -97,11 +97,11 @@
 
 
 def test_actions_decided_before_an_exception_are_executed(
-    on_virtual_clock: RunScene, monkeypatch: pytest.MonkeyPatch
+    on_virtual_clock: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
         async with world(hung, drained=True) as w:
-            timers = w.sidecar._engine.balancer.timers
+            timers = w.sidecar._engine.balancer.components.timers
             real = timers.arm
 
             def fails(*_: object) -> None:
@@ -117,7 +117,7 @@
 
 
 def test_periodic_task_survives_an_exception_in_one_run(
-    on_virtual_clock: RunScene, monkeypatch: pytest.MonkeyPatch, tmp_path: Path
+    on_virtual_clock: RunScenario, monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
     async def scene() -> None:
         async with world(served, drained=True, orders=tmp_path) as w:
@@ -141,7 +141,7 @@
 
 @pytest.mark.parametrize("may_cancel", [True, False])
 def test_abandoned_request_leaves_balancer_and_sockets_consistent(
-    on_virtual_clock: RunScene, may_cancel: bool
+    on_virtual_clock: RunScenario, may_cancel: bool
 ) -> None:
     async def scene() -> None:
         limits = {"max_attempts": 3, "may_cancel": may_cancel}
@@ -160,7 +160,7 @@
     on_virtual_clock(scene())
 
 
-def test_response_that_cannot_be_written_closes_its_connection(on_virtual_clock: RunScene) -> None:
+def test_response_that_cannot_be_written_closes_its_connection(on_virtual_clock: RunScenario) -> None:
     async def scene() -> None:
         async with world(hung, drained=True) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
--- a/tests/runtime/test_shutdown.py
+++ b/tests/runtime/test_shutdown.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from helpers import SAFE, UNSAFE, S
+from helpers import IDEMPOTENT, NON_IDEMPOTENT, S
 from loopback import (
     answer,
     assert_nothing_owed,
@@ -19,12 +19,12 @@
 from sidecar_balancer.policy.types import ServerState
 from sidecar_balancer.runtime.streams import STALL_TIMEOUT_S
 from timed_scenes import RawClient, hung, served
-from virtual import RunScene
+from virtual import RunScenario
 
 
-def test_request_in_flight_at_the_last_moment_is_answered_on_the_wire(on_virtual_clock: RunScene) -> None:
+def test_request_in_flight_at_the_last_moment_is_answered_on_the_wire(on_virtual_clock: RunScenario) -> None:
     async def scene() -> None:
-        async with world(hung, classes=[UNSAFE | {"deadline_us": 60 * S}]) as w:
+        async with world(hung, classes=[NON_IDEMPOTENT | {"deadline_us": 60 * S}]) as w:
             client = RawClient(w)
             client.send(request("pay", body=b"x", budget="50") + b"unread" * 100)
             await until(w.sent)
@@ -44,10 +44,10 @@
 
 @pytest.mark.parametrize("version", [b"HTTP/1.0", b"HTTP/1.1"])
 def test_streamed_response_cut_off_by_the_shutdown_is_visibly_broken(
-    on_virtual_clock: RunScene, version: bytes
+    on_virtual_clock: RunScenario, version: bytes
 ) -> None:
     async def scene() -> None:
-        async with world(hung, classes=[SAFE | {"deadline_us": 1 * S}]) as w:
+        async with world(hung, classes=[IDEMPOTENT | {"deadline_us": 1 * S}]) as w:
             client = RawClient(w)
             client.send(request(budget="1.0").replace(b"HTTP/1.1", version))
             await until(w.sent)
@@ -72,7 +72,7 @@
 
 
 def test_stalled_client_of_a_response_delimited_by_its_end_sees_a_reset(
-    on_virtual_clock: RunScene,
+    on_virtual_clock: RunScenario,
 ) -> None:
     piece = b"10000\r\n" + bytes(0x10000) + b"\r\n"
 
@@ -98,7 +98,7 @@
     on_virtual_clock(scene())
 
 
-def test_idle_connections_do_not_delay_the_shutdown(on_virtual_clock: RunScene) -> None:
+def test_idle_connections_do_not_delay_the_shutdown(on_virtual_clock: RunScenario) -> None:
     async def scene() -> None:
         async with world(served) as w:
             used, fresh = RawClient(w), RawClient(w)
@@ -117,7 +117,7 @@
 
 
 @pytest.mark.parametrize("at", ["unaccepted", "unbegun", "dialling", "answering", "crossing"])
-def test_request_that_meets_the_drain_is_answered(on_virtual_clock: RunScene, at: str) -> None:
+def test_request_that_meets_the_drain_is_answered(on_virtual_clock: RunScenario, at: str) -> None:
     async def scene() -> None:
         async with world(hung if at == "answering" else served, drained=True) as w:
             with deaf() as address:
--- a/tests/runtime/test_timeouts.py
+++ b/tests/runtime/test_timeouts.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from helpers import SAFE, UNSAFE, S
+from helpers import IDEMPOTENT, NON_IDEMPOTENT, S
 from loopback import (
     answer,
     deaf,
@@ -19,11 +19,11 @@
 )
 from sidecar_balancer.policy.types import Outcome, ServerState
 from timed_scenes import hung, served
-from virtual import RunScene, stall
+from virtual import RunScenario, stall
 
 
-def test_two_sidecars_in_one_process_apply_their_own_settings(on_virtual_clock: RunScene) -> None:
-    other = [UNSAFE | {"name": "look", "deadline_us": 1 * S}, SAFE | {"name": "pay"}]
+def test_two_sidecars_in_one_process_apply_their_own_settings(on_virtual_clock: RunScenario) -> None:
+    other = [NON_IDEMPOTENT | {"name": "look", "deadline_us": 1 * S}, IDEMPOTENT | {"name": "pay"}]
     limits = {"max_attempts": 1, "may_hedge": False, "may_cancel": False}
 
     async def scene() -> None:
@@ -48,7 +48,7 @@
 
 @pytest.mark.parametrize("at", ["dial", "attempt", "request", "backstop"])
 def test_each_timeout_ends_its_operation_and_frees_all_of_it(
-    on_virtual_clock: RunScene, at: str, monkeypatch: pytest.MonkeyPatch
+    on_virtual_clock: RunScenario, at: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
         limits = {"max_attempts": 3, "may_cancel": at != "attempt", "dial_timeout_us": 200_000}
@@ -89,7 +89,7 @@
 
 @pytest.mark.parametrize("crossing", ["before", "behind"])
 def test_response_that_comes_with_its_timeout_has_one_outcome(
-    on_virtual_clock: RunScene, crossing: str
+    on_virtual_clock: RunScenario, crossing: str
 ) -> None:
     async def scene() -> None:
         async with world(hung, drained=True) as w:
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -259,7 +259,7 @@
     assert not sidecar.proxy.by_client_request
     assert not balancer.open_requests
     assert balancer.pending_attempts == 0
-    assert balancer.load_tracker.pending_at_ejected == 0
+    assert balancer.components.load.pending_at_ejected == 0
     assert [each.in_flight for each in balancer.servers.values() if each.in_flight] == []
     assert upstream.open_count == 0
     assert sidecar.frontend.is_empty()
--- a/tests/upstream/test_endpoint_changes.py
+++ b/tests/upstream/test_endpoint_changes.py
@@ -28,12 +28,12 @@
 from sidecar_balancer.upstream.exchange import Exchange, UpstreamRequest
 from sidecar_balancer.upstream.server_connection import ServerConnection
 from timed_scenes import hung, served
-from virtual import RunScene
+from virtual import RunScenario
 
 
 @pytest.mark.parametrize("change", ["moves", "restarts"])
 def test_dial_to_an_earlier_address_or_process_ends_and_is_retried_elsewhere(
-    on_virtual_clock: RunScene, change: str
+    on_virtual_clock: RunScenario, change: str
 ) -> None:
     async def scene() -> None:
         async with world(hung, served, drained=True) as w:
@@ -62,7 +62,7 @@
 
 
 def test_attempt_ended_by_a_list_is_not_retried_at_a_server_the_same_list_drains(
-    on_virtual_clock: RunScene,
+    on_virtual_clock: RunScenario,
 ) -> None:
     async def scene() -> None:
         async with world(served, served, served, drained=True) as w:
@@ -88,7 +88,7 @@
 
 
 def test_attempt_at_an_unknown_server_counts_as_never_executed(
-    on_virtual_clock: RunScene, monkeypatch: pytest.MonkeyPatch
+    on_virtual_clock: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
         async with world(served, served, drained=True) as w:
@@ -115,7 +115,7 @@
 
 @pytest.mark.parametrize("outcome", ["answer", "break", "nothing"])
 def test_attempt_in_flight_survives_removal_and_return_of_its_server(
-    on_virtual_clock: RunScene, outcome: str
+    on_virtual_clock: RunScenario, outcome: str
 ) -> None:
     async def scene() -> None:
         async with world(hung, drained=True) as w:
@@ -140,7 +140,9 @@
 
 
 @pytest.mark.parametrize("change", ["leaving", "left", "missing", "excluded"])
-def test_attempt_in_flight_at_a_withdrawn_server_completes(on_virtual_clock: RunScene, change: str) -> None:
+def test_attempt_in_flight_at_a_withdrawn_server_completes(
+    on_virtual_clock: RunScenario, change: str
+) -> None:
     async def scene() -> None:
         async with world(hung, drained=True) as w:
             (server,) = w.servers
@@ -162,7 +164,7 @@
 
 
 @pytest.mark.parametrize("turns", range(8))
-def test_dial_cancelled_in_any_turn_frees_its_capacity(on_virtual_clock: RunScene, turns: int) -> None:
+def test_dial_cancelled_in_any_turn_frees_its_capacity(on_virtual_clock: RunScenario, turns: int) -> None:
     async def scene() -> None:
         server = FakeServer("s", hung)
         await server.start()
@@ -186,7 +188,7 @@
     on_virtual_clock(scene())
 
 
-def test_request_that_cannot_be_written_frees_its_capacity(on_virtual_clock: RunScene) -> None:
+def test_request_that_cannot_be_written_frees_its_capacity(on_virtual_clock: RunScenario) -> None:
     async def scene() -> None:
         server = FakeServer("s", hung)
         await server.start()
@@ -206,7 +208,7 @@
 
 
 def test_address_that_cannot_be_looked_up_fails_its_dial_and_frees_its_capacity(
-    on_virtual_clock: RunScene, monkeypatch: pytest.MonkeyPatch
+    on_virtual_clock: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> None:
         async def connect(*_: object) -> ServerConnection:
@@ -222,7 +224,7 @@
     on_virtual_clock(scene())
 
 
-def test_idle_connections_closed_by_their_server_free_capacity_once(on_virtual_clock: RunScene) -> None:
+def test_idle_connections_closed_by_their_server_free_capacity_once(on_virtual_clock: RunScenario) -> None:
     order = UpstreamRequest(lambda _: h11.Request(method="GET", target="/", headers=[("Host", "x")]))
 
     async def scene() -> None:
--- a/tests/upstream/test_endpoint_pool.py
+++ b/tests/upstream/test_endpoint_pool.py
@@ -22,7 +22,7 @@
 from sidecar_balancer.upstream.endpoint_pool import EndpointPool
 from sidecar_balancer.upstream.exchange import Exchange, UpstreamRequest
 from sidecar_balancer.upstream.response import Response
-from virtual import play_on_clock
+from virtual import run_on_virtual_clock
 
 
 def served(*_: object) -> bytes:
@@ -41,7 +41,7 @@
                 await asyncio.sleep(endpoint_pool._REUSE_DELAY_S)
             assert len(w.servers[0].writers) == 1
 
-    play_on_clock(scene(), monkeypatch)
+    run_on_virtual_clock(scene(), monkeypatch)
 
 
 def test_idle_connection_is_closed_before_its_server_would_close_it() -> None:
--- a/tests/upstream/test_response_timing.py
+++ b/tests/upstream/test_response_timing.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from helpers import SAFE, UNSAFE, S
+from helpers import IDEMPOTENT, NON_IDEMPOTENT, S
 from loopback import (
     answer,
     deaf,
@@ -24,13 +24,13 @@
 from sidecar_balancer.policy.types import Outcome
 from sidecar_balancer.runtime.streams import STALL_TIMEOUT_S
 from timed_scenes import RawClient, hung, nothing_in_flight, read_chunks, served, world_with_unreading_server
-from virtual import RunScene, stall
+from virtual import RunScenario, stall
 
 
 @pytest.mark.parametrize("late_s", [0.0, 0.001, 0.009])
 @pytest.mark.parametrize("kind", ["look", "pay"])
 def test_second_response_is_never_delivered_to_another_request(
-    on_virtual_clock: RunScene, late_s: float, kind: str
+    on_virtual_clock: RunScenario, late_s: float, kind: str
 ) -> None:
     body = b"" if kind == "look" else b"x"
 
@@ -60,14 +60,14 @@
 
 @pytest.mark.parametrize("ends", [True, False])
 def test_streamed_response_without_a_client_ends_in_bounded_time(
-    on_virtual_clock: RunScene, ends: bool
+    on_virtual_clock: RunScenario, ends: bool
 ) -> None:
     head = b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n"
     piece = b"1000\r\n" + bytes(0x1000) + b"\r\n"
 
     async def scene() -> None:
         limits = {"max_attempts": 3, "may_cancel": False}
-        classes = [SAFE | {"deadline_us": 2 * S}, UNSAFE | {"deadline_us": 4 * S}]
+        classes = [IDEMPOTENT | {"deadline_us": 2 * S}, NON_IDEMPOTENT | {"deadline_us": 4 * S}]
         async with world(hung, drained=True, limits=limits, classes=classes) as w:
             client = RawClient(w)
             client.send(request(budget="1.0"))
@@ -96,7 +96,7 @@
     on_virtual_clock(scene())
 
 
-def test_last_response_arrives_complete_despite_unread_input(on_virtual_clock: RunScene) -> None:
+def test_last_response_arrives_complete_despite_unread_input(on_virtual_clock: RunScenario) -> None:
     body = bytes(range(250)) * 240
 
     async def scene() -> None:
@@ -127,7 +127,7 @@
 
 
 def test_slow_reader_is_not_cut_off_for_data_that_came_after_it_fell_behind(
-    on_virtual_clock: RunScene,
+    on_virtual_clock: RunScenario,
 ) -> None:
     body = bytes(range(250)) * 400
 
@@ -164,7 +164,7 @@
 @pytest.mark.parametrize("may_cancel", [True, False])
 @pytest.mark.parametrize("first", ["dialling", "written"])
 def test_streamed_response_is_not_cut_off_by_the_hedged_request_that_it_ends(
-    on_virtual_clock: RunScene, first: str, may_cancel: bool
+    on_virtual_clock: RunScenario, first: str, may_cancel: bool
 ) -> None:
     body = bytes(range(251)) * 1000  # too long to be held whole
 
@@ -190,7 +190,7 @@
                 else:
                     await until(w.sent)
                 seen, earlier = len(w.sent()), len(balancer.actions)
-                balancer.placement.place(w.sidecar._engine.clock.now(), asked)  # a hedged request
+                balancer.components.placement.place(w.sidecar._engine.clock.now(), asked)  # a hedged request
                 w.sidecar._engine.execute(balancer.actions[earlier:])
                 await until(lambda: len(w.sent()) > seen)
                 name = asked.attempts[1].server.name
@@ -213,7 +213,9 @@
 
 
 @pytest.mark.parametrize("size", [1, 100_000])
-def test_response_before_the_end_of_its_request_is_discarded(on_virtual_clock: RunScene, size: int) -> None:
+def test_response_before_the_end_of_its_request_is_discarded(
+    on_virtual_clock: RunScenario, size: int
+) -> None:
     async def scene() -> None:
         async with world_with_unreading_server() as (w, server):
             heard = w.hear()
@@ -232,7 +234,7 @@
 
 
 def test_connection_closed_as_it_becomes_idle_is_not_reused_and_nothing_runs_twice(
-    on_virtual_clock: RunScene,
+    on_virtual_clock: RunScenario,
 ) -> None:
     async def scene() -> None:
         async with world(served, drained=True) as w:
