--- a/tests/discovery/test_watch_recovery.py
+++ b/tests/discovery/test_watch_recovery.py
@@ -34,7 +34,7 @@
 def test_silent_watch_is_restarted_before_its_missed_events_count_as_known(
     on_virtual_clock: RunScenario, mode: str, chance: float, first: bool
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served, drained=True, discovery=mode) as w:
             w.sidecar._discovery._state.random_fraction = lambda: chance
             if not first:  # else the first call after the start falls silent
@@ -46,7 +46,7 @@
             w.discovery.say(43, [w.servers[0].entry(status="leaving")])
             await until(lambda: not w.sidecar._engine.balancer.ready_servers)
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
@@ -54,7 +54,7 @@
 def test_watch_silent_after_failures_is_restarted_as_early(
     on_virtual_clock: RunScenario, mode: str, failures: int
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served, drained=True, discovery=mode) as w:
             w.sidecar._discovery._state.random_fraction = lambda: 0.999
             await fail_discovery_calls(w, failures)
@@ -66,7 +66,7 @@
             w.discovery.say(43, [w.servers[0].entry(status="leaving")])
             await until(lambda: not w.sidecar._engine.balancer.ready_servers)
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("silent_calls", [1, 2])
@@ -74,21 +74,21 @@
 def test_silence_after_a_reload_leaves_time_to_receive_the_list(
     on_virtual_clock: RunScenario, silent_calls: int, failures: int
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served, served, drained=True) as w:
             await fail_discovery_calls(w, failures)  # at the old place: they say nothing of the new one
-            moved = FakeDiscovery()
-            await moved.start()
-            began = asyncio.get_running_loop().time()
-            w.move_discovery(moved.address)
-            await until(lambda: len(moved.targets) == silent_calls + 1)
-            assert set(moved.targets) == {"/registry/instances"}  # nothing is known there yet
-            assert moved.called_at[-1] - began <= RELOAD_GRACE_S + DRAIN_GRACE_S - 0.3
-            moved.say(7, [w.servers[1].entry()], snapshot=True)
+            new_discovery = FakeDiscovery()
+            await new_discovery.start()
+            started_at = asyncio.get_running_loop().time()
+            w.move_discovery(new_discovery.address)
+            await until(lambda: len(new_discovery.targets) == silent_calls + 1)
+            assert set(new_discovery.targets) == {"/registry/instances"}  # nothing is known there yet
+            assert new_discovery.called_at[-1] - started_at <= RELOAD_GRACE_S + DRAIN_GRACE_S - 0.3
+            new_discovery.say(7, [w.servers[1].entry()], snapshot=True)
             await until(lambda: "s-0" not in w.sidecar._engine.balancer.servers)
-            await moved.end()
+            await new_discovery.end()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
@@ -96,10 +96,10 @@
 def test_watch_ended_by_an_exception_is_restarted(
     on_virtual_clock: RunScenario, mode: str, where: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         failed: list[bool] = []
 
-        def fails(*_: object) -> None:
+        def raise_error(*_: object) -> None:
             failed.append(True)
             raise ZeroDivisionError
 
@@ -108,7 +108,7 @@
             whose: object = source_connection if where == "reading" else w.sidecar._endpoint_updates
             what = "parse_response" if where == "reading" else "apply"
             real = getattr(whose, what)
-            monkeypatch.setattr(whose, what, fails)
+            monkeypatch.setattr(whose, what, raise_error)
             for _ in range(1 + (where == "reading")):  # the call under way reads as it was begun
                 w.discovery.say(42, [])
             await until(lambda: failed)
@@ -119,11 +119,11 @@
             if where == "hearing":  # half of it may have been taken
                 assert w.discovery.targets[seen] == "/registry/instances"
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 def test_watch_restarts_by_itself_where_its_end_is_not_handled(on_virtual_clock: RunScenario) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         service = FakeDiscovery()
         await service.start()
         watching = DiscoveryClient([service.address], 1, lambda _: None, restart_after_s=7.0)
@@ -136,79 +136,81 @@
         assert not watching.is_watching
         await service.end()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 def test_responses_to_calls_before_a_move_there_and_back_are_ignored(on_virtual_clock: RunScenario) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         old, other = FakeDiscovery(), FakeDiscovery()
         await old.start()
         await other.start()
-        heard: list[WatchEvent] = []
-        asked = DiscoveryClient([old.address], 1, heard.append)
-        asked.fetch()
-        asked.fetch()
+        events: list[WatchEvent] = []
+        discovery = DiscoveryClient([old.address], 1, events.append)
+        discovery.fetch()
+        discovery.fetch()
         await until(lambda: len(old.targets) == 2)
-        asked.replace_sources([other.address])
-        asked.replace_sources([old.address])
+        discovery.replace_sources([other.address])
+        discovery.replace_sources([old.address])
         await until(lambda: len(old.targets) == 3)
         old.answers.put_nowait(answer(503, b""))
         old.say(7, [], snapshot=True)
-        await until(lambda: not asked.is_fetching)
-        assert heard == []
-        assert asked.status().index is None
+        await until(lambda: not discovery.is_fetching)
+        assert events == []
+        assert discovery.status().index is None
         old.say(8, [], snapshot=True)
-        await until(lambda: [each.version for each in heard if isinstance(each, ListUpdate)] == [8])
-        await asked.close()
+        await until(lambda: [each.version for each in events if isinstance(each, ListUpdate)] == [8])
+        await discovery.close()
         await old.end()
         await other.end()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 def test_backoff_restarts_at_a_new_discovery_address(
     on_virtual_clock: RunScenario,
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served, served, drained=True) as w:
             await fail_discovery_calls(w, 6)
-            moved = FakeDiscovery()
-            await moved.start()
-            began = asyncio.get_running_loop().time()
-            w.move_discovery(moved.address)
+            new_discovery = FakeDiscovery()
+            await new_discovery.start()
+            started_at = asyncio.get_running_loop().time()
+            w.move_discovery(new_discovery.address)
             for _ in range(2):
-                moved.answers.put_nowait(answer(503, b""))
-            await until(lambda: len(moved.targets) == 3)
-            assert moved.called_at[-1] - began <= 1.5  # 0.5 s and 1 s at most, as at the first failures
-            moved.say(7, [w.servers[1].entry()], snapshot=True)
+                new_discovery.answers.put_nowait(answer(503, b""))
+            await until(lambda: len(new_discovery.targets) == 3)
+            assert (
+                new_discovery.called_at[-1] - started_at <= 1.5
+            )  # 0.5 s and 1 s at most, as at the first failures
+            new_discovery.say(7, [w.servers[1].entry()], snapshot=True)
             await until(lambda: "s-0" not in w.sidecar._engine.balancer.servers)
-            w.move_discovery(moved.address)  # where it is already: nothing begins anew
+            w.move_discovery(new_discovery.address)  # where it is already: nothing begins anew
             assert w.sidecar._discovery.source_generation == 1
-            await moved.end()
+            await new_discovery.end()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 def test_late_failure_of_the_old_address_does_not_count_for_the_new_one(
     on_virtual_clock: RunScenario,
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served, drained=True) as w:
             await until(lambda: w.discovery.targets)
-            moved = FakeDiscovery()
-            await moved.start()
+            new_discovery = FakeDiscovery()
+            await new_discovery.start()
             w.sidecar._discovery._notify_failure_soon(timed_out=True)  # it is told in the next turn
-            w.move_discovery(moved.address)
-            await until(lambda: moved.targets)
+            w.move_discovery(new_discovery.address)
+            await until(lambda: new_discovery.targets)
             schedule = w.sidecar._engine.balancer.components.discovery
             assert schedule.failed_calls == schedule.unanswered_watches == 0
-            await moved.end()
+            await new_discovery.end()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 def test_endpoint_list_older_than_the_requested_version_is_ignored(on_virtual_clock: RunScenario) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served, served, drained=True) as w:
             gone, stays = w.servers
             w.discovery.say(43, [gone.entry(status="leaving")])
@@ -220,22 +222,22 @@
             await until(lambda: w.discovery.targets[-1].startswith("/registry/instances?after=3&"))
             assert [each.name for each in w.sidecar._engine.balancer.ready_servers] == [stays.name]
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 def test_reload_during_or_after_the_shutdown_keeps_nothing_running(on_virtual_clock: RunScenario) -> None:
-    async def scene() -> None:
-        moved = FakeDiscovery()
-        await moved.start()
+    async def scenario() -> None:
+        new_discovery = FakeDiscovery()
+        await new_discovery.start()
         async with world(hung, drained=True) as w:
-            asking = asyncio.create_task(w.ask(kind="pay", body=b"x", budget="1.0"))
+            response_task = asyncio.create_task(w.ask(kind="pay", body=b"x", budget="1.0"))
             await until(w.sent)
             w.stop.set()
-            w.move_discovery(moved.address)
-            await until(lambda: moved.targets)
-            assert (await asking)[0] == 500
+            w.move_discovery(new_discovery.address)
+            await until(lambda: new_discovery.targets)
+            assert (await response_task)[0] == 500
         w.move_discovery(("127.0.0.1", 9))
         assert not w.sidecar._discovery.is_watching
-        await moved.end()
+        await new_discovery.end()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
--- a/tests/downstream/test_client_connection.py
+++ b/tests/downstream/test_client_connection.py
@@ -22,7 +22,7 @@
 
 
 def test_pipelined_requests_are_answered_in_order() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(lambda first, *_: answer(200, first.encode())) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(b"".join(request(path=f"/api/{number}") for number in range(20)))
@@ -30,11 +30,11 @@
                 assert f"/api/{number} " in (await read_answer(reader))[2].decode()
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
 def test_longest_buffered_body_is_accepted_in_pieces() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             data = request("pay", body=BIG[:-1], Expect="100-continue")
@@ -46,7 +46,7 @@
             assert w.sent()[0][2] == BIG[:-1]
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize(
@@ -59,7 +59,7 @@
     # Guards the descriptors.  A used connection that sends nothing is at rest, and may stay.
     monkeypatch.setattr(request_deadline, "REQUEST_TIMEOUT_S", 0.2)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             if used:
@@ -76,14 +76,14 @@
                 assert (await read_answer(reader))[0] == 200
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
 def test_client_that_does_not_read_its_response_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards the descriptors: its connection would never be at rest.
     monkeypatch.setattr(client_transport, "STALL_TIMEOUT_S", 0.1)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(lambda *_: answer(200, bytes(60_000))) as w:
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
@@ -96,25 +96,25 @@
             await until(lambda: not w.sidecar.frontend.connections)
             sock.close()
 
-    play(scene())
+    play(scenario())
 
 
 def test_request_in_flight_is_not_disconnected_as_slow(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(request_deadline, "REQUEST_TIMEOUT_S", 0.05)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(lambda *_: None) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(request("pay", body=b"x", budget="0.4"))
             assert (await read_answer(reader))[0] == 500
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
 def test_connection_with_an_unread_request_is_not_idle() -> None:
     # Guards against closing a connection under a request that was taken by the kernel, not yet by us.
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             _, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             await until(lambda: w.sidecar.frontend.connections)
@@ -127,12 +127,12 @@
             peer_fd.close()
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
 def test_rejection_arrives_while_the_body_is_still_being_sent() -> None:
     # Guards against closing on unread bytes, which resets the connection and the answer with it.
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(request("pay", body=BIG * 64, Content_Length=str(MAX_REQUEST_BODY_BYTES + 1)))
@@ -142,15 +142,15 @@
             assert await is_closed(reader)
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
 def test_exception_in_the_request_handler_fails_only_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             monkeypatch.setattr(w.sidecar.frontend.handler, "request_received", None)
             assert (await w.ask())[0] == 500
             monkeypatch.undo()
             assert (await w.ask())[0] == 200
 
-    play(scene())
+    play(scenario())
--- a/tests/downstream/test_client_disconnects.py
+++ b/tests/downstream/test_client_disconnects.py
@@ -10,8 +10,8 @@
 
 from loopback import (
     answer,
-    deaf,
     request,
+    unresponsive_listener,
     until,
     world,
 )
@@ -36,7 +36,7 @@
 def test_request_read_together_with_its_clients_close_is_not_forwarded(
     on_virtual_clock: RunScenario, how: str, kind: str
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served, served, drained=True) as w:
             assert (await w.ask())[0] == 200  # a connection to a server is there
             client = RawClient(w)
@@ -49,14 +49,14 @@
             assert nothing_in_flight(w)()
             client.sock.close()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("how", DISCONNECT_KINDS)
 def test_dial_ends_at_once_when_its_client_disconnects(on_virtual_clock: RunScenario, how: str) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         limits = {"max_attempts": 3, "may_cancel": False, "dial_timeout_us": 600_000_000}
-        with deaf() as address:
+        with unresponsive_listener() as address:
             async with world(served, drained=True, limits=limits) as w:
                 w.sidecar._endpoint_pool.update("s-0", address, None, ServerState.READY)
                 client = RawClient(w)
@@ -67,14 +67,14 @@
                 assert w.sidecar._endpoint_pool.open_count == 0
                 client.sock.close()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("how", DISCONNECT_KINDS)
 def test_nothing_is_written_where_the_client_left_unnoticed_during_the_dial(
     on_virtual_clock: RunScenario, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         up, real = asyncio.Event(), dialing.connect
 
         async def late(*given: Any) -> Any:
@@ -96,7 +96,7 @@
             assert not w.sent()
             client.sock.close()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("how", DISCONNECT_KINDS)
@@ -105,7 +105,7 @@
 def test_attempt_that_fails_as_its_client_disconnects_is_not_retried(
     on_virtual_clock: RunScenario, how: str, ahead: bytes, end: bytes
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(hung, hung, drained=True) as w:
             client = RawClient(w)
             client.send(request())
@@ -119,7 +119,7 @@
             assert len(w.sent()) == 1
             client.sock.close()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("how", DISCONNECT_KINDS)
@@ -127,7 +127,7 @@
 def test_client_that_disconnects_while_it_is_not_read_is_noticed_in_time(
     on_virtual_clock: RunScenario, how: str, may_cancel: bool
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         limits = {"max_attempts": 3, "may_cancel": may_cancel}
         async with world(hung, hung, drained=True, limits=limits) as w:
             client = RawClient(w)
@@ -135,9 +135,9 @@
             await until(w.sent)
             await asyncio.sleep(0.25)
             client.leave(how)
-            began = asyncio.get_running_loop().time()
+            started_at = asyncio.get_running_loop().time()
             await until(lambda: not w.sidecar.proxy.by_client_request)
-            assert asyncio.get_running_loop().time() - began < DISCONNECT_GRACE_S
+            assert asyncio.get_running_loop().time() - started_at < DISCONNECT_GRACE_S
             (there,) = [each for each in w.servers if each.requests]
             if may_cancel:
                 await until(lambda: there.closed == 1)
@@ -147,7 +147,7 @@
             assert len(w.sent()) == 1
             client.sock.close()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize(
@@ -156,7 +156,7 @@
 def test_paused_upload_ends_when_its_client_disconnects(
     on_virtual_clock: RunScenario, how: str, behind: int
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world_with_unreading_server() as (w, server):
             client = RawClient(w)
             client.send(request("pay", Content_Length="30000000"))
@@ -168,11 +168,11 @@
             client.send_some(bytes(behind))
             client.leave(how)
             await wait_until_nothing_in_flight(w)
-            server.go_on.set()
+            server.resume_reading.set()
             await until(lambda: server.ended)
             client.sock.close()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 def test_upload_behind_a_full_buffer_is_not_completed_after_its_client_left(
@@ -180,46 +180,46 @@
 ) -> None:
     size = 8_000_000  # more than the kernel holds on the way: nobody can see yet that the client has left
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world_with_unreading_server() as (w, server):
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(request("pay", Content_Length=str(size)) + bytes(size))
             await until(lambda: any(each._reading_paused for each in w.sidecar.frontend.connections))
             writer.close()  # once all is with the kernel
-            server.go_on.set()
+            server.resume_reading.set()
             await until(lambda: server.ended)
-            assert not b"".join(server.came).endswith(bytes(size))
+            assert not b"".join(server.received).endswith(bytes(size))
             await until(nothing_in_flight(w))
             assert await reader.read() == b""
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("how", DISCONNECT_KINDS)
 def test_upload_whose_end_comes_with_its_clients_close_is_not_completed(
     on_virtual_clock: RunScenario, how: str
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world_with_unreading_server() as (w, server):
-            server.go_on.set()
+            server.resume_reading.set()
             client = RawClient(w)
             data = request("pay", body=bytes(100_000))
             client.send(data[:-1])
-            await until(lambda: server.came)
+            await until(lambda: server.received)
             client.send(data[-1:])
             client.leave(how)
             await wait_until_nothing_in_flight(w)
             await until(lambda: server.ended)
-            assert not b"".join(server.came).endswith(bytes(100_000))
+            assert not b"".join(server.received).endswith(bytes(100_000))
             client.sock.close()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 def test_client_that_sends_too_far_ahead_gets_one_response_and_a_close(
     on_virtual_clock: RunScenario,
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(hung, drained=True) as w:
             client = RawClient(w)
             client.send(request() + PIPELINED_INPUT)
@@ -235,11 +235,11 @@
             assert got.endswith(b"served")
             client.sock.close()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 def test_pipelined_request_is_not_forwarded_after_its_client_left(on_virtual_clock: RunScenario) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(hung, hung, drained=True) as w:
             client = RawClient(w)
             client.send(request() + request())
@@ -250,4 +250,4 @@
             await wait_until_nothing_in_flight(w)
             assert len(w.sent()) == 1
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
--- a/tests/downstream/test_frontend.py
+++ b/tests/downstream/test_frontend.py
@@ -23,7 +23,7 @@
 
 def test_connection_beyond_the_bound_replaces_an_idle_one() -> None:
     # Guards the descriptors: 66 sockets leave one for clients.
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served, sockets=66) as w:
             first, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(request())
@@ -33,7 +33,7 @@
             assert await is_closed(first)
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
 def test_flood_of_idle_clients_costs_bounded_checks_and_closes_only_what_it_must(
@@ -42,16 +42,16 @@
     # herd+crowd: each connection accepted at the bound looked at all others, a system call each.
     # None is given up for its silence meanwhile.
     monkeypatch.setattr(request_deadline, "REQUEST_TIMEOUT_S", 60.0)
-    looks, real = 0, sockets.has_no_unread_input
+    checks, real = 0, sockets.has_no_unread_input
 
     def counted(sock: socket.socket) -> bool:
-        nonlocal looks
-        looks += 1
+        nonlocal checks
+        checks += 1
         return real(sock)
 
-    async def scene() -> None:
-        most, flood = 100, 300
-        async with world(served, sockets=64 + 2 * most) as w:
+    async def scenario() -> None:
+        max_connections, flood = 100, 300
+        async with world(served, sockets=64 + 2 * max_connections) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(request())
             assert (await read_answer(reader))[0] == 200
@@ -61,11 +61,11 @@
                     clients.enter_context(socket.create_connection(w.sidecar.frontend.address))
                     await asyncio.sleep(0)
                 await until(lambda: not w.sidecar.frontend._open_tasks)
-                assert len(w.sidecar.frontend.connections) == most
-                assert looks <= 2 * flood
+                assert len(w.sidecar.frontend.connections) == max_connections
+                assert checks <= 2 * flood
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
 class ImmediateHandler:
@@ -100,7 +100,7 @@
         def setblocking(self, flag: bool) -> None:
             self.real.setblocking(flag)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         frontend = Frontend(("127.0.0.1", 0), 5, ImmediateHandler(), settings())
         acceptor = frontend._acceptor
         real = acceptor._sock
@@ -111,4 +111,4 @@
         frontend.stop_listening()
         await until(frontend.is_empty)
 
-    play(scene())
+    play(scenario())
--- a/tests/downstream/test_request.py
+++ b/tests/downstream/test_request.py
@@ -37,14 +37,14 @@
     ],
 )
 def test_malformed_request_is_rejected_and_never_forwarded(data: bytes, status: int) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             got, _, _ = await ask(w.sidecar.frontend.address, data)
             assert got == status
             assert (await w.ask())[0] == 200  # and the sidecar goes on
             assert len(w.sent()) == 1
 
-    play(scene())
+    play(scenario())
 
 
 # Guards servers, and what is learned of them: they answer 400 to these, as if they were sick.
@@ -62,16 +62,16 @@
 def test_request_unknown_to_the_settings_reaches_neither_balancer_nor_server(
     data: bytes, status: int
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served, tenants=[{"name": "acme"}]) as w:
-            heard = w.hear()
+            events = w.record_events()
             assert (await ask(w.sidecar.frontend.address, data))[0] == status
-            assert not any(isinstance(each, RequestReceived) for each in heard)
+            assert not any(isinstance(each, RequestReceived) for each in events)
             assert not w.sent()
             assert (await w.ask(X_Caller="acme"))[0] == 200
-            assert sum(isinstance(each, RequestReceived) for each in heard) == len(w.sent()) == 1
+            assert sum(isinstance(each, RequestReceived) for each in events) == len(w.sent()) == 1
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize(
@@ -85,7 +85,7 @@
 def test_connection_is_kept_after_a_rejection_only_if_its_framing_is_intact(
     data: bytes, is_kept: bool
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(data)
@@ -97,7 +97,7 @@
                 assert await is_closed(reader)
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
 INNER = request(path="/api/inner")
@@ -114,7 +114,7 @@
 # Guards against a request inside the body of another: by the length it is body, by the chunks a request.
 @pytest.mark.parametrize("head", AMBIGUOUS.values(), ids=AMBIGUOUS)
 def test_nothing_is_read_after_a_head_with_ambiguous_framing(head: bytes) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(head + b"0\r\n\r\n" + INNER)
@@ -123,24 +123,24 @@
             writer.close()
             assert not w.sent()
 
-    play(scene())
+    play(scenario())
 
 
 def test_remaining_time_is_capped_by_the_deadline_of_the_class() -> None:
     # Guards the memory: what is kept for a request is kept as long as it claims to have.
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
-            heard = w.hear()
+            events = w.record_events()
             assert (await w.ask(budget="1e9"))[0] == 200
-            assert [each.remaining_us for each in heard if isinstance(each, RequestReceived)] == [2_000_000]
+            assert [each.remaining_us for each in events if isinstance(each, RequestReceived)] == [2_000_000]
 
-    play(scene())
+    play(scenario())
 
 
 def test_http_1_0_client_without_host_is_served() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             data = request(Host=None).replace(b"HTTP/1.1", b"HTTP/1.0")
             assert (await ask(w.sidecar.frontend.address, data))[0] == 200
 
-    play(scene())
+    play(scenario())
--- a/tests/downstream/test_upload_streaming.py
+++ b/tests/downstream/test_upload_streaming.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from loopback import PATIENCE_S, answer, play, request, reset, until, world
+from loopback import PATIENCE_S, answer, play, request, reset_connection, until, world
 from raw_server import HUGE, LONG, Reader, Writer, chunked, dial, read_chunked, read_head, streaming
 from sidecar_balancer.downstream import client_connection
 from sidecar_balancer.downstream.client_connection import ClientConnection
@@ -30,9 +30,9 @@
 
 @pytest.mark.parametrize("form", ["length", "chunks", "small chunks", "expect"])
 def test_long_request_body_arrives_complete_with_every_framing(form: str) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with streaming(served_upload) as (w, _):
-            heard = w.hear()
+            events = w.record_events()
             reader, writer = await dial(w)
             if "chunks" in form:
                 data = request("pay", Content_Length=None, Transfer_Encoding="chunked")
@@ -46,16 +46,16 @@
             writer.write(data)
             assert "200 ok" in await read_head(reader)
             assert await reader.readexactly(5) == b"whole"
-            assert [each.body_open for each in heard if isinstance(each, RequestReceived)] == [True]
+            assert [each.body_open for each in events if isinstance(each, RequestReceived)] == [True]
             writer.write(request("pay", body=LONG))  # the connection goes on
             assert "200 ok" in await read_head(reader)
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
 def test_deadline_starts_with_the_last_byte_of_the_body() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with streaming(served_upload) as (w, _):
             reader, writer = await dial(w)
             data = request("pay", body=LONG)
@@ -78,23 +78,23 @@
             assert attempt.deadline < math.inf
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
 def test_server_that_does_not_read_pauses_its_client_within_bounded_memory() -> None:
-    go_on = asyncio.Event()
+    resume_reading = asyncio.Event()
 
     async def script(reader: Reader, writer: Writer) -> None:
-        await go_on.wait()
+        await resume_reading.wait()
         head = await read_head(reader)
         assert f"content-length: {HUGE}" in head
-        left = HUGE
-        while left:
-            left -= len(await reader.read(1_000_000))
+        remaining = HUGE
+        while remaining:
+            remaining -= len(await reader.read(1_000_000))
         writer.write(answer(200, b"served"))
         await reader.read()
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with streaming(script) as (w, _):
             reader, writer = await dial(w)
             writer.write(request("pay", Content_Length=str(HUGE)))
@@ -105,12 +105,12 @@
             assert connection._upload is not None
             assert len(connection._upload._buffer) <= MAX_BUFFERED_BODY_BYTES + 64 * 1024
             assert not sending.done()
-            go_on.set()
+            resume_reading.set()
             assert "200 ok" in await read_head(reader)
             await sending
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
 async def send(writer: Writer, size: int) -> None:
@@ -122,21 +122,21 @@
 def test_request_with_a_consumed_body_is_not_retried() -> None:
     async def script(reader: Reader, writer: Writer) -> None:
         await reader.readexactly(200_000)
-        reset(writer)
+        reset_connection(writer)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with streaming(script) as (w, server):
-            heard = w.hear()
+            events = w.record_events()
             reader, writer = await dial(w)
             writer.write(request("pay", body=LONG)[:-1])
             # It never ran: a refusal says so, and it comes while the body is still being sent.
             assert "503" in await read_head(reader)
             assert server.connections == 1
-            ended = [each for each in heard if isinstance(each, AttemptEnded)]
+            ended = [each for each in events if isinstance(each, AttemptEnded)]
             assert [(each.outcome, each.body_consumed) for each in ended] == [(Outcome.CONNECT_FAILED, True)]
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
 def test_server_rejection_during_the_body_rejects_the_request() -> None:
@@ -145,24 +145,24 @@
         writer.write(answer(503, X_Rejected="1"))
         await reader.read()
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with streaming(script) as (w, _):
             reader, writer = await dial(w)
             writer.write(request("pay", body=LONG)[:-1])
             assert "503" in await read_head(reader)
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
 def test_client_that_disconnects_within_its_body_ends_the_attempt_unexecuted() -> None:
-    came: list[bytes] = []
+    received: list[bytes] = []
 
     async def script(reader: Reader, writer: Writer) -> None:
         with contextlib.suppress(ConnectionError):
-            came.append(await reader.read(-1))
+            received.append(await reader.read(-1))
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with streaming(script) as (w, _):
             _, writer = await dial(w)
             writer.write(request("pay", body=LONG)[:-1])
@@ -175,13 +175,13 @@
                 == 0
             )
 
-    play(scene())
+    play(scenario())
 
 
 def test_chunked_body_beyond_the_limit_is_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(client_connection, "MAX_REQUEST_BODY_BYTES", 500_000)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with streaming(served_upload) as (w, _):
             reader, writer = await dial(w)
             writer.write(request("pay", Content_Length=None, Transfer_Encoding="chunked"))
@@ -190,11 +190,11 @@
             assert await asyncio.wait_for(reader.read(), PATIENCE_S) == b"the body is too large\n"
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
 def test_body_deadline_allows_a_slow_body_but_no_stall() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(lambda *_: None) as w:
             _, writer = await dial(w)
             await until(lambda: w.sidecar.frontend.connections)
@@ -203,15 +203,15 @@
             await until(lambda: connection._head is not None)
             deadline = connection._deadline
             deadline.awaited_since = 100.0
-            for head_at, came, came_at, due in (
+            for head_at, received, came_at, due in (
                 (100.0, 0, 100.0, 102.5),  # a head and nothing behind it
                 (102.0, 0, 102.0, 103.5),  # a slow head
                 (102.0, 64_000, 103.0, 105.5),  # the slowest that is owed service, with as much to spare
                 (102.0, 32_000_000, 103.0, 113.0),  # what came fast buys no long silence
             ):
-                deadline.body_counted_since, deadline.body_bytes = head_at, came
+                deadline.body_counted_since, deadline.body_bytes = head_at, received
                 deadline.last_input_at = came_at
                 assert deadline.due_at(connection._head is not None) == due
             writer.close()
 
-    play(scene())
+    play(scenario())
--- a/tests/runtime/test_defects.py
+++ b/tests/runtime/test_defects.py
@@ -26,7 +26,7 @@
 def test_timer_event_that_raises_half_way_loses_no_decided_or_due_action(
     on_virtual_clock: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(hung, hung, drained=True) as w:
             requests, failed = w.sidecar._engine.balancer.components.requests, list[int]()
             real = requests.finish
@@ -38,54 +38,56 @@
                 failed.append(given.request_id)
                 real(given)
 
-            asking = [asyncio.create_task(w.ask(kind="pay", body=b"x", budget="1.0")) for _ in range(4)]
+            response_tasks = [
+                asyncio.create_task(w.ask(kind="pay", body=b"x", budget="1.0")) for _ in range(4)
+            ]
             await until(lambda: len(w.sent()) == 4)
             monkeypatch.setattr(requests, "finish", finish)
-            began = asyncio.get_running_loop().time()
+            started_at = asyncio.get_running_loop().time()
             stall(2.0)  # all fall due in one event
-            assert [(await each)[0] for each in asking] == [500] * 4
-            assert asyncio.get_running_loop().time() - began < 2.2
+            assert [(await each)[0] for each in response_tasks] == [500] * 4
+            assert asyncio.get_running_loop().time() - started_at < 2.2
             assert len(failed) >= 3
             assert nothing_in_flight(w)()
             monkeypatch.setattr(requests, "finish", real)
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 def test_balancer_is_woken_after_an_exception_for_what_else_was_due(
     on_virtual_clock: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(hung, drained=True) as w:
             timers = w.sidecar._engine.balancer.components.timers
             real = timers.pop_due
 
-            def fails(_: int) -> None:
+            def raise_error(_: int) -> None:
                 monkeypatch.setattr(timers, "pop_due", real)
                 raise ZeroDivisionError
 
             await until(lambda: w.discovery.targets)
-            heard = w.hear()
-            monkeypatch.setattr(timers, "pop_due", fails)
+            events = w.record_events()
+            monkeypatch.setattr(timers, "pop_due", raise_error)
             w.sidecar._engine.handle(TimerFired("agenda"))
             await asyncio.sleep(0.1)
-            assert [type(each) for each in heard] == [TimerFired, TimerFired]
+            assert [type(each) for each in events] == [TimerFired, TimerFired]
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 def test_request_whose_placement_raised_is_forgotten_by_the_balancer(
     on_virtual_clock: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(hung, drained=True) as w:
 
-            def fails(_now: int, _request: object) -> None:
+            def raise_error(_now: int, _request: object) -> None:
                 raise ZeroDivisionError
 
             placement = w.sidecar._engine.balancer.components.placement
             real = placement.place
-            monkeypatch.setattr(placement, "place", fails)
+            monkeypatch.setattr(placement, "place", raise_error)
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(request("pay", body=bytes(100_000))[:-1])  # its body is still coming: it has no time
             assert (await read_answer(reader))[0] == 500
@@ -93,42 +95,42 @@
             monkeypatch.setattr(placement, "place", real)
             writer.close()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 def test_actions_decided_before_an_exception_are_executed(
     on_virtual_clock: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(hung, drained=True) as w:
             timers = w.sidecar._engine.balancer.components.timers
             real = timers.arm
 
-            def fails(*_: object) -> None:
+            def raise_error(*_: object) -> None:
                 monkeypatch.setattr(timers, "arm", real)
                 raise ZeroDivisionError
 
-            monkeypatch.setattr(timers, "arm", fails)
+            monkeypatch.setattr(timers, "arm", raise_error)
             assert (await w.ask())[0] == 500  # it was sent by then, and then given up
             await until(nothing_in_flight(w))
             assert sum(each.in_flight for each in w.sidecar._engine.balancer.servers.values()) == 0
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 def test_periodic_task_survives_an_exception_in_one_run(
     on_virtual_clock: RunScenario, monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served, drained=True, orders=tmp_path) as w:
             real, failed = w.sidecar.admin_handlers._overrides.load, list[bool]()
 
-            def fails() -> Any:
+            def raise_error() -> Any:
                 monkeypatch.setattr(w.sidecar.admin_handlers._overrides, "load", real)
                 failed.append(True)
                 raise ZeroDivisionError
 
-            monkeypatch.setattr(w.sidecar.admin_handlers._overrides, "load", fails)
+            monkeypatch.setattr(w.sidecar.admin_handlers._overrides, "load", raise_error)
             with collect_loop_exceptions() as faults:
                 await until(lambda: failed)
                 await asyncio.sleep(0)
@@ -136,20 +138,20 @@
             OperatorOverrides(tmp_path).disable_server("s-0")  # as the other process of an upgrade may
             await until(lambda: not w.sidecar._engine.balancer.ready_servers)
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
 def test_abandoned_request_leaves_balancer_and_sockets_consistent(
     on_virtual_clock: RunScenario, may_cancel: bool
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         limits = {"max_attempts": 3, "may_cancel": may_cancel}
         async with world(hung, drained=True, limits=limits) as w:
-            asking = asyncio.create_task(w.ask(kind="pay", body=b"x", budget="1.5"))
+            response_task = asyncio.create_task(w.ask(kind="pay", body=b"x", budget="1.5"))
             await until(w.sent)
             w.sidecar.proxy.abandon(next(iter(w.sidecar.proxy.in_flight)))
-            assert (await asking)[0] == 500
+            assert (await response_task)[0] == 500
             if not may_cancel:  # what is whole at a server is not called off there: it ends at its time
                 await asyncio.sleep(1.0)
                 assert w.servers[0].closed == 0
@@ -157,11 +159,11 @@
             await until(nothing_in_flight(w))
             await until(lambda: w.servers[0].closed == 1)
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 def test_response_that_cannot_be_written_closes_its_connection(on_virtual_clock: RunScenario) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(hung, drained=True) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(request())
@@ -174,4 +176,4 @@
             w.sidecar.proxy.abandon(next(iter(w.sidecar.proxy.in_flight)))
             writer.close()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
--- a/tests/runtime/test_engine.py
+++ b/tests/runtime/test_engine.py
@@ -20,7 +20,7 @@
 
 def test_events_of_one_event_loop_turn_have_the_same_time(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards what the balancer learns: after a stall, it tells by the time what waited meanwhile.
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             times: list[int] = []
 
@@ -38,12 +38,12 @@
             w.sidecar._engine.handle(ClientDisconnected(1))
             assert times[0] == times[1] == times[2] < times[3]
 
-    play(scene())
+    play(scenario())
 
 
 # Guards against a defect that would kill the process or leave its request without an answer.
 def test_exception_in_the_balancer_fails_only_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             real = w.sidecar._engine.balancer.handle
 
@@ -57,11 +57,11 @@
             assert (await w.ask())[0] == 200
             assert not w.sidecar.proxy.in_flight
 
-    play(scene())
+    play(scenario())
 
 
 def test_exception_in_an_executor_fails_only_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             monkeypatch.setattr(w.sidecar._endpoint_pool, "send", None)
             assert (await w.ask(kind="pay", body=b"x"))[0] == 500
@@ -69,20 +69,20 @@
             assert (await w.ask())[0] == 200
             assert not w.sidecar.proxy.in_flight
 
-    play(scene())
+    play(scenario())
 
 
 def test_request_that_the_balancer_ignores_fails_at_its_deadline() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             w.sidecar._engine.balancer.handle = lambda now, event: []  # type: ignore[method-assign]
             assert (await w.ask(budget="0.2"))[0] == 500
 
-    play(scene())
+    play(scenario())
 
 
 def test_every_action_of_the_balancer_has_an_executor() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world() as w:
             modules = Path(policy.__path__[0]).glob("*.py")
             source = "".join(path.read_text() for path in modules if path.name != "actions.py")
@@ -90,4 +90,4 @@
             assert len(emitted) > 5
             assert emitted <= set(w.sidecar._engine.executors)
 
-    play(scene())
+    play(scenario())
--- a/tests/runtime/test_proxy.py
+++ b/tests/runtime/test_proxy.py
@@ -14,19 +14,19 @@
 
 
 def test_request_without_servers_is_rejected_at_once_while_readiness_holds() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world() as w:
             loop = asyncio.get_running_loop()
-            began = loop.time()
+            started_at = loop.time()
             assert (await w.ask(budget="30"))[0] == 503
-            assert loop.time() - began < 15.0
+            assert loop.time() - started_at < 15.0
             assert (await ask(w.sidecar.frontend.address, request(path="/health/ready")))[0] == 200
 
-    play(scene())
+    play(scenario())
 
 
 def test_rejection_carries_retry_after() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             w.sidecar._engine.balancer.handle = lambda now, event: (  # type: ignore[method-assign]
                 [Reject(event.request, 250_000)] if isinstance(event, RequestReceived) else []
@@ -35,4 +35,4 @@
             assert status == 503
             assert float(headers["retry-after"]) == 0.25
 
-    play(scene())
+    play(scenario())
--- a/tests/runtime/test_shutdown.py
+++ b/tests/runtime/test_shutdown.py
@@ -11,8 +11,8 @@
 from loopback import (
     answer,
     assert_nothing_owed,
-    deaf,
     request,
+    unresponsive_listener,
     until,
     world,
 )
@@ -23,15 +23,15 @@
 
 
 def test_request_in_flight_at_the_last_moment_is_answered_on_the_wire(on_virtual_clock: RunScenario) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(hung, classes=[NON_IDEMPOTENT | {"deadline_us": 60 * S}]) as w:
             client = RawClient(w)
             client.send(request("pay", body=b"x", budget="50") + b"unread" * 100)
             await until(w.sent)
-            began = asyncio.get_running_loop().time()
+            started_at = asyncio.get_running_loop().time()
             w.stop.set()
             await until(lambda: w.sidecar._timers._is_closed)
-            assert 3.6 <= asyncio.get_running_loop().time() - began < 3.7  # killed it is after 3.7 s
+            assert 3.6 <= asyncio.get_running_loop().time() - started_at < 3.7  # killed it is after 3.7 s
             got = client.sock.recv(10_000)
             assert got.startswith(b"HTTP/1.1 500")
             assert b"Connection: close" in got
@@ -39,14 +39,14 @@
             assert_nothing_owed(w.sidecar)
             client.sock.close()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("version", [b"HTTP/1.0", b"HTTP/1.1"])
 def test_streamed_response_cut_off_by_the_shutdown_is_visibly_broken(
     on_virtual_clock: RunScenario, version: bytes
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(hung, classes=[IDEMPOTENT | {"deadline_us": 1 * S}]) as w:
             client = RawClient(w)
             client.send(request(budget="1.0").replace(b"HTTP/1.1", version))
@@ -68,7 +68,7 @@
                 assert client.sock.recv(1) == b""
             client.sock.close()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 def test_stalled_client_of_a_response_delimited_by_its_end_sees_a_reset(
@@ -76,7 +76,7 @@
 ) -> None:
     piece = b"10000\r\n" + bytes(0x10000) + b"\r\n"
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(hung, drained=True) as w:
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
@@ -95,32 +95,32 @@
                     pass
             sock.close()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 def test_idle_connections_do_not_delay_the_shutdown(on_virtual_clock: RunScenario) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             used, fresh = RawClient(w), RawClient(w)
             used.send(request())
             await until(lambda: len(w.sidecar.frontend.connections) == 2)
             await until(lambda: len(w.sent()) == 1 and not w.sidecar.proxy.in_flight)
-            began = asyncio.get_running_loop().time()
+            started_at = asyncio.get_running_loop().time()
             w.stop.set()
             await until(lambda: w.sidecar._timers._is_closed)
-            assert asyncio.get_running_loop().time() - began < 0.75
+            assert asyncio.get_running_loop().time() - started_at < 0.75
             assert_nothing_owed(w.sidecar)
             for each in (used, fresh):
                 each.sock.close()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("at", ["unaccepted", "unbegun", "dialling", "answering", "crossing"])
 def test_request_that_meets_the_drain_is_answered(on_virtual_clock: RunScenario, at: str) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(hung if at == "answering" else served, drained=True) as w:
-            with deaf() as address:
+            with unresponsive_listener() as address:
                 if at == "dialling":
                     w.sidecar._endpoint_pool.update("s-0", address, None, ServerState.READY)
                 if at == "unaccepted":
@@ -146,4 +146,4 @@
                 assert client.sock.recv(1) == b""
                 client.sock.close()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
--- a/tests/runtime/test_timeouts.py
+++ b/tests/runtime/test_timeouts.py
@@ -9,7 +9,7 @@
 from helpers import IDEMPOTENT, NON_IDEMPOTENT, S
 from loopback import (
     answer,
-    deaf,
+    unresponsive_listener,
     until,
     world,
 )
@@ -26,13 +26,13 @@
     other = [NON_IDEMPOTENT | {"name": "look", "deadline_us": 1 * S}, IDEMPOTENT | {"name": "pay"}]
     limits = {"max_attempts": 1, "may_hedge": False, "may_cancel": False}
 
-    async def scene() -> None:
-        def fails(*_: object) -> bytes:
+    async def scenario() -> None:
+        def raise_error(*_: object) -> bytes:
             return answer(500, b"")
 
         async with (
-            world(fails, served, drained=True) as ours,
-            world(fails, served, drained=True, classes=other, limits=limits, tenants=[]) as theirs,
+            world(raise_error, served, drained=True) as ours,
+            world(raise_error, served, drained=True, classes=other, limits=limits, tenants=[]) as theirs,
         ):
             for _ in range(6):
                 assert (await ours.ask(kind="look"))[0] == 200  # safe: it goes elsewhere
@@ -43,35 +43,35 @@
             assert all(first.startswith("POST") for first, _, _ in theirs.sent())
             assert len(theirs.sent()) == 6  # not one of them ran twice
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("at", ["dial", "attempt", "request", "backstop"])
 def test_each_timeout_ends_its_operation_and_frees_all_of_it(
     on_virtual_clock: RunScenario, at: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         limits = {"max_attempts": 3, "may_cancel": at != "attempt", "dial_timeout_us": 200_000}
         async with world(hung, hung, drained=True, limits=limits) as w:
-            with deaf() as address:
+            with unresponsive_listener() as address:
                 if at == "dial":
                     for name in ("s-0", "s-1"):
                         w.sidecar._endpoint_pool.update(name, address, None, ServerState.READY)
                 loop = asyncio.get_running_loop()
-                began, real = loop.time(), w.sidecar._engine.balancer.handle
-                asking = asyncio.create_task(w.ask(kind="pay", body=b"x", budget="1.0"))
+                started_at, real = loop.time(), w.sidecar._engine.balancer.handle
+                response_task = asyncio.create_task(w.ask(kind="pay", body=b"x", budget="1.0"))
                 if at == "backstop":
                     await until(w.sent)
                     monkeypatch.setattr(w.sidecar._engine.balancer, "handle", lambda now, event: [])
-                status, _, _ = await asking
-                took = loop.time() - began
+                status, _, _ = await response_task
+                elapsed_s = loop.time() - started_at
                 if at == "dial":
                     assert status == 503
-                    assert 0.39 < took < 0.5
+                    assert 0.39 < elapsed_s < 0.5
                     assert not w.sent()
                 else:
                     assert status == 500
-                    assert 0.98 <= took < 1.05
+                    assert 0.98 <= elapsed_s < 1.05
                     assert len(w.sent()) == 1
                 if at == "backstop":
                     monkeypatch.setattr(w.sidecar._engine.balancer, "handle", real)
@@ -84,16 +84,16 @@
                     lambda: w.sidecar._endpoint_pool.open_count == 0 and not w.sidecar.proxy.in_flight
                 )
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("crossing", ["before", "behind"])
 def test_response_that_comes_with_its_timeout_has_one_outcome(
     on_virtual_clock: RunScenario, crossing: str
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(hung, drained=True) as w:
-            asking = asyncio.create_task(w.ask(kind="pay", body=b"x", budget="1.0"))
+            response_task = asyncio.create_task(w.ask(kind="pay", body=b"x", budget="1.0"))
             await until(w.sent)
             if crossing == "before":
                 w.servers[0].writers[0].write(answer(200, b"served"))
@@ -103,6 +103,6 @@
                 await asyncio.sleep(0)
                 if not w.servers[0].writers[0].is_closing():
                     w.servers[0].writers[0].write(answer(200, b"served"))
-            assert (await asking)[0] == (200 if crossing == "before" else 500)
+            assert (await response_task)[0] == (200 if crossing == "before" else 500)
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -56,7 +56,7 @@
     return "\r\n".join([*lines, "", ""]).encode() + body
 
 
-def reset(writer: asyncio.StreamWriter) -> None:
+def reset_connection(writer: asyncio.StreamWriter) -> None:
     """Break a connection as a process that dies does."""
     sock = writer.get_extra_info("socket")
     if sock.fileno() < 0:
@@ -121,7 +121,7 @@
                 self.requests.append(request)
                 reply = self.script(*request)
                 if reply == b"":
-                    reset(writer)
+                    reset_connection(writer)
                 elif reply is not None:
                     writer.write(reply)
                     if b"Connection: close" in reply:
@@ -137,7 +137,7 @@
         """Die: no new connections, and those that are open break."""
         super().stop()
         for writer in self.writers:
-            reset(writer)
+            reset_connection(writer)
 
     def entry(self, **changes: Any) -> dict[str, Any]:
         address = f"{self.address[0]}:{self.address[1]}"
@@ -194,7 +194,7 @@
         """All requests that reached servers, by server."""
         return [request for server in self.servers for request in server.requests]
 
-    def hear(self) -> list[Event]:
+    def record_events(self) -> list[Event]:
         """From now on, the events that the balancer is given."""
         heard: list[Event] = []
         real = self.sidecar._engine.balancer.handle
@@ -316,7 +316,7 @@
 
 
 @contextlib.contextmanager
-def deaf() -> Iterator[Address]:
+def unresponsive_listener() -> Iterator[Address]:
     """A listener whose queue is full: connections to it never come up."""
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
--- a/tests/support/timed_scenes.py
+++ b/tests/support/timed_scenes.py
@@ -56,16 +56,16 @@
 
     def __init__(self) -> None:
         super().__init__("s-9", hung)
-        self.go_on = asyncio.Event()
-        self.came: list[bytes] = []
+        self.resume_reading = asyncio.Event()
+        self.received: list[bytes] = []
         self.ended = False
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.append(writer)
-        await self.go_on.wait()
+        await self.resume_reading.wait()
         with contextlib.suppress(ConnectionError):
             while data := await reader.read(100_000):
-                self.came.append(data)
+                self.received.append(data)
         self.ended = True
 
 
@@ -107,9 +107,9 @@
 
 async def wait_until_nothing_in_flight(w: World) -> None:
     """What its client left behind is over well before the rule bites."""
-    began = asyncio.get_running_loop().time()
+    started_at = asyncio.get_running_loop().time()
     await until(nothing_in_flight(w))
-    assert asyncio.get_running_loop().time() - began < DISCONNECT_GRACE_S
+    assert asyncio.get_running_loop().time() - started_at < DISCONNECT_GRACE_S
 
 
 @contextlib.asynccontextmanager
--- a/tests/upstream/test_attempt_outcomes.py
+++ b/tests/upstream/test_attempt_outcomes.py
@@ -12,9 +12,9 @@
     PATIENCE_S,
     answer,
     ask,
-    deaf,
     play,
     request,
+    unresponsive_listener,
     until,
     world,
 )
@@ -31,7 +31,7 @@
 
 
 def test_request_and_response_are_forwarded_unchanged() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         body = bytes(range(256)) * 16
         async with world(lambda *_: answer(200, body, Content_Type="x/y")) as w:
             sent = request("amend", "/api/7f3a?q=1", b"\0body\xff", X_Caller="acme")
@@ -44,7 +44,7 @@
             assert given["idempotency-key"] == "5c0f6e1a"
             assert 0.0 < float(given["x-budget"]) < 5.0
 
-    play(scene())
+    play(scenario())
 
 
 # Guards rule 2: of an unsafe request only these ends prove that it never ran.
@@ -63,7 +63,7 @@
 def test_non_idempotent_request_is_retried_only_where_it_was_not_executed(
     reply: bytes, status: int, attempts: int
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         replies = [reply]
 
         def first_so(*_: object) -> bytes:
@@ -75,7 +75,7 @@
             assert (body == b"served") == (status == 200)
             assert len(w.sent()) == attempts
 
-    play(scene())
+    play(scenario())
 
 
 UNREADABLE = {
@@ -95,33 +95,33 @@
 def test_unreadable_response_is_an_application_error_and_no_lost_connection(
     reply: bytes, outcome: Outcome
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(lambda *_: reply, limits={"max_attempts": 1}) as w:
-            heard = w.hear()
+            events = w.record_events()
             assert (await w.ask(kind="pay", body=b"x"))[0] == 500
-            assert [each.outcome for each in heard if isinstance(each, AttemptEnded)] == [outcome]
+            assert [each.outcome for each in events if isinstance(each, AttemptEnded)] == [outcome]
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize("status", [400, 404])
 def test_request_that_a_server_calls_invalid_is_not_retried(status: int) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(*[lambda *_: answer(status)] * 3) as w:
             assert (await w.ask())[0] == 503
             assert len(w.sent()) == 1
 
-    play(scene())
+    play(scenario())
 
 
 def test_refused_connection_allows_a_retry_of_a_non_idempotent_request() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served, served) as w:
             w.servers[0].stop()
             for _ in range(3):
                 assert (await w.ask(kind="pay", body=b"x"))[0] == 200
 
-    play(scene())
+    play(scenario())
 
 
 # Guards rule 1: an answer that ends with its connection may have been cut short, so it is never passed on.
@@ -134,35 +134,35 @@
     ],
 )
 def test_response_body_that_may_be_incomplete_is_not_forwarded(cut: bytes) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(lambda *_: cut) as w:
-            asking = asyncio.create_task(w.ask(kind="pay", body=b"x"))
+            response_task = asyncio.create_task(w.ask(kind="pay", body=b"x"))
             await until(w.sent)
             await asyncio.sleep(0)
             server = w.servers[0]
             await until(lambda: server.writers)
             server.writers[0].close()
-            assert (await asking)[0] == 500
+            assert (await response_task)[0] == 500
 
-    play(scene())
+    play(scenario())
 
 
 def test_hung_server_times_out_with_a_response_and_its_connection_is_closed() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(hung) as w:
             loop = asyncio.get_running_loop()
-            began = loop.time()
+            started_at = loop.time()
             status, _, _ = await w.ask(kind="pay", body=b"x", budget="0.6")
             assert status == 500
-            assert 0.3 < loop.time() - began
+            assert 0.3 < loop.time() - started_at
             await until(lambda: w.servers[0].closed == 1)
             assert len(w.sent()) == 1
 
-    play(scene())
+    play(scenario())
 
 
 def test_attempt_ends_when_its_client_disconnects() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(hung) as w:
             _, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(request("pay", body=b"x"))
@@ -171,11 +171,11 @@
             await until(lambda: w.servers[0].closed == 1)
             assert not w.sidecar.proxy.in_flight  # the late outcome reached the module, and nothing is kept
 
-    play(scene())
+    play(scenario())
 
 
 def test_slow_reader_does_not_delay_other_clients() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(lambda *_: answer(200, bytes(60_000))) as w:
             slow = socket.socket()
             slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
@@ -189,7 +189,7 @@
                 assert (await read_answer_slowly(reader)) == 60_000
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
 async def read_answer_slowly(reader: asyncio.StreamReader) -> int:
@@ -201,9 +201,9 @@
 
 def test_nothing_is_sent_for_an_ended_request_even_without_cancellation() -> None:
     # Guards rule 1: a dial that came up after the final answer would still write the request.
-    async def scene() -> None:
+    async def scenario() -> None:
         limits = {"max_attempts": 3, "may_cancel": False, "dial_timeout_us": 600 * S}
-        with deaf() as address:
+        with unresponsive_listener() as address:
             async with world(served, limits=limits) as w:
                 w.sidecar._endpoint_pool.update("s-0", address, None, ServerState.READY)
                 _, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
@@ -212,4 +212,4 @@
                 writer.close()
                 await until(lambda: not w.sidecar.proxy.in_flight and not w.sidecar._endpoint_pool.open_count)
 
-    play(scene())
+    play(scenario())
--- a/tests/upstream/test_endpoint_changes.py
+++ b/tests/upstream/test_endpoint_changes.py
@@ -11,8 +11,8 @@
 from loopback import (
     FakeServer,
     answer,
-    deaf,
-    reset,
+    reset_connection,
+    unresponsive_listener,
     until,
     world,
 )
@@ -35,64 +35,64 @@
 def test_dial_to_an_earlier_address_or_process_ends_and_is_retried_elsewhere(
     on_virtual_clock: RunScenario, change: str
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(hung, served, drained=True) as w:
-            with deaf() as address:
+            with unresponsive_listener() as address:
                 places = [w.servers[0].entry(address=f"127.0.0.1:{address[1]}"), w.servers[1].entry()]
                 w.discovery.say(42, places, snapshot=True)
                 await until(lambda: w.sidecar._endpoint_pool._endpoints["s-0"].address == address)
                 w.discovery.say(43, [w.servers[1].entry(status="leaving")])
                 await until(lambda: len(w.sidecar._engine.balancer.ready_servers) == 1)
-                asking = asyncio.create_task(w.ask(kind="pay", body=b"x"))
+                response_task = asyncio.create_task(w.ask(kind="pay", body=b"x"))
                 await until(lambda: w.sidecar._endpoint_pool._dial_tasks)
-                heard = w.hear()
+                events = w.record_events()
                 where = {"since_ms": 7} if change == "restarts" else {}
                 place = f"127.0.0.1:{address[1]}" if change == "restarts" else None
-                moved = w.servers[0].entry(**({"address": place} if place else {}), **where)
-                w.discovery.say(44, [moved, w.servers[1].entry()])
-                assert (await asking)[0] == 200
+                new_discovery = w.servers[0].entry(**({"address": place} if place else {}), **where)
+                w.discovery.say(44, [new_discovery, w.servers[1].entry()])
+                assert (await response_task)[0] == 200
                 assert not w.servers[0].requests
-                ended = [each for each in heard if isinstance(each, AttemptEnded)]
+                ended = [each for each in events if isinstance(each, AttemptEnded)]
                 assert [each.outcome for each in ended] == [Outcome.UNSENT, Outcome.DELIVERED]
                 assert (
                     w.sidecar._engine.balancer.servers["s-0"].consecutive_failures == 0
                 )  # it did nothing wrong
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 def test_attempt_ended_by_a_list_is_not_retried_at_a_server_the_same_list_drains(
     on_virtual_clock: RunScenario,
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served, served, served, drained=True) as w:
-            with deaf() as address:
+            with unresponsive_listener() as address:
                 for _ in range(20):
                     assert (await w.ask())[0] == 200  # connections to all of them are open
                 before = len(w.sent())
                 for server in w.servers:
                     w.sidecar._endpoint_pool.close_idle(server.name)
                     w.sidecar._endpoint_pool._endpoints[server.name].address = address
-                asking = asyncio.create_task(w.ask())
+                response_task = asyncio.create_task(w.ask())
                 await until(lambda: w.sidecar._endpoint_pool._dial_tasks)
                 for endpoint, server in zip(
                     w.sidecar._endpoint_pool._endpoints.values(), w.servers, strict=True
                 ):
                     endpoint.address = server.address
                 w.discovery.say(42, [each.entry(status="leaving") for each in w.servers])
-                assert (await asking)[0] == 503
+                assert (await response_task)[0] == 503
                 assert len(w.sent()) == before
                 assert w.sidecar.proxy.in_flight == {}
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 def test_attempt_at_an_unknown_server_counts_as_never_executed(
     on_virtual_clock: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served, served, drained=True) as w:
-            heard = w.hear()
+            events = w.record_events()
             real = w.sidecar._endpoint_pool.send
 
             def late(name: str, *given: Any) -> Exchange:
@@ -104,23 +104,23 @@
             monkeypatch.setattr(w.sidecar._endpoint_pool, "send", late)
             for _ in range(8):
                 assert (await w.ask(kind="pay", body=b"x"))[0] == 200
-            ended = [each.outcome for each in heard if isinstance(each, AttemptEnded)]
+            ended = [each.outcome for each in events if isinstance(each, AttemptEnded)]
             assert set(ended) == {Outcome.UNSENT, Outcome.DELIVERED}
             w.sidecar.proxy.check_health(HealthCheck("s-0"))
-            assert isinstance(heard[-1], HealthCheckEnded)
-            assert heard[-1].outcome is Outcome.UNSENT
+            assert isinstance(events[-1], HealthCheckEnded)
+            assert events[-1].outcome is Outcome.UNSENT
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("outcome", ["answer", "break", "nothing"])
 def test_attempt_in_flight_survives_removal_and_return_of_its_server(
     on_virtual_clock: RunScenario, outcome: str
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(hung, drained=True) as w:
             (server,) = w.servers
-            asking = asyncio.create_task(w.ask(kind="pay", body=b"x", budget="1.5"))
+            response_task = asyncio.create_task(w.ask(kind="pay", body=b"x", budget="1.5"))
             await until(w.sent)
             w.discovery.say(42, [server.entry(status="left")])
             await until(lambda: not w.sidecar._engine.balancer.ready_servers)
@@ -129,24 +129,24 @@
             if outcome == "answer":
                 server.writers[0].write(answer(200, b"served"))
             elif outcome == "break":
-                reset(server.writers[0])
-            assert (await asking)[0] == (200 if outcome == "answer" else 500)
+                reset_connection(server.writers[0])
+            assert (await response_task)[0] == (200 if outcome == "answer" else 500)
             assert len(w.sent()) == 1  # it may have run: it is not sent again
             server.script = served
             assert (await w.ask())[0] == 200
             assert len(server.writers) == 2  # what was open to the one that went is not used again
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("change", ["leaving", "left", "missing", "excluded"])
 def test_attempt_in_flight_at_a_withdrawn_server_completes(
     on_virtual_clock: RunScenario, change: str
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(hung, drained=True) as w:
             (server,) = w.servers
-            asking = asyncio.create_task(w.ask(kind="pay", body=b"x"))
+            response_task = asyncio.create_task(w.ask(kind="pay", body=b"x"))
             await until(w.sent)
             if change == "excluded":
                 w.sidecar._engine.handle(ServerOverrideRequested("s-0", True))
@@ -156,24 +156,26 @@
                 w.discovery.say(42, [server.entry(status=change)])
             await until(lambda: not w.sidecar._engine.balancer.ready_servers)
             server.writers[0].write(answer(200, b"served"))
-            assert (await asking)[2] == b"served"
+            assert (await response_task)[2] == b"served"
             await until(lambda: w.sidecar._endpoint_pool.open_count == 0)  # it is not kept for another
             assert (await w.ask())[0] == 503
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("turns", range(8))
 def test_dial_cancelled_in_any_turn_frees_its_capacity(on_virtual_clock: RunScenario, turns: int) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         server = FakeServer("s", hung)
         await server.start()
         pool = EndpointPool(1.0, 60.0, 10)
         pool.update("s", server.address, None, ServerState.READY)
-        order = UpstreamRequest(lambda _: h11.Request(method="GET", target="/", headers=[("Host", "x")]))
+        upstream_request = UpstreamRequest(
+            lambda _: h11.Request(method="GET", target="/", headers=[("Host", "x")])
+        )
         outcomes: list[Outcome] = []
-        until_s = asyncio.get_running_loop().time() + 30
-        exchange = pool.send("s", order, until_s, lambda outcome, _: outcomes.append(outcome))
+        deadline = asyncio.get_running_loop().time() + 30
+        exchange = pool.send("s", upstream_request, deadline, lambda outcome, _: outcomes.append(outcome))
         for _ in range(turns):
             await asyncio.sleep(0)
         assert pool.open_count == 1
@@ -185,49 +187,53 @@
         await pool.close()
         await server.end()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 def test_request_that_cannot_be_written_frees_its_capacity(on_virtual_clock: RunScenario) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         server = FakeServer("s", hung)
         await server.start()
         pool = EndpointPool(1.0, 60.0, 10)
         pool.update("s", server.address, None, ServerState.READY)
-        order = UpstreamRequest(lambda _: h11.Request(method="GET", target="/", headers=[("Host", "x\n")]))
+        upstream_request = UpstreamRequest(
+            lambda _: h11.Request(method="GET", target="/", headers=[("Host", "x\n")])
+        )
         outcomes: list[Outcome] = []
-        until_s = asyncio.get_running_loop().time() + 30
-        pool.send("s", order, until_s, lambda outcome, _: outcomes.append(outcome))
+        deadline = asyncio.get_running_loop().time() + 30
+        pool.send("s", upstream_request, deadline, lambda outcome, _: outcomes.append(outcome))
         await until(lambda: outcomes and pool.open_count <= 0)
         assert outcomes == [Outcome.CONNECT_FAILED]
         assert pool.open_count == 0
         await pool.close()
         await server.end()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 def test_address_that_cannot_be_looked_up_fails_its_dial_and_frees_its_capacity(
     on_virtual_clock: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async def connect(*_: object) -> ServerConnection:
             raise UnicodeError("label too long")  # as looking up a name of 70 letters does, in a thread
 
         async with world(served, drained=True) as w:
             monkeypatch.setattr(endpoint_pool, "connect", connect)
-            began = asyncio.get_running_loop().time()
+            started_at = asyncio.get_running_loop().time()
             assert (await w.ask())[0] == 503
-            assert asyncio.get_running_loop().time() - began < 0.1
+            assert asyncio.get_running_loop().time() - started_at < 0.1
             assert w.sidecar._endpoint_pool.open_count == 0
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 def test_idle_connections_closed_by_their_server_free_capacity_once(on_virtual_clock: RunScenario) -> None:
-    order = UpstreamRequest(lambda _: h11.Request(method="GET", target="/", headers=[("Host", "x")]))
+    upstream_request = UpstreamRequest(
+        lambda _: h11.Request(method="GET", target="/", headers=[("Host", "x")])
+    )
 
-    async def scene() -> None:
+    async def scenario() -> None:
         closing, other = FakeServer("closing", served), FakeServer("other", hung)
         await closing.start()
         await other.start()
@@ -235,10 +241,10 @@
         for server in (closing, other):
             pool.update(server.name, server.address, None, ServerState.READY)
         outcomes: list[Outcome] = []
-        until_s = asyncio.get_running_loop().time() + 30
+        deadline = asyncio.get_running_loop().time() + 30
 
         def send(name: str) -> None:
-            pool.send(name, order, until_s, lambda outcome, _: outcomes.append(outcome))
+            pool.send(name, upstream_request, deadline, lambda outcome, _: outcomes.append(outcome))
 
         send("closing")
         send("closing")
@@ -259,4 +265,4 @@
         await closing.end()
         await other.end()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
--- a/tests/upstream/test_endpoint_pool.py
+++ b/tests/upstream/test_endpoint_pool.py
@@ -12,8 +12,8 @@
     PATIENCE_S,
     FakeServer,
     answer,
-    deaf,
     play,
+    unresponsive_listener,
     until,
     world,
 )
@@ -34,18 +34,18 @@
 
 
 def test_connections_are_reused_after_their_reuse_delay(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             for _ in range(5):
                 assert (await w.ask())[0] == 200
                 await asyncio.sleep(endpoint_pool._REUSE_DELAY_S)
             assert len(w.servers[0].writers) == 1
 
-    run_on_virtual_clock(scene(), monkeypatch)
+    run_on_virtual_clock(scenario(), monkeypatch)
 
 
 def test_idle_connection_is_closed_before_its_server_would_close_it() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         limits = {"max_attempts": 3, "may_cancel": True, "idle_close_us": 1 * S}
         async with world(served, limits=limits) as w:
             assert (await w.ask())[0] == 200
@@ -54,21 +54,21 @@
             assert timer.when() - loop.time() < 0.95
             await until(lambda: w.servers[0].closed == 1)
 
-    play(scene())
+    play(scenario())
 
 
-async def outcome_of(upstream: EndpointPool, seconds: float = 5.0, body: bytes = b"") -> Outcome:
+async def send_and_wait(upstream: EndpointPool, seconds: float = 5.0, body: bytes = b"") -> Outcome:
     loop = asyncio.get_running_loop()
     ended: asyncio.Future[Outcome] = loop.create_future()
 
     def end(outcome: Outcome, _: Response | None) -> None:
         ended.set_result(outcome)  # a second outcome would raise here
 
-    upstream.send("s", order(body), loop.time() + seconds, end)
+    upstream.send("s", upstream_request(body), loop.time() + seconds, end)
     return await asyncio.wait_for(ended, PATIENCE_S)
 
 
-def order(body: bytes = b"") -> UpstreamRequest:
+def upstream_request(body: bytes = b"") -> UpstreamRequest:
     return UpstreamRequest(lambda _: head(body), body)
 
 
@@ -81,50 +81,52 @@
 def test_dial_ends_at_its_timeout_and_at_the_deadline_of_its_attempt(
     dial_limit: float, seconds: float
 ) -> None:
-    async def scene() -> None:
-        with deaf() as address:
+    async def scenario() -> None:
+        with unresponsive_listener() as address:
             upstream = EndpointPool(dial_limit, 60.0, 10)
             upstream.update("s", address, None, ServerState.READY)
-            assert await outcome_of(upstream, seconds) is Outcome.CONNECT_FAILED
+            assert await send_and_wait(upstream, seconds) is Outcome.CONNECT_FAILED
             await until(lambda: upstream.open_count == 0)
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.REMOVED])
 def test_dial_to_a_draining_or_removed_server_is_ended(state: ServerState) -> None:
     # Guards rule 3: a slow dial would write its request after the grace.
-    async def scene() -> None:
-        with deaf() as address:
+    async def scenario() -> None:
+        with unresponsive_listener() as address:
             upstream = EndpointPool(30.0, 60.0, 10)
             upstream.update("s", address, None, ServerState.READY)
-            sending = asyncio.create_task(outcome_of(upstream))
+            sending = asyncio.create_task(send_and_wait(upstream))
             await until(lambda: upstream.open_count == 1)
             upstream.update("s", address, None, state)
             assert await sending is Outcome.CONNECT_FAILED
             await until(lambda: upstream.open_count == 0)
 
-    play(scene())
+    play(scenario())
 
 
 def test_attempt_past_its_deadline_is_never_sent() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         upstream = EndpointPool(1.0, 60.0, 10)
         upstream.update("s", ("127.0.0.1", 1), None, ServerState.READY)
-        assert await outcome_of(upstream, -1.0) is Outcome.UNSENT
+        assert await send_and_wait(upstream, -1.0) is Outcome.UNSENT
 
-    play(scene())
+    play(scenario())
 
 
 def test_cancelled_attempt_has_one_outcome_and_its_connection_is_closed() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         server = FakeServer("s", hung)
         await server.start()
         upstream = EndpointPool(1.0, 60.0, 10)
         upstream.update("s", server.address, None, ServerState.READY)
         outcomes: list[Outcome] = []
         loop = asyncio.get_running_loop()
-        exchange: Exchange = upstream.send("s", order(), loop.time() + 30, lambda o, _: outcomes.append(o))
+        exchange: Exchange = upstream.send(
+            "s", upstream_request(), loop.time() + 30, lambda o, _: outcomes.append(o)
+        )
         await until(lambda: server.requests)
         upstream.cancel(exchange)
         upstream.cancel(exchange)
@@ -133,34 +135,34 @@
         assert upstream.open_count == 0
         server.stop()
 
-    play(scene())
+    play(scenario())
 
 
 def test_connections_to_the_earlier_process_or_address_of_a_server_are_closed() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         server = FakeServer("s", served)
         await server.start()
         upstream = EndpointPool(1.0, 60.0, 10)
         upstream.update("s", server.address, None, ServerState.READY)
-        assert await outcome_of(upstream) is Outcome.DELIVERED
+        assert await send_and_wait(upstream) is Outcome.DELIVERED
         upstream.update("s", server.address, 5, ServerState.READY)
         await until(lambda: server.closed == 1)
-        assert await outcome_of(upstream) is Outcome.DELIVERED
+        assert await send_and_wait(upstream) is Outcome.DELIVERED
         assert len(server.writers) == 2
         other = FakeServer("s", served)
         await other.start()
         upstream.update("s", other.address, 5, ServerState.READY)
-        assert await outcome_of(upstream) is Outcome.DELIVERED
+        assert await send_and_wait(upstream) is Outcome.DELIVERED
         assert len(other.requests) == 1
         server.stop()
         other.stop()
 
-    play(scene())
+    play(scenario())
 
 
 def test_number_of_connections_stays_within_its_bound() -> None:
     # Guards the descriptors: an idle connection elsewhere makes room, one in use does not.
-    async def scene() -> None:
+    async def scenario() -> None:
         servers = [FakeServer("a", served), FakeServer("s", hung)]
         upstream = EndpointPool(1.0, 60.0, 1)
         for each in servers:
@@ -168,12 +170,12 @@
             upstream.update(each.name, each.address, None, ServerState.READY)
         loop = asyncio.get_running_loop()
         ended: list[Outcome] = []
-        upstream.send("a", order(), loop.time() + 30, lambda o, _: ended.append(o))
+        upstream.send("a", upstream_request(), loop.time() + 30, lambda o, _: ended.append(o))
         await until(lambda: ended)
-        upstream.send("s", order(), loop.time() + 30, lambda o, _: ended.append(o))
+        upstream.send("s", upstream_request(), loop.time() + 30, lambda o, _: ended.append(o))
         await until(lambda: servers[1].requests)
-        assert await outcome_of(upstream) is Outcome.CONNECT_FAILED
+        assert await send_and_wait(upstream) is Outcome.CONNECT_FAILED
         for each in servers:
             each.stop()
 
-    play(scene())
+    play(scenario())
--- a/tests/upstream/test_load_report.py
+++ b/tests/upstream/test_load_report.py
@@ -18,9 +18,9 @@
     assert parse_load_report("TEXT util=inf, qps=3", columns) == {"qps": 3.0}
     assert parse_load_report("TEXT util=0.5", ()) is None
 
-    async def scene() -> None:
+    async def scenario() -> None:
         report = {"source": "answers", "columns": ["util"]}
         async with world(lambda *_: answer(200, b"x", X_Load_Report="TEXT util=;;="), report=report) as w:
             assert (await w.ask())[0] == 200
 
-    play(scene())
+    play(scenario())
--- a/tests/upstream/test_response_streaming.py
+++ b/tests/upstream/test_response_streaming.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from loopback import PATIENCE_S, play, request, reset, until
+from loopback import PATIENCE_S, play, request, reset_connection, until
 from raw_server import HUGE, LONG, Reader, Writer, chunked, dial, read_chunked, read_head, streaming
 from sidecar_balancer.policy.events import AttemptEnded, ResponseStarted
 from sidecar_balancer.policy.types import Outcome
@@ -26,9 +26,9 @@
         await writer.drain()
         await reader.read()
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with streaming(script) as (w, _):
-            heard = w.hear()
+            events = w.record_events()
             reader, writer = await dial(w)
             writer.write(request())
             assert f"content-length: {len(LONG)}" in await read_head(reader)
@@ -42,15 +42,15 @@
             more.set()
             got += await asyncio.wait_for(reader.readexactly(len(LONG) - 300_000), PATIENCE_S)
             assert got == LONG
-            await until(lambda: any(isinstance(each, AttemptEnded) for each in heard))
-            assert [each.outcome for each in heard if isinstance(each, AttemptEnded)] == [Outcome.DELIVERED]
-            assert sum(isinstance(each, ResponseStarted) for each in heard) == 1
+            await until(lambda: any(isinstance(each, AttemptEnded) for each in events))
+            assert [each.outcome for each in events if isinstance(each, AttemptEnded)] == [Outcome.DELIVERED]
+            assert sum(isinstance(each, ResponseStarted) for each in events) == 1
             writer.write(request())  # the connection goes on
             more.clear()
             await read_head(reader)
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
 FORMS = {
@@ -72,7 +72,7 @@
         if "end" not in form:
             await reader.read()
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with streaming(script) as (w, _):
             reader, writer = await dial(w)
             writer.write(request().replace(b"HTTP/1.1", b"HTTP/" + version))
@@ -88,7 +88,7 @@
                     assert await reader.read() == LONG
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
 def test_short_response_delimited_by_an_announced_close_is_served() -> None:
@@ -96,11 +96,11 @@
         await read_head(reader)
         writer.write(b"HTTP/1.1 200 X\r\nConnection: close\r\n\r\nall of it")
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with streaming(script) as (w, _):
             assert (await w.ask())[2] == b"all of it"
 
-    play(scene())
+    play(scenario())
 
 
 def test_client_that_does_not_read_pauses_its_server_within_bounded_memory() -> None:
@@ -118,7 +118,7 @@
             sent += 65_536
         await reader.read()
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with streaming(script) as (w, _):
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address, limit=1_000)
             writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65_536)
@@ -137,7 +137,7 @@
             await until(lambda: w.sidecar._endpoint_pool._body_memory.active_streams == 0)
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
 @pytest.mark.parametrize("form", ["length", "chunks"])
@@ -151,11 +151,11 @@
         writer.write(b"HTTP/1.1 200 X\r\n" + framing + b"\r\n\r\n" + body)
         await writer.drain()
         await broken.wait()
-        reset(writer)
+        reset_connection(writer)
 
     broken = asyncio.Event()
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with streaming(script) as (w, server):
             reader, writer = await dial(w)
             writer.write(request())
@@ -171,7 +171,7 @@
             assert server.connections == 1
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
 def test_broken_response_to_an_http_1_0_client_ends_in_a_reset() -> None:
@@ -181,9 +181,9 @@
         await read_head(reader)
         writer.write(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n" % 400_000 + LONG[:200_000])
         await broken.wait()
-        reset(writer)
+        reset_connection(writer)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with streaming(script) as (w, _):
             reader, writer = await dial(w)
             writer.write(request().replace(b"HTTP/1.1", b"HTTP/1.0"))
@@ -194,7 +194,7 @@
                     await reader.read()
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
 def test_attempt_ends_when_the_client_of_a_streamed_response_disconnects() -> None:
@@ -207,7 +207,7 @@
             await reader.read()
         ended.set()
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with streaming(script) as (w, _):
             reader, writer = await dial(w)
             writer.write(request())
@@ -218,7 +218,7 @@
             assert w.sidecar._engine.balancer.pending_attempts == 0
             assert w.sidecar._endpoint_pool._body_memory.active_streams == 0
 
-    play(scene())
+    play(scenario())
 
 
 def test_beginning_of_a_slow_response_of_unknown_length_is_streamed(
@@ -234,7 +234,7 @@
         writer.write(b"5\r\nended\r\n0\r\n\r\n")
         await reader.read()
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with streaming(script) as (w, _):
             reader, writer = await dial(w)
             writer.write(request())
@@ -243,7 +243,7 @@
             assert await read_chunked(reader) == b"begunended"
             writer.close()
 
-    play(scene())
+    play(scenario())
 
 
 def test_server_that_stalls_within_a_streamed_response_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -254,7 +254,7 @@
         writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 100000\r\n\r\nbegun")
         await reader.read()
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with streaming(script) as (w, _):
             reader, writer = await dial(w)
             writer.write(request())
@@ -262,4 +262,4 @@
             assert await asyncio.wait_for(reader.read(), PATIENCE_S) == b"begun"
             writer.close()
 
-    play(scene())
+    play(scenario())
--- a/tests/upstream/test_response_timing.py
+++ b/tests/upstream/test_response_timing.py
@@ -12,9 +12,9 @@
 from helpers import IDEMPOTENT, NON_IDEMPOTENT, S
 from loopback import (
     answer,
-    deaf,
     read_answer,
     request,
+    unresponsive_listener,
     until,
     world,
 )
@@ -34,14 +34,14 @@
 ) -> None:
     body = b"" if kind == "look" else b"x"
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(lambda *_: answer(200, b"first"), drained=True) as w:
             server = w.servers[0]
             for _ in range(4):
                 assert (await w.ask(kind=kind, body=body))[2] == b"first"
                 there, seen = server.writers[-1], len(server.requests)
                 server.script = hung
-                asking = asyncio.create_task(w.ask(kind=kind, body=body))
+                response_task = asyncio.create_task(w.ask(kind=kind, body=body))
                 await until(lambda seen=seen: len(server.requests) > seen)  # type: ignore[misc]
                 await asyncio.sleep(late_s)
                 if not there.is_closing():
@@ -50,12 +50,12 @@
                 for each in server.writers:
                     if not each.is_closing():
                         each.write(answer(200, b"its own"))
-                assert (await asking)[2] == b"its own"
+                assert (await response_task)[2] == b"its own"
                 server.script = lambda *_: answer(200, b"first")
                 await asyncio.sleep(0.1)
             assert len(w.sent()) == 8
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("ends", [True, False])
@@ -65,7 +65,7 @@
     head = b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n"
     piece = b"1000\r\n" + bytes(0x1000) + b"\r\n"
 
-    async def scene() -> None:
+    async def scenario() -> None:
         limits = {"max_attempts": 3, "may_cancel": False}
         classes = [IDEMPOTENT | {"deadline_us": 2 * S}, NON_IDEMPOTENT | {"deadline_us": 4 * S}]
         async with world(hung, drained=True, limits=limits, classes=classes) as w:
@@ -77,29 +77,29 @@
             await until(lambda: live.streamed_attempt is not None)
             client.leave("reset")
             await until(lambda: not w.sidecar.frontend.connections)
-            began = asyncio.get_running_loop().time()
+            started_at = asyncio.get_running_loop().time()
             for _ in range(15):  # well past the time that its client gave it
                 await asyncio.sleep(0.2)
                 there.write(piece)
                 assert w.servers[0].closed == 0  # nothing may be cancelled
             if ends:
                 there.write(b"0\r\n\r\n")
-            while not nothing_in_flight(w)() and asyncio.get_running_loop().time() < began + 10.0:
+            while not nothing_in_flight(w)() and asyncio.get_running_loop().time() < started_at + 10.0:
                 await asyncio.sleep(0.2)
                 if not (ends or there.is_closing()):
                     there.write(piece)
             assert nothing_in_flight(w)()
-            assert asyncio.get_running_loop().time() - began < (3.5 if ends else 4.5)
+            assert asyncio.get_running_loop().time() - started_at < (3.5 if ends else 4.5)
             assert w.sidecar._endpoint_pool.open_count == int(ends)  # whole, it is used again
             client.sock.close()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 def test_last_response_arrives_complete_despite_unread_input(on_virtual_clock: RunScenario) -> None:
     body = bytes(range(250)) * 240
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(hung, drained=True) as w:
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)  # most of it stays with our kernel
@@ -123,7 +123,7 @@
             assert len(w.sent()) == 1
             sock.close()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 def test_slow_reader_is_not_cut_off_for_data_that_came_after_it_fell_behind(
@@ -131,7 +131,7 @@
 ) -> None:
     body = bytes(range(250)) * 400
 
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(hung, drained=True) as w:
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
@@ -145,20 +145,20 @@
             head = b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n"
             w.servers[0].writers[0].write(head + pieces + b"0\r\n\r\n")
             await until(lambda: connection._write_blocked)
-            got, began = b"", asyncio.get_running_loop().time()
+            got, started_at = b"", asyncio.get_running_loop().time()
             while not got.endswith(b"\r\n0\r\n\r\n"):
                 with contextlib.suppress(BlockingIOError):
                     got += (data := sock.recv(2_500))
                     assert data, "cut off"
                 await asyncio.sleep(2.0)
-            assert asyncio.get_running_loop().time() - began > 3 * STALL_TIMEOUT_S
+            assert asyncio.get_running_loop().time() - started_at > 3 * STALL_TIMEOUT_S
             reader = asyncio.StreamReader()
             reader.feed_data(got)
             await reader.readuntil(b"\r\n\r\n")
             assert await read_chunks(reader) == body
             sock.close()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
@@ -168,11 +168,11 @@
 ) -> None:
     body = bytes(range(251)) * 1000  # too long to be held whole
 
-    async def scene() -> None:
+    async def scenario() -> None:
         limits: dict[str, Any] = {"max_attempts": 3, "may_hedge": True, "may_cancel": may_cancel}
         limits["dial_timeout_us"] = 600_000_000
         async with world(hung, hung, drained=True, limits=limits) as w:
-            with deaf() as address:
+            with unresponsive_listener() as address:
                 if first == "dialling":  # whichever is drawn first, its connection does not come up
                     places = {
                         name: each.address for name, each in w.sidecar._endpoint_pool._endpoints.items()
@@ -183,17 +183,19 @@
                 client.send(request(budget="5.0"))
                 await until(lambda: w.sidecar.proxy.in_flight)
                 (live,), balancer = w.sidecar.proxy.in_flight.values(), w.sidecar._engine.balancer
-                (asked,) = balancer.open_requests.values()
+                (balancer_request,) = balancer.open_requests.values()
                 if first == "dialling":
                     for name, each in w.sidecar._endpoint_pool._endpoints.items():
                         each.address = places[name]
                 else:
                     await until(w.sent)
                 seen, earlier = len(w.sent()), len(balancer.actions)
-                balancer.components.placement.place(w.sidecar._engine.clock.now(), asked)  # a hedged request
+                balancer.components.placement.place(
+                    w.sidecar._engine.clock.now(), balancer_request
+                )  # a hedged request
                 w.sidecar._engine.execute(balancer.actions[earlier:])
                 await until(lambda: len(w.sent()) > seen)
-                name = asked.attempts[1].server.name
+                name = balancer_request.attempts[1].server.name
                 (there,) = [each for each in w.servers if each.name == name]
                 there.writers[-1].write(answer(200, body)[: -len(body) // 2])
                 await until(lambda: live.streamed_attempt == 1)
@@ -209,34 +211,34 @@
                 await until(nothing_in_flight(w))
                 writer.close()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("size", [1, 100_000])
 def test_response_before_the_end_of_its_request_is_discarded(
     on_virtual_clock: RunScenario, size: int
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world_with_unreading_server() as (w, server):
-            heard = w.hear()
-            server.go_on.set()
+            events = w.record_events()
+            server.resume_reading.set()
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(request("pay", body=bytes(200_000))[:-1])
-            await until(lambda: server.came)
+            await until(lambda: server.received)
             server.writers[0].write(answer(200, bytes(size)))
             status, _, _ = await read_answer(reader)
             assert status == 503  # it never ran, and its body is gone
-            ended = [each.outcome for each in heard if isinstance(each, AttemptEnded)]
+            ended = [each.outcome for each in events if isinstance(each, AttemptEnded)]
             assert ended == [Outcome.CONNECT_FAILED]
             writer.close()
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
 
 
 def test_connection_closed_as_it_becomes_idle_is_not_reused_and_nothing_runs_twice(
     on_virtual_clock: RunScenario,
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served, drained=True) as w:
             for _ in range(3):
                 assert (await w.ask(kind="pay", body=b"x"))[0] == 200
@@ -245,4 +247,4 @@
                 assert (await w.ask(kind="pay", body=b"x"))[0] == 200
             assert len(w.sent()) == 6
 
-    on_virtual_clock(scene())
+    on_virtual_clock(scenario())
--- a/tests/upstream/test_server_connection.py
+++ b/tests/upstream/test_server_connection.py
@@ -12,7 +12,7 @@
     PATIENCE_S,
     answer,
     play,
-    reset,
+    reset_connection,
     until,
     world,
 )
@@ -28,7 +28,7 @@
 # Guards against a request that is written to a connection which its server has already ended.
 @pytest.mark.parametrize("how", ["end", "stray"])
 def test_connection_with_an_unread_end_or_stray_bytes_is_not_reused(how: str) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async with world(served) as w:
             assert (await w.ask(kind="pay", body=b"x"))[0] == 200
             (connection,) = w.sidecar._endpoint_pool._endpoints["s-0"].idle
@@ -46,7 +46,7 @@
             assert (await w.ask(kind="pay", body=b"x"))[0] == 200
             assert len(w.servers[0].writers) == 2
 
-    play(scene())
+    play(scenario())
 
 
 def head(body: bytes = b"") -> h11.Request:
@@ -55,7 +55,7 @@
 
 
 def test_connection_lost_before_the_last_byte_was_written_counts_as_not_executed() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         body = bytes(32 * 1024 * 1024)  # more than the kernel takes: the rest waits in the transport
         listener = socket.create_server(("127.0.0.1", 0))
         connection = await connect(listener.getsockname()[:2], 1024)
@@ -68,11 +68,11 @@
         assert classify_outcome(None, connection.written, connection.response_began) is Outcome.CONNECT_FAILED
         listener.close()
 
-    play(scene())
+    play(scenario())
 
 
 def test_request_counts_as_written_once_all_of_it_is_with_the_kernel() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         body = bytes(32 * 1024 * 1024)
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
@@ -84,11 +84,11 @@
         await reader.readuntil(b"\r\n\r\n")
         await reader.readexactly(len(body))
         await until(lambda: connection.written)
-        reset(writer)
+        reset_connection(writer)
         assert await asyncio.wait_for(ended, PATIENCE_S) is None
         assert (
             classify_outcome(None, connection.written, connection.response_began) is Outcome.CONNECTION_LOST
         )
         listener.close()
 
-    play(scene())
+    play(scenario())
