--- a/sidecar_balancer/downstream/request_deadline.py
+++ b/sidecar_balancer/downstream/request_deadline.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-
 from sidecar_balancer.runtime.streams import STALL_TIMEOUT_S
 
 REQUEST_TIMEOUT_S = 2.5  # from the first byte of a head; slow clients take 2 s
@@ -11,7 +9,6 @@
 _MIN_BODY_BYTES_PER_S = 32_000.0  # the slowest clients that must be served send twice as fast
 
 
-@dataclass(slots=True)
 class RequestDeadline:
     """When the request that is being received must have made progress; times are the event loop's.
 
@@ -22,10 +19,14 @@
         last_input_at: When the last of them came.
     """
 
-    awaited_since: float = 0.0
-    body_counted_since: float = 0.0
-    body_bytes: int = 0
-    last_input_at: float = 0.0
+    __slots__ = ("awaited_since", "body_bytes", "body_counted_since", "last_input_at")
+
+    def __init__(self) -> None:
+        """Await nothing yet."""
+        self.awaited_since = 0.0
+        self.body_counted_since = 0.0
+        self.body_bytes = 0
+        self.last_input_at = 0.0
 
     def restart_body(self, now: float) -> None:
         """Count the body anew, as its head has come or as reading was resumed."""
