--- a/sidecar_balancer/policy/selection.py
+++ b/sidecar_balancer/policy/selection.py
@@ -184,7 +184,9 @@
         if self._window.late_ratio >= LATE_MAX_RATIO or self._window.fill(now) > UNRESTRICTED_RATIO:
             return 1.0  # spare capacity anywhere is worth more than local traffic
         own_zone = self._zones.own_zone
-        servers = [server for server in self._zones.ready_servers if server.ejected_until is None]
+        servers = self._zones.ready_servers
+        if self._outliers.ejected:
+            servers = [server for server in servers if server.ejected_until is None]
         near = [server.relative_latency for server in servers if server.zone == own_zone]
         far = [server.relative_latency for server in servers if server.zone != own_zone]
         if not near or not far or sum(far) <= 0.0:
