--- a/sidecar_balancer/membership/lease_channel.py
+++ b/sidecar_balancer/membership/lease_channel.py
@@ -16,7 +16,7 @@
 class CommandListener(Protocol):
     """Is notified of each command of another member that is new and in force."""
 
-    def __call__(self, command: FencedCommand) -> None:
+    def __call__(self, command: FencedCommand, /) -> None:
         """Handle the command."""
 
 
