--- a/bench/scale_edge.py
+++ b/bench/scale_edge.py
@@ -22,7 +22,7 @@
 from sidecar_balancer.config.sidecar import SidecarConfig
 from sidecar_balancer.discovery.endpoint_list import ListUpdate, parse_list, read_list
 from sidecar_balancer.policy.types import ListKind
-from sidecar_balancer.runtime.sidecar import Sidecar
+from sidecar_balancer.sidecar.sidecar import Sidecar
 
 TRIALS = 5
 CHANGES_PER_TRIAL = 60
--- a/sidecar_balancer/__main__.py
+++ b/sidecar_balancer/__main__.py
@@ -20,7 +20,7 @@
 from sidecar_balancer.downstream import acceptor, client_connection, response_connection
 from sidecar_balancer.observability.logs import LogRateLimiter, configure_logging
 from sidecar_balancer.runtime.queueing import TimedLoop
-from sidecar_balancer.runtime.sidecar import Sidecar
+from sidecar_balancer.sidecar.sidecar import Sidecar
 
 log = logging.getLogger(__name__)
 
--- a/sidecar_balancer/admin/handlers.py
+++ b/sidecar_balancer/admin/handlers.py
@@ -18,8 +18,8 @@
 from sidecar_balancer.discovery.client import DiscoveryClient
 from sidecar_balancer.downstream.frontend import Frontend
 from sidecar_balancer.policy.types import ZoneOverride
+from sidecar_balancer.proxy.proxy import Proxy
 from sidecar_balancer.runtime.engine import Engine
-from sidecar_balancer.runtime.proxy import Proxy
 from sidecar_balancer.upstream.endpoint_pool import EndpointPool
 
 if TYPE_CHECKING:  # loaded only where configured: starts cost CPU
--- a/sidecar_balancer/admin/status_handlers.py
+++ b/sidecar_balancer/admin/status_handlers.py
@@ -13,8 +13,8 @@
 from sidecar_balancer.admin.views import servers_view, state_summary, zones_view
 from sidecar_balancer.discovery.client import DiscoveryClient
 from sidecar_balancer.downstream.frontend import Frontend
+from sidecar_balancer.proxy.proxy import Proxy, count_by_status
 from sidecar_balancer.runtime.engine import Engine
-from sidecar_balancer.runtime.proxy import Proxy, count_by_status
 from sidecar_balancer.upstream.endpoint_pool import EndpointPool
 
 if TYPE_CHECKING:  # loaded only where configured: starts cost CPU
--- a/sidecar_balancer/runtime/proxy.py
+++ b/sidecar_balancer/proxy/proxy.py
@@ -23,11 +23,11 @@
 )
 from sidecar_balancer.policy.settings import ReportSource, Settings
 from sidecar_balancer.policy.types import Outcome
+from sidecar_balancer.proxy.forwarding import attempt_head, content_headers
+from sidecar_balancer.proxy.in_flight import InFlightRequest
+from sidecar_balancer.proxy.request_log import RequestLog
 from sidecar_balancer.runtime.engine import Engine
-from sidecar_balancer.runtime.forwarding import attempt_head, content_headers
 from sidecar_balancer.runtime.headers import Headers
-from sidecar_balancer.runtime.in_flight import InFlightRequest
-from sidecar_balancer.runtime.request_log import RequestLog
 from sidecar_balancer.runtime.streams import ResponseSink, ResponseSource
 from sidecar_balancer.upstream.endpoint_pool import EndpointPool
 from sidecar_balancer.upstream.exchange import UpstreamRequest
--- a/sidecar_balancer/runtime/request_log.py
+++ b/sidecar_balancer/proxy/request_log.py
@@ -4,8 +4,8 @@
 
 import logging
 
+from sidecar_balancer.proxy.in_flight import InFlightRequest
 from sidecar_balancer.runtime.clock import Clock
-from sidecar_balancer.runtime.in_flight import InFlightRequest
 
 log = logging.getLogger(__name__)
 
--- a/sidecar_balancer/runtime/__init__.py
+++ b/sidecar_balancer/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""The sockets round the decisions: bytes become events, actions become bytes."""
+"""What moves events and bytes: the engine, the clock, timers, body streaming and queueing delay."""
--- /dev/null
+++ b/sidecar_balancer/sidecar/__init__.py
@@ -0,0 +1,1 @@
+"""Assembly of one sidecar, from its start to its shutdown."""
--- a/sidecar_balancer/runtime/shutdown.py
+++ b/sidecar_balancer/sidecar/shutdown.py
@@ -7,7 +7,7 @@
 
 from sidecar_balancer.admin.drain import IDLE_CLOSE_DELAY_S
 from sidecar_balancer.downstream.frontend import Frontend
-from sidecar_balancer.runtime.proxy import Proxy
+from sidecar_balancer.proxy.proxy import Proxy
 
 log = logging.getLogger(__name__)
 
--- a/sidecar_balancer/runtime/sidecar.py
+++ b/sidecar_balancer/sidecar/sidecar.py
@@ -26,16 +26,16 @@
 from sidecar_balancer.policy.events import EndpointListReceived
 from sidecar_balancer.policy.settings import DiscoveryMode
 from sidecar_balancer.policy.types import ListKind
-from sidecar_balancer.runtime.endpoint_updates import EndpointUpdates
+from sidecar_balancer.proxy.proxy import Proxy
 from sidecar_balancer.runtime.engine import Engine
-from sidecar_balancer.runtime.membership_setup import create_membership
-from sidecar_balancer.runtime.proxy import Proxy
 from sidecar_balancer.runtime.queueing import PollTimes, running_poll_times
-from sidecar_balancer.runtime.shutdown import drain_clients
-from sidecar_balancer.runtime.state_persistence import create_state_persistence
-from sidecar_balancer.runtime.status_log import StatusLog
 from sidecar_balancer.runtime.streams import BodyMemory
 from sidecar_balancer.runtime.timers import Timers
+from sidecar_balancer.sidecar.endpoint_updates import EndpointUpdates
+from sidecar_balancer.sidecar.membership_setup import create_membership
+from sidecar_balancer.sidecar.shutdown import drain_clients
+from sidecar_balancer.sidecar.state_persistence import create_state_persistence
+from sidecar_balancer.sidecar.status_log import StatusLog
 from sidecar_balancer.upstream.endpoint_pool import EndpointPool
 
 if TYPE_CHECKING:  # optional subsystems are loaded where they are configured
--- a/sidecar_balancer/runtime/status_log.py
+++ b/sidecar_balancer/sidecar/status_log.py
@@ -10,7 +10,7 @@
 from sidecar_balancer.admin.views import state_summary
 from sidecar_balancer.downstream.frontend import Frontend
 from sidecar_balancer.policy.balancer import Balancer
-from sidecar_balancer.runtime.proxy import Proxy, count_by_status
+from sidecar_balancer.proxy.proxy import Proxy, count_by_status
 from sidecar_balancer.upstream.endpoint_pool import EndpointPool
 
 log = logging.getLogger(__name__)
--- a/tests/observability/test_logs.py
+++ b/tests/observability/test_logs.py
@@ -22,7 +22,7 @@
 @pytest.fixture
 def log() -> Iterator[logging.Logger]:
     """A logger of the package; the handlers that a test installs are removed after it."""
-    yield logging.getLogger("sidecar_balancer.runtime.sidecar")
+    yield logging.getLogger("sidecar_balancer.sidecar.sidecar")
     logging.getLogger().handlers.clear()
 
 
@@ -63,7 +63,7 @@
     assert line["server"] == "s-1"
     assert line["msg"] == "ejected s-1: 3"
     assert line["level"] == "info"
-    assert line["subsystem"] == "runtime.sidecar"
+    assert line["subsystem"] == "sidecar.sidecar"
     assert line["ts"].endswith("Z")
 
 
@@ -74,7 +74,7 @@
     log.warning("the event loop was %.0f ms late", 70.2)
     logging.getLogger("asyncio").error("a line of another package")
     own, foreign = json_lines(capsys)
-    assert own["event"] == "sidecar_balancer.runtime.sidecar"
+    assert own["event"] == "sidecar_balancer.sidecar.sidecar"
     assert own["level"] == "warning"
     assert foreign["event"] == "asyncio"
 
@@ -98,7 +98,7 @@
     log.info("not told")
     log.error("told %d", 1)
     (line,) = capsys.readouterr().err.splitlines()
-    assert line.endswith("sidecar_balancer.runtime.sidecar told 1")
+    assert line.endswith("sidecar_balancer.sidecar.sidecar told 1")
 
 
 def calls_without_event(path: Path) -> list[int]:
--- a/tests/runtime/test_life.py
+++ b/tests/runtime/test_life.py
@@ -29,7 +29,7 @@
     world,
 )
 from sidecar_balancer.addresses import Address
-from sidecar_balancer.runtime import shutdown
+from sidecar_balancer.sidecar import shutdown
 
 ROOT = Path(__file__).parent.parent.parent
 SETTINGS: dict[str, Any] = {
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -18,7 +18,7 @@
 from sidecar_balancer.discovery.endpoint_list import parse_list
 from sidecar_balancer.policy.actions import Action
 from sidecar_balancer.policy.events import Event
-from sidecar_balancer.runtime.sidecar import Sidecar
+from sidecar_balancer.sidecar.sidecar import Sidecar
 
 PATIENCE_S = 20.0  # for what must come; no test takes it as proof of anything
 
--- a/tests/support/virtual.py
+++ b/tests/support/virtual.py
@@ -18,8 +18,9 @@
 import pytest
 
 from sidecar_balancer.admin import status_handlers
-from sidecar_balancer.runtime import clock, status_log
+from sidecar_balancer.runtime import clock
 from sidecar_balancer.runtime.queueing import PollTimes
+from sidecar_balancer.sidecar import status_log
 
 Scenario = Coroutine[Any, Any, None]
 RunScenario = Callable[[Scenario], None]
