--- a/sidecar_balancer/config/loading.py
+++ b/sidecar_balancer/config/loading.py
@@ -7,7 +7,6 @@
 from __future__ import annotations
 
 import json
-import tempfile
 from collections.abc import Callable, Mapping
 from dataclasses import replace
 from pathlib import Path
@@ -88,7 +87,12 @@
         return read_address(self.first_of(variable, key), key)
 
     def temporary_folder(self) -> Path:
-        return Path(self.environ.get("TMPDIR") or tempfile.gettempdir())
+        folder = self.environ.get("TMPDIR")
+        if folder:
+            return Path(folder)
+        import tempfile  # slow to load, and the platform sets TMPDIR
+
+        return Path(tempfile.gettempdir())
 
 
 class _Part(NamedTuple):
