--- a/bench/scale_hollow.py
+++ b/bench/scale_hollow.py
@@ -23,12 +23,12 @@
 
 from helpers import settings
 from registry import FakeRegistry
-from sidecar_balancer import Balancer
 from sidecar_balancer.addresses import Address, parse_address
 from sidecar_balancer.discovery.client import DiscoveryClient
 from sidecar_balancer.discovery.endpoint_list import ListUpdate
 from sidecar_balancer.discovery.sources import RelayAddress, rank_relays
 from sidecar_balancer.discovery.watch_events import WatchEvent
+from sidecar_balancer.policy.balancer import Balancer
 from sidecar_balancer.policy.events import EndpointListReceived
 from sidecar_balancer.policy.types import ListKind
 
--- a/bench/scale_request.py
+++ b/bench/scale_request.py
@@ -8,8 +8,8 @@
 from scale_fit import Series
 
 from helpers import settings
-from sidecar_balancer import Balancer
 from sidecar_balancer.policy.actions import SendAttempt
+from sidecar_balancer.policy.balancer import Balancer
 from sidecar_balancer.policy.events import AttemptEnded, EndpointListReceived, ListedServer, RequestReceived
 from sidecar_balancer.policy.types import ListKind, Outcome
 
--- a/sidecar_balancer/__init__.py
+++ b/sidecar_balancer/__init__.py
@@ -1,7 +1,3 @@
-"""Sidecar balancer: the decisions of a sidecar balancer, by best-of-k with redraw."""
+"""Weirlock: a sidecar load balancer (docs/ARCHITECTURE.md)."""
 
-from sidecar_balancer.policy.balancer import Balancer
-from sidecar_balancer.policy.settings import Settings
-
-__all__ = ["Balancer", "Settings"]
 __version__ = "0.1.0"
--- a/sidecar_balancer/__main__.py
+++ b/sidecar_balancer/__main__.py
@@ -1,86 +1,13 @@
-"""Runs one sidecar: `python -m sidecar_balancer`, with RELAY_CONFIG naming its configuration.
-
-SIGHUP reloads the configuration; SIGTERM and SIGINT begin a graceful shutdown.  Exit codes: 0 after a
-shutdown, 1 where an address or descriptor can't be used, 2 for a faulty configuration; faults are one line on
-standard error.
-"""
+"""Runs one sidecar: `python -m sidecar_balancer`, with RELAY_CONFIG naming its configuration."""
 
 from __future__ import annotations
 
-import asyncio
 import gc
-import logging
-import os
-import signal
 import sys
 
-from sidecar_balancer.config.loading import read_config
-from sidecar_balancer.config.sidecar import SidecarConfig
-from sidecar_balancer.config.values import ConfigurationError
-from sidecar_balancer.downstream import acceptor, client_connection, response_connection
-from sidecar_balancer.observability.logs import LogRateLimiter, configure_logging
-from sidecar_balancer.runtime.queueing import TimedLoop
-from sidecar_balancer.sidecar.sidecar import Sidecar
-
-log = logging.getLogger(__name__)
-
-EXIT_OK = 0
-EXIT_CANNOT_SERVE = 1
-EXIT_BAD_CONFIGURATION = 2
-_MAX_CLIENT_LOG_LINES_PER_S = 10  # of the client side, which malformed requests would fill
-
-
-async def serve(config: SidecarConfig, limiter: LogRateLimiter) -> None:
-    """Run a sidecar until SIGTERM or SIGINT; `limiter` is that of the log, for its status."""
-    stop = asyncio.Event()
-    loop = asyncio.get_running_loop()
-    for stop_signal in (signal.SIGTERM, signal.SIGINT):
-        # Before clients can connect, so that none is left without an answer.
-        loop.add_signal_handler(stop_signal, stop.set)
-    sidecar = Sidecar(config)
-    sidecar.admin_handlers.status.log_rate_limiter = limiter
-    loop.add_signal_handler(signal.SIGHUP, reload, sidecar)
-    await sidecar.run(stop)
-
-
-def reload(sidecar: Sidecar) -> None:
-    """Read the configuration again; a faulty one changes nothing.
-
-    RELAY_DISCOVERY holds the address at the start, so a reload uses that of the file.
-    """
-    environ = {name: value for name, value in os.environ.items() if name != "RELAY_DISCOVERY"}
-    try:
-        sidecar.reload(read_config(environ))
-    except ConfigurationError as error:
-        _report_failed_reload(error)
-
-
-def _report_failed_reload(error: ConfigurationError) -> None:
-    line = " ".join(str(error).split())
-    log.error("bad configuration, the old one stays: %s", line, extra={"event": "reload_failed"})
-
-
-def main() -> int:
-    """Run a sidecar and return the exit code."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to reload
-    try:
-        config = read_config(os.environ)
-    except ConfigurationError as error:
-        print(f"bad configuration: {error}".replace("\n", " "), file=sys.stderr)
-        return EXIT_BAD_CONFIGURATION
-    limiter = configure_logging(config.logging)
-    client_log_limiter = LogRateLimiter(_MAX_CLIENT_LOG_LINES_PER_S, _MAX_CLIENT_LOG_LINES_PER_S)
-    for module in (acceptor, client_connection, response_connection):
-        module.log.addFilter(client_log_limiter)
-    gc.freeze()  # what is loaded by now stays, so collections need not look at it
-    try:
-        with asyncio.Runner(loop_factory=TimedLoop) as runner:
-            runner.run(serve(config, limiter))
-    except OSError as error:
-        print(f"can't serve: {error}", file=sys.stderr)
-        return EXIT_CANNOT_SERVE
-    return EXIT_OK
+gc.disable()  # until all is loaded: collections would take a tenth of the CPU of a start
 
+from sidecar_balancer.program import main  # noqa: E402  # collections are off before the rest loads
 
 if __name__ == "__main__":
     sys.exit(main())
--- a/sidecar_balancer/cli.py
+++ b/sidecar_balancer/cli.py
@@ -34,7 +34,7 @@
     arguments = _parser().parse_args(argv)
     match arguments.command:
         case "run":
-            from sidecar_balancer import __main__ as sidecar_program  # not needed by the other commands
+            from sidecar_balancer import program as sidecar_program  # not needed by the other commands
 
             return sidecar_program.main()
         case "relay":
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -9,9 +9,9 @@
 from hypothesis import settings as how
 from hypothesis import strategies as st
 
-from sidecar_balancer import Balancer
 from sidecar_balancer.config.settings import read_settings
 from sidecar_balancer.config.values import ConfigurationError
+from sidecar_balancer.policy.balancer import Balancer
 from sidecar_balancer.policy.events import RequestReceived
 from sidecar_balancer.policy.settings import DiscoveryMode, Idempotency
 
--- a/tests/policy/test_any_sequence.py
+++ b/tests/policy/test_any_sequence.py
@@ -20,7 +20,6 @@
     server_names,
     settings,
 )
-from sidecar_balancer import Balancer
 from sidecar_balancer.policy.actions import (
     Action,
     ApplyDisabledServers,
@@ -31,6 +30,7 @@
     SendAttempt,
     SetTimer,
 )
+from sidecar_balancer.policy.balancer import Balancer
 from sidecar_balancer.policy.events import (
     AttemptEnded,
     ClientDisconnected,
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterable
 from typing import Any, TypeVar
 
-from sidecar_balancer import Balancer, Settings
 from sidecar_balancer.config.settings import read_settings
 from sidecar_balancer.policy.actions import Action, SendAttempt, SetTimer
+from sidecar_balancer.policy.balancer import Balancer
 from sidecar_balancer.policy.events import (
     AttemptEnded,
     EndpointListReceived,
@@ -16,6 +16,7 @@
     RequestReceived,
     TimerFired,
 )
+from sidecar_balancer.policy.settings import Settings
 from sidecar_balancer.policy.types import ListKind, Outcome, ServerState
 
 MS = 1_000
