--- a/sidecar_balancer/policy/outliers.py
+++ b/sidecar_balancer/policy/outliers.py
@@ -80,7 +80,7 @@
         server.last_response_at = now
         self.responses += 1
         self._verdicts.response_received(server, request.service_class.name)
-        if server.ejected_until is not None:
+        if server.ejected_until is not None and not server.forgotten:
             self.readmit(now, server)
 
     def eject(self, now: int, server: Server, reason: str, max_ratio: float = EJECTED_MAX_RATIO) -> None:
--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -14,7 +14,7 @@
     LogEvent,
     Reject,
 )
-from sidecar_balancer.policy.events import ListedServer
+from sidecar_balancer.policy.events import ListedServer, ResponseStarted
 from sidecar_balancer.policy.types import ListKind, Outcome
 
 
@@ -135,3 +135,22 @@
     server = driver.balancer.servers[unresponsive]
     assert server.ejected_until is None
     assert driver.balancer.is_warming_up(server)
+
+
+def test_a_response_may_end_after_its_ejected_server_has_left_the_list() -> None:
+    driver = BalancerDriver()
+    driver.receive_list(server_names(4))
+    requests_by_server: dict[str, list[int]] = {}
+    for _ in range(12):
+        request = driver.request("pay")
+        requests_by_server.setdefault(driver.target_of(request), []).append(request)
+    server = max(requests_by_server, key=lambda name: len(requests_by_server[name]))
+    streamed, *failing = requests_by_server[server]
+    driver.feed(ResponseStarted(streamed, 0, server, elapsed_us=MS))
+    for request in failing:
+        driver.end_attempt(request, Outcome.CONNECTION_LOST)
+    assert [ejected.name for ejected in driver.balancer.ejected_servers] == [server]
+    driver.receive_list([name for name in server_names(4) if name != server])
+    assert server not in driver.balancer.servers
+    driver.end_attempt(streamed, Outcome.DELIVERED, attempt=0)
+    assert streamed not in driver.balancer.open_requests
