--- a/sidecar_balancer/admin/server.py
+++ b/sidecar_balancer/admin/server.py
@@ -17,6 +17,7 @@
 import h11
 
 from sidecar_balancer.addresses import Address
+from sidecar_balancer.runtime.errors import RequestError
 
 log = logging.getLogger(__name__)
 
@@ -31,12 +32,8 @@
 _TOO_SLOW = "the call did not come in time"
 
 
-class RequestRejectedError(Exception):
-    """A call that is rejected, with the HTTP status and the words of its response."""
-
-    def __init__(self, status: int, reason: str) -> None:
-        super().__init__(reason)
-        self.status = status
+class RequestRejectedError(RequestError):
+    """A call of the admin API that is rejected; the reason is the body of its response."""
 
 
 class Route(NamedTuple):
