--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -140,8 +140,14 @@
         await tier.wait_until(lambda: disabled_everywhere(tier, set()))
 
 
+# A member that refutes a suspicion raises its incarnation; within this period nobody is suspected.
+WITHOUT_SUSPICIONS = {"on": True, "period_ms": 60_000, "probe_timeout_ms": 30_000}
+
+
 @contextlib.asynccontextmanager
-async def tier_with_persisted_state(folder: Path) -> AsyncIterator[Tier]:
+async def tier_with_persisted_state(
+    folder: Path, membership: dict[str, Any] | None = None
+) -> AsyncIterator[Tier]:
     """Three sidecars: 2 has persisted state, 1 a damaged snapshot, 0 none."""
     tier = Tier(3, folder, seed=13)
     tier.config_changes = lambda _: {"state": {"on": True, "every_ms": 50}}
@@ -157,15 +163,15 @@
     (folder / "n1" / "state-7.snap").write_bytes(snapshot.pack([b"x"])[:-3] + b"junk")
     try:
         for number in range(3):
-            await tier.start(number)
+            await tier.start(number, membership)
         yield tier
     finally:
         await tier.close()
 
 
-async def view_once_it_responds(tier: Tier, number: int) -> dict[str, Any]:
-    """The sidecar's view of the members, once it answers."""
-    await tier.wait_until(lambda: tier.responds(number))
+async def view_once_ready(tier: Tier, number: int) -> dict[str, Any]:
+    """The sidecar's view of the members, once ready: its admin server answers before it has restored."""
+    await tier.wait_until(lambda: tier.is_ready(number))
     view = await tier.members(number)
     assert view is not None
     return view
@@ -173,8 +179,8 @@
 
 @scenario
 async def test_a_start_continues_from_persisted_state(tmp_path: Path) -> None:
-    async with tier_with_persisted_state(tmp_path) as tier:
-        view = await view_once_it_responds(tier, 2)
+    async with tier_with_persisted_state(tmp_path, membership=WITHOUT_SUSPICIONS) as tier:
+        view = await view_once_ready(tier, 2)
         assert view["incarnation"] == 42
         assert [1, "s-1", "ejected"] in [verdict[:3] for verdict in view["verdicts"]]
 
@@ -182,11 +188,11 @@
 @scenario
 async def test_a_restart_after_a_kill_continues_from_what_the_process_persisted(tmp_path: Path) -> None:
     async with tier_with_persisted_state(tmp_path) as tier:
-        await view_once_it_responds(tier, 2)
+        await view_once_ready(tier, 2)
         await tier.wait_until(lambda: _exists(tmp_path / "n2" / "state-2.log"))
         await tier.kill(2)
         await tier.start(2)
-        view = await view_once_it_responds(tier, 2)
+        view = await view_once_ready(tier, 2)
         assert view["incarnation"] >= 43
 
 
--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -261,10 +261,14 @@
         """Whether sidecar `number` answers with its view of the members."""
         return await self.members(number) is not None
 
+    async def is_ready(self, number: int) -> bool:
+        """Whether sidecar `number` is ready for clients."""
+        return (await self.call_admin(number, "GET", "/api/ready")).status == 200
+
     async def all_ready(self) -> bool:
         """Whether every sidecar that runs is ready."""
         for number in self.processes:
-            if (await self.call_admin(number, "GET", "/api/ready")).status != 200:
+            if not await self.is_ready(number):
                 return False
         return True
 
