--- a/sidecar_balancer/config/loading.py
+++ b/sidecar_balancer/config/loading.py
@@ -175,14 +175,8 @@
 
 
 _PARTS = (
-    _Part(
-        "listen", "listen", lambda source: read_address(source.first_of("RELAY_LISTEN", "listen"), "listen")
-    ),
-    _Part(
-        "discovery",
-        "discovery",
-        lambda source: read_address(source.first_of("RELAY_DISCOVERY", "discovery"), "discovery"),
-    ),
+    _Part("listen", "listen", lambda source: source.address("RELAY_LISTEN", "listen")),
+    _Part("discovery", "discovery", lambda source: source.address("RELAY_DISCOVERY", "discovery")),
     _Part("seed", "seed", _read_seed),
     _Part("sockets", "max_sockets", lambda source: read_max_sockets(source.given)),
     _Part("memory_mb", "memory_mb", lambda source: read_memory_mb(source.given)),
