--- a/sidecar_balancer/policy/locality.py
+++ b/sidecar_balancer/policy/locality.py
@@ -1,4 +1,4 @@
-"""Zones: which ones a balancer selects servers from, when one is evacuated as a whole, and how it recovers.
+"""Zones: selection of servers by zone, evacuation of whole zones, and their recovery.
 
 Unused unless `Locality.enabled`.  Levels, overprovisioning, the panic threshold and slow start with its
 aggression are those of Envoy's load balancing; see docs/zones.md.
@@ -15,13 +15,13 @@
 from sidecar_balancer.policy.settings import Locality
 from sidecar_balancer.policy.types import ZoneOverride
 
-FAILURE_SPAN_OBJECTIVES = 1.0  # a zone's outcomes are counted over this many of the longest objective
-TRIAL_OBJECTIVES = 0.5  # first wait before an evacuated zone is tried; it doubles with each failed trial
+FAILURE_SPAN_OBJECTIVES = 1.0  # span of a zone's counted outcomes, in longest latency objectives
+TRIAL_OBJECTIVES = 0.5  # delay before the first trial of an evacuated zone; doubles with each failed trial
 TRIAL_MAX_OBJECTIVES = 8.0
 TRIALS_MAX_COUNTED = 8
-RECOVERY_MIN_WEIGHT = 0.1  # at which a zone or a server comes back
-FAILURES_PER_PEER = 2  # own failures that one peer's evacuation replaces; one own is always needed
-HEALTH_CHECKS_TO_RECOVER = 2  # successful ones in a row
+RECOVERY_MIN_WEIGHT = 0.1  # weight of a zone or a server at the start of its recovery ramp
+FAILURES_PER_PEER = 2  # own failures replaced by one peer's evacuation; one own is always required
+HEALTH_CHECKS_TO_RECOVER = 2  # consecutive successful ones
 
 _OWN_ZONE, _OWN_REGION, _ANYWHERE = range(3)  # levels, the nearest first
 
@@ -32,23 +32,23 @@
 
 @dataclass(slots=True, eq=False)
 class Zone:
-    """What this balancer knows of one zone.  Times are clock times in microseconds."""
+    """State of one zone as seen by this balancer.  Times are clock times in microseconds."""
 
     name: str
     failures: Rate
     override: ZoneOverride | None
-    ready_count: int = 0  # ready servers in it
-    failing: set[str] = field(default_factory=set)  # of these, those that failed and have not responded since
-    last_response_at: dict[str, int] = field(default_factory=dict)  # of the others
-    peers_evacuated: int = 0  # peers that have evacuated it
-    evacuated_at: int | None = None  # None: in use
-    trials: int = 0  # evacuations and failed trials in a row
+    ready_count: int = 0  # ready servers in the zone
+    failing: set[str] = field(default_factory=set)  # names of those that failed and have not responded since
+    last_response_at: dict[str, int] = field(default_factory=dict)  # by name of the other servers
+    peers_evacuated: int = 0  # number of peers that have evacuated it
+    evacuated_at: int | None = None  # None: not evacuated
+    trials: int = 0  # consecutive evacuations and failed trials
     next_trial_at: int = 0
-    successful_checks: int = 0  # health checks in a row since it was evacuated
-    recovering_since: int | None = None  # None: it has its full share
+    successful_checks: int = 0  # consecutive, since the zone was evacuated
+    recovering_since: int | None = None  # None: no recovery ramp, it has its full weight
 
     def is_in_use(self) -> bool:
-        """Whether it is neither evacuated nor drained."""
+        """Return whether the zone is neither evacuated nor drained."""
         return self.evacuated_at is None and self.override is not ZoneOverride.DRAIN
 
 
@@ -56,11 +56,12 @@
     """The zones of one balancer and the ready servers in them.
 
     Attributes:
-        own_zone: this balancer's, "" if unknown: then no zone is near.
+        own_zone: this balancer's zone; "" if unknown, in which case no zone counts as near.
         by_name: the zones that have ready servers.
-        ready_servers: all servers that attempts may be sent to, by this balancer's own order.
-        is_panicking: whether so few servers are healthy that evacuated zones are used too.
-        is_health_checker: whether this balancer health-checks zones for the tier; None: each for itself.
+        ready_servers: all servers that attempts may be sent to, in this balancer's own order.
+        is_panicking: whether so few servers are healthy that evacuated zones are used as well.
+        is_health_checker: whether this balancer health-checks zones for the tier; None: no balancer does,
+            each one sends its own trials.
     """
 
     def __init__(
@@ -83,8 +84,8 @@
         self._overrides: Mapping[str, ZoneOverride] = {}
         self._ejected = ejected
         self._levels: list[list[Server]] = [[], [], self.ready_servers]
-        self._shares: list[float] | None = None  # of the levels but the last; None: to be computed
-        self._own_trials_at = 0  # until then the tier's health checker is waited for
+        self._shares: list[float] | None = None  # of all levels except the last; None: to be computed
+        self._own_trials_at = 0  # no own trials before this time: the tier's health checker comes first
 
     def set_pool_zone(self, server: Server, name: str | None) -> None:
         """Count a server as ready in that zone, or in none; zones without ready servers are dropped."""
@@ -108,11 +109,11 @@
         self.invalidate_shares()
 
     def invalidate_shares(self) -> None:
-        """Have the shares computed anew: servers were ejected or readmitted, or zones have changed."""
+        """Recompute the shares when next used: servers were ejected or readmitted, or zones have changed."""
         self._shares = None
 
     def record_outcome(self, now: int, server: Server, success: bool) -> Zone | None:
-        """Count whether a server responded; return its zone if that must be evacuated."""
+        """Record whether a server responded; return its zone if the zone must be evacuated."""
         zone = self.by_name.get(server.zone)
         if zone is None:
             return None
@@ -126,20 +127,20 @@
         return zone if self._must_evacuate(now, zone) else None
 
     def failure_ratio(self, now: int, zone: Zone) -> float:
-        """Of the zone's servers in use, the part that failed and has not responded since."""
+        """Return the part of the zone's servers in use that failed and has not responded since."""
         since = now - int(FAILURE_SPAN_OBJECTIVES * self._longest_objective_us)
         responding = sum(at >= since for at in zone.last_response_at.values())
         return len(zone.failing) / max(len(zone.failing) + responding, 1)
 
     def evacuate(self, now: int, zone: Zone) -> None:
-        """Send nothing to the zone any more."""
+        """Stop sending requests to the zone."""
         zone.evacuated_at, zone.recovering_since, zone.successful_checks = now, None, 0
         self._delay_trial(now, zone)
         self._own_trials_at = now + int(TRIAL_MAX_OBJECTIVES * self._longest_objective_us)
         self.invalidate_shares()
 
-    def evacuated_anywhere(self) -> list[Zone]:
-        """The zones that this balancer or peers have evacuated."""
+    def evacuated_by_self_or_peers(self) -> list[Zone]:
+        """Return the zones that this balancer or its peers have evacuated."""
         return [
             zone for zone in self.by_name.values() if zone.evacuated_at is not None or zone.peers_evacuated
         ]
@@ -149,18 +150,18 @@
         for zone in self.by_name.values():
             zone.peers_evacuated = peers_by_zone.get(zone.name, 0)
 
-    def may_recover(self, now: int, name: str) -> Zone | None:
-        """The zone, if it was evacuated long enough ago to recover by a peer's report."""
+    def recoverable_zone(self, now: int, name: str) -> Zone | None:
+        """Return the zone if it was evacuated long enough ago to recover on a peer's report."""
         zone = self.by_name.get(name)
         if zone is None or zone.evacuated_at is None or now < zone.next_trial_at:
             return None
         return zone
 
     def trial_due(self, now: int) -> Zone | None:
-        """An evacuated zone that one request may try now; its next trial is put off."""
+        """Return an evacuated zone that one request may try now, if any, and postpone its next trial."""
         if self.is_health_checker is not None and now < self._own_trials_at:
             return None
-        for zone in self.evacuated_anywhere():
+        for zone in self.evacuated_by_self_or_peers():
             is_evacuated = zone.evacuated_at is not None and zone.override is not ZoneOverride.DRAIN
             if is_evacuated and now >= zone.next_trial_at:
                 zone.next_trial_at = now + self._longest_objective_us
@@ -168,7 +169,7 @@
         return None
 
     def trial_ended(self, now: int, server: Server, sent_at: int, success: bool) -> Zone | None:
-        """An attempt ended; return its zone if that was evacuated and the attempt brings it back."""
+        """Record the end of an attempt; return the server's zone if the attempt ends its evacuation."""
         zone = self.by_name.get(server.zone)
         if zone is None or zone.evacuated_at is None or sent_at <= zone.evacuated_at:
             return None
@@ -177,7 +178,7 @@
         return zone if success else None
 
     def health_check_ended(self, server: Server, success: bool) -> Zone | None:
-        """A health check ended; return the server's zone if the check brings it back."""
+        """Record the end of a health check; return the server's zone if the check lets it recover."""
         zone = self.by_name.get(server.zone)
         if zone is None or (zone.evacuated_at is None and not zone.peers_evacuated):
             return None
@@ -187,14 +188,14 @@
     def recover(self, now: int, zone: Zone) -> None:
         """Start the zone's recovery ramp.
 
-        `trials` is reset at the end of the ramp, so a zone that flaps is evacuated for longer each time.
+        `trials` is reset only at the end of the ramp, so a flapping zone is evacuated for longer each time.
         """
         zone.evacuated_at, zone.recovering_since, zone.failures = None, now, self._failure_rate()
         zone.failing.clear()
         self.invalidate_shares()
 
     def recovery_weight(self, now: int, since: int | None) -> float:
-        """The weight of what has recovered at `since`, 1.0 at the end of its ramp."""
+        """Return the weight of a zone or a server that recovered at `since`; 1.0 at the end of its ramp."""
         progress = 1.0 if since is None else max(now - since, 0) / self._recovery_us
         if progress >= 1.0:
             return 1.0
@@ -202,7 +203,7 @@
         return max(RECOVERY_MIN_WEIGHT, weight)
 
     def weight(self, now: int, server: Server) -> float:
-        """The lower one of the server's and its zone's recovery weights."""
+        """Return the lower of the recovery weights of the server and its zone."""
         zone = self.by_name.get(server.zone)
         weight = 1.0 if zone is None else self.recovery_weight(now, zone.recovering_since)
         if zone is not None and zone.recovering_since is not None and weight >= 1.0:
@@ -210,11 +211,11 @@
         return min(weight, self.recovery_weight(now, server.readmitted_at))
 
     def set_health_checker(self, is_self: bool | None) -> None:
-        """Set whether this balancer health-checks zones for the tier; None: each for itself."""
+        """Set whether this balancer health-checks zones for the tier; None: no balancer does."""
         self.is_health_checker = is_self
 
     def set_overrides(self, now: int, overrides: Mapping[str, ZoneOverride]) -> None:
-        """Set the complete set of overrides; zones that come back into use by it start a recovery ramp."""
+        """Replace all overrides; zones that return to use as a result start a recovery ramp."""
         self._overrides = overrides
         for zone in self.by_name.values():
             old, zone.override = zone.override, overrides.get(zone.name)
@@ -226,7 +227,7 @@
         self.invalidate_shares()
 
     def is_open(self, name: str) -> bool:
-        """Whether servers of this zone may be selected; in a panic those of evacuated zones may."""
+        """Return whether servers of this zone may be selected; in a panic, evacuated zones are included."""
         zone = self.by_name.get(name)
         if zone is None or zone.is_in_use():
             return True
@@ -234,10 +235,10 @@
         return zone.override is not ZoneOverride.DRAIN and self.is_panicking
 
     def candidates(self, roll: float, strength: float) -> Sequence[Server]:
-        """The servers that an attempt's server is sampled from; `roll` in 0..1 picks the level.
+        """Return the servers to sample an attempt's server from; `roll` in 0..1 picks the level.
 
-        The own zone takes `strength` times its share of the requests, the own region what that leaves by the
-        same measure, and the rest go anywhere.
+        The own zone gets `strength` times its share of the requests.  The own region gets, by the same
+        measure, what the own zone leaves, and the remaining requests go to any zone.
         """
         for level, share in zip(self._levels, self.load_shares(), strict=False):
             if roll < strength * share:
@@ -245,9 +246,9 @@
         return self._levels[_ANYWHERE]
 
     def load_shares(self) -> list[float]:
-        """The parts of the requests that the own zone and the own region serve.
+        """Return the parts of the requests that the own zone and the own region serve.
 
-        A level serves its healthy part times the overprovisioning factor, at most everything.
+        A level serves its healthy part times the overprovisioning factor, at most all requests.
         """
         if self._shares is None:
             self._shares = self._compute_shares()
@@ -281,15 +282,15 @@
         return Rate(FAILURE_SPAN_OBJECTIVES * self._longest_objective_us)
 
     def _must_evacuate(self, now: int, zone: Zone) -> bool:
-        """Whether a zone fails as a whole while the others stay above the panic threshold without it."""
+        """Return whether a zone fails as a whole and the others stay above the panic threshold without it."""
         if not zone.is_in_use() or zone.override is ZoneOverride.NEVER_EVACUATE:
             return False
         if not self._is_failing(now, zone):
             return False
         others = [other for other in self.by_name.values() if other is not zone and other.is_in_use()]
         healthy = sum(other.ready_count for other in others if not self._is_failing(now, other))
-        several = len(zone.failing) >= min(1 if zone.peers_evacuated else 2, zone.ready_count)
-        return several and healthy >= max(self.settings.panic_threshold * len(self.ready_servers), 1)
+        enough_failing = len(zone.failing) >= min(1 if zone.peers_evacuated else 2, zone.ready_count)
+        return enough_failing and healthy >= max(self.settings.panic_threshold * len(self.ready_servers), 1)
 
     def _is_failing(self, now: int, zone: Zone) -> bool:
         minimum = max(self.settings.evacuation_min_failures - FAILURES_PER_PEER * zone.peers_evacuated, 1)
--- a/sidecar_balancer/policy/outliers.py
+++ b/sidecar_balancer/policy/outliers.py
@@ -1,4 +1,4 @@
-"""Outlier detection: servers that fail are ejected, tried again one request at a time, and readmitted."""
+"""Outlier detection: failing servers are ejected, tried again with one request at a time, and readmitted."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 from sidecar_balancer.policy.types import Outcome, ServerVerdict
 from sidecar_balancer.policy.verdicts import VerdictExchange, peers_against
 
-CONSECUTIVE_FAILURES = 2  # without a response between, that eject a server
-EJECTION_OBJECTIVES = 2.0  # first ejection, in longest objectives; it doubles with each failed trial
+CONSECUTIVE_FAILURES = 2  # failures without a response in between that eject a server
+EJECTION_OBJECTIVES = 2.0  # first ejection, in longest latency objectives; doubles with each failed trial
 EJECTION_MAX_OBJECTIVES = 16.0
 EJECTIONS_MAX_COUNTED = 8
-EJECTED_MAX_RATIO = 0.6  # never more of the list: the rest would be overloaded
-UNRESPONSIVE_MAX_RATIO = 0.34  # for silence alone: more is overload, not outliers
+EJECTED_MAX_RATIO = 0.6  # maximum ejected part of the list: more would overload the rest
+UNRESPONSIVE_MAX_RATIO = 0.34  # the same for unresponsive servers: more of them mean overload, not outliers
 
 FAILURES = (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST, Outcome.CONNECT_FAILED, Outcome.APPLICATION_ERROR)
 
 
 class OutlierDetector:
-    """Decides which servers are ejected.
+    """Detector that ejects and readmits servers.
 
     Attributes:
         ejected: the ejected servers, in the order of their ejection.
-        responses: how many responses have come from all servers.
+        responses: number of responses received from all servers.
     """
 
     def __init__(
@@ -52,10 +52,10 @@
         self._actions = actions
 
     def attempt_ended(self, now: int, request: Request, attempt: Attempt, outcome: Outcome) -> bool | None:
-        """Learn from the end of an attempt.
+        """Update the failure count and the ejection of a server at the end of an attempt.
 
         Returns:
-            Whether the server responded, or None where the outcome says nothing on its zone.
+            Whether the server responded, or None if the outcome says nothing about its zone.
         """
         server = attempt.server
         was_trial, attempt.is_trial = attempt.is_trial, False
@@ -67,10 +67,10 @@
         if outcome not in FAILURES:
             return None
         if outcome is Outcome.TIMED_OUT and server.last_response_at > attempt.sent_at:
-            return None  # slow, not failed: it answered others meanwhile
+            return None  # slow rather than failed: it has answered other attempts since
         server.consecutive_failures += 1
-        from_peers = min(peers_against(server, request.service_class.name), CONSECUTIVE_FAILURES - 1)
-        is_outlier = server.consecutive_failures + from_peers >= CONSECUTIVE_FAILURES
+        peer_failures = min(peers_against(server, request.service_class.name), CONSECUTIVE_FAILURES - 1)
+        is_outlier = server.consecutive_failures + peer_failures >= CONSECUTIVE_FAILURES
         if was_trial or (is_outlier and server.ejected_until is None):
             self.eject(now, server, outcome.value)
         return None if outcome is Outcome.APPLICATION_ERROR else False  # an error shows that it is reachable
@@ -84,7 +84,7 @@
             self.readmit(now, server)
 
     def eject(self, now: int, server: Server, reason: str, max_ratio: float = EJECTED_MAX_RATIO) -> None:
-        """Eject a server, or extend its ejection, unless more than `max_ratio` would be ejected then."""
+        """Extend a server's ejection, or eject it unless more than `max_ratio` would be ejected then."""
         if server.ejected_until is None:
             limit = max_ratio * min(len(self._zones.ready_servers), self._load.subset_size())
             if server.forgotten or len(self.ejected) + 1 > limit:
@@ -96,8 +96,8 @@
             self._zones.invalidate_shares()
         objectives = min(EJECTION_OBJECTIVES * 2**server.ejections, EJECTION_MAX_OBJECTIVES)
         server.ejections = min(server.ejections + 1, EJECTIONS_MAX_COUNTED)
-        spread = 0.75 + 0.5 * self._jitter.random()
-        server.ejected_until = now + int(objectives * self._longest_objective_us * spread)
+        jitter_factor = 0.75 + 0.5 * self._jitter.random()
+        server.ejected_until = now + int(objectives * self._longest_objective_us * jitter_factor)
 
     def readmit(self, now: int, server: Server) -> None:
         """End the ejection of a server."""
@@ -111,7 +111,7 @@
         self._zones.invalidate_shares()
 
     def readmit_zone(self, now: int, zone: str) -> None:
-        """Readmit the servers of a zone that has recovered: what ejected them was the zone's fault."""
+        """Readmit the servers of a zone that has recovered: the zone caused their failures."""
         for server in [server for server in self.ejected if server.zone == zone]:
             self.readmit(now, server)
 
@@ -121,7 +121,7 @@
             self.ejected.remove(server)
 
     def trials_due(self, now: int) -> Sequence[Server]:
-        """Ejected servers whose ejection has run out and that no attempt tries already."""
+        """Return the ejected servers whose ejection has expired and that have no pending trial."""
         return [
             server
             for server in self.ejected
--- a/sidecar_balancer/policy/overdue.py
+++ b/sidecar_balancer/policy/overdue.py
@@ -1,4 +1,4 @@
-"""Overdue attempts: whether their server is unresponsive, slow, or just one of many under overload."""
+"""Overdue attempts: distinction of unresponsive servers from slow ones and from overload of many servers."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 from sidecar_balancer.policy.timer_queue import TimerKind, TimerQueue
 
 UNRESPONSIVE_OVERDUE_RATIO = (
-    2.0  # overdue again by this factor, a server without a response counts as unresponsive
+    2.0  # multiple of the overdue time after which a server without a response counts as unresponsive
 )
-UNRESPONSIVE_MIN_OBJECTIVE_RATIO = 0.5  # but never before this part of the objective
-RESPONSES_FROM_OTHERS = 4  # since the attempt was sent, that show that just this server does not respond
+UNRESPONSIVE_MIN_OBJECTIVE_RATIO = 0.5  # minimum of that time, as a part of the latency objective
+RESPONSES_FROM_OTHERS = 4  # since the attempt was sent; they show that only this server does not respond
 
 
 @unique
 class OverdueFinding(Enum):
-    """What an overdue attempt shows."""
+    """Finding about the server of an overdue attempt."""
 
-    NOTHING = "nothing"  # its server answered others meanwhile, or the balancer itself stood still
+    NOTHING = "nothing"  # its server answered other attempts meanwhile, or the balancer itself stalled
     UNANSWERED = "unanswered"  # no response from its server since it was sent
-    UNRESPONSIVE = "unresponsive"  # found now: no response for long, while other servers responded
+    UNRESPONSIVE = "unresponsive"  # first found now: no response for long, while other servers responded
 
 
 class OverdueMonitor:
-    """Examines attempts that take far longer than expected."""
+    """Monitor of attempts that take far longer than expected."""
 
     def __init__(
         self,
@@ -49,8 +49,8 @@
         self._timers = timers
 
     def check(self, now: int, request: Request, attempt: Attempt) -> OverdueFinding:
-        """Examine an overdue attempt; schedules the next look at it."""
-        if now == self._stalls.recovered_at:  # its response may be among what waited
+        """Examine an overdue attempt and schedule its next check."""
+        if now == self._stalls.recovered_at:  # its response may be among the input delayed by the stall
             self._check_again(now + self._clock_tick_us, request, attempt)
             return OverdueFinding.NOTHING
         server = attempt.server
@@ -59,16 +59,16 @@
         self._check_objective(now, request, attempt, waited_us)
         if not is_unanswered:
             return OverdueFinding.NOTHING
-        enough_us = max(
+        unresponsive_after_us = max(
             UNRESPONSIVE_OVERDUE_RATIO * self._latency.overdue_after_us(request, server),
             UNRESPONSIVE_MIN_OBJECTIVE_RATIO * request.service_class.latency_objective_us,
         )
-        if waited_us < enough_us:
-            self._check_again(now + int(enough_us) - waited_us, request, attempt)
+        if waited_us < unresponsive_after_us:
+            self._check_again(now + int(unresponsive_after_us) - waited_us, request, attempt)
             return OverdueFinding.UNANSWERED
         if attempt.unresponsive:
             return OverdueFinding.UNANSWERED
-        attempt.unresponsive = self._zones_enabled  # the response to a hedge in another zone will show it
+        attempt.unresponsive = self._zones_enabled  # a response to a hedge in another zone will confirm it
         if self._outliers.responses - attempt.responses_before < RESPONSES_FROM_OTHERS:
             return OverdueFinding.UNANSWERED
         if server.ejected_until is None:
@@ -76,7 +76,7 @@
         return OverdueFinding.UNRESPONSIVE
 
     def _check_objective(self, now: int, request: Request, attempt: Attempt, waited_us: int) -> None:
-        """Count the attempt as late once its objective is missed: a response would show a surge too late."""
+        """Count the attempt as late once its objective is missed; a response would show a surge too late."""
         objective_us = request.service_class.latency_objective_us
         if waited_us < objective_us:
             self._check_again(now + objective_us - waited_us, request, attempt)
--- a/sidecar_balancer/policy/zone_evacuation.py
+++ b/sidecar_balancer/policy/zone_evacuation.py
@@ -15,7 +15,7 @@
 
 
 class ZoneEvacuation:
-    """Evacuates zones by the outcomes of attempts, and brings them back by trials and health checks."""
+    """Evacuation of zones on failed attempts, and recovery after successful trials and health checks."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         self._actions = actions
 
     def outcome_recorded(self, now: int, server: Server, sent_at: int, success: bool) -> Zone | None:
-        """Learn whether a server responded to an attempt; return its zone if that is evacuated now."""
+        """Record whether a server responded to an attempt; return its zone if this evacuates the zone."""
         self._recover(now, self._zones.trial_ended(now, server, sent_at, success))
         zone = self._zones.record_outcome(now, server, success)
         if zone is None:
@@ -48,21 +48,21 @@
         return zone
 
     def zone_recovered(self, now: int, event: ZoneRecovered) -> None:
-        """The zone's health checker reports that it responds again."""
-        self._recover(now, self._zones.may_recover(now, event.zone))
+        """Let a zone recover after the tier's health checker reports that it responds again."""
+        self._recover(now, self._zones.recoverable_zone(now, event.zone))
 
     def health_checker_changed(self, _now: int, event: ZoneHealthCheckerChanged) -> None:
-        """Note who health-checks; this balancer checks a server of each evacuated zone if it is the one."""
+        """Record whether this balancer health-checks zones; if so, check a server of each evacuated zone."""
         self._zones.set_health_checker(event.is_self)
         if not event.is_self or not self._may_health_check:
             return
-        for zone in self._zones.evacuated_anywhere():
+        for zone in self._zones.evacuated_by_self_or_peers():
             names = [server.name for server in self._zones.ready_servers if server.zone == zone.name]
             if names:
                 self._actions.append(HealthCheck(self._choices.choice(names)))
 
     def health_check_ended(self, now: int, server: Server, success: bool) -> None:
-        """A health check of a server ended."""
+        """Let the server's zone recover after enough successful health checks."""
         self._recover(now, self._zones.health_check_ended(server, success))
 
     def _recover(self, now: int, zone: Zone | None) -> None:
@@ -70,7 +70,7 @@
             return
         self._actions.append(PublishZoneVerdict(zone.name, ZoneVerdict.RECOVERED))
         if zone.evacuated_at is None:
-            return  # checked on behalf of peers that have evacuated it
+            return  # not evacuated here: it was checked on behalf of peers that have evacuated it
         self._zones.recover(now, zone)
         self._actions.append(LogEvent(f"zone {zone.name} recovers", "zone_recovered", zone.name))
         self._outliers.readmit_zone(now, zone.name)
