--- a/sidecar_balancer/policy/discovery_schedule.py
+++ b/sidecar_balancer/policy/discovery_schedule.py
@@ -1,4 +1,4 @@
-"""When the endpoint list is requested: the first call, polling, and backoff after failed calls."""
+"""Schedule of requests for the endpoint list: the first call, polling, and backoff after failed calls."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from sidecar_balancer.policy.timer_queue import TimerKind, TimerQueue
 from sidecar_balancer.policy.types import ListKind
 
-CONCURRENT_CALLS = 8  # balancers whose calls discovery answers in the time of one
-SPREAD_INTERVAL_RATIO = 0.01  # calls of each further balancer spread by this part of the poll interval
-RETRY_MIN_INTERVAL_RATIO = 0.05  # first backoff, by the poll interval
+CONCURRENT_CALLS = 8  # so many simultaneous calls take discovery no longer than one
+SPREAD_INTERVAL_RATIO = 0.01  # added spread of calls per further balancer, by the poll interval
+RETRY_MIN_INTERVAL_RATIO = 0.05  # first backoff, as a part of the poll interval
 RETRY_MAX_INTERVAL_RATIO = 0.25
 RETRY_MAX_US = 3_000_000  # changes must be known 6 s after they are available, and a call takes up to 2 s
 RETRY_MAX_EXPONENT = 8
-IMMEDIATE_RETRIES = 2  # watches without an answer in a row that are opened again at once
+IMMEDIATE_RETRIES = 2  # consecutive unanswered watches that are reopened at once
 
 
 class DiscoverySchedule:
-    """Decides when to request the endpoint list."""
+    """Schedule of the calls for the endpoint list."""
 
     def __init__(
         self,
@@ -36,11 +36,11 @@
         self._start_jitter = start_jitter
         self._timers = timers
         self._actions = actions
-        late_balancers = max(settings.fleet_size - CONCURRENT_CALLS, 0)
-        # Calls of the whole fleet in step would overload discovery.
-        self._spread_us = min(SPREAD_INTERVAL_RATIO * self._poll_interval_us * late_balancers, RETRY_MAX_US)
-        self.failed_calls = 0  # in a row
-        self.unanswered_watches = 0  # in a row
+        excess_balancers = max(settings.fleet_size - CONCURRENT_CALLS, 0)
+        # Simultaneous calls of the whole fleet would overload discovery.
+        self._spread_us = min(SPREAD_INTERVAL_RATIO * self._poll_interval_us * excess_balancers, RETRY_MAX_US)
+        self.failed_calls = 0  # consecutive
+        self.unanswered_watches = 0  # consecutive
         self.next_call_at: int | None = None  # None while a watch is open
 
     def start(self, now: int) -> None:
@@ -53,7 +53,7 @@
             self._call(now)
 
     def list_received(self, now: int, kind: ListKind) -> bool:
-        """Plan the next call after an answer; return whether the answer holds a list."""
+        """Schedule the next call after an answer; return whether the answer holds a list."""
         if kind is ListKind.TIMED_OUT and self.unanswered_watches < IMMEDIATE_RETRIES:
             self.unanswered_watches += 1
             self._call(now)
@@ -66,7 +66,7 @@
         return True
 
     def _call(self, now: int) -> None:
-        """Watch the list where it has to be polled; a call that is never answered is made again."""
+        """Watch the list if it has to be polled; the call is repeated if it is never answered."""
         if self._polls:
             self._actions.append(WatchEndpoints(True))
             self._schedule(now, RETRY_MAX_INTERVAL_RATIO * self._poll_interval_us)
@@ -81,6 +81,6 @@
         self._schedule(now, wait_us * (0.25 + 0.75 * self._jitter.random()))
 
     def _schedule(self, now: int, wait_us: float) -> None:
-        """Call after this wait, in place of any earlier plan."""
+        """Schedule the next call after this delay, replacing any call scheduled earlier."""
         self.next_call_at = now + int(wait_us)
         self._timers.schedule(self.next_call_at, TimerKind.DISCOVERY_POLL)
--- a/sidecar_balancer/policy/endpoint_table.py
+++ b/sidecar_balancer/policy/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The servers of the endpoint list, with the operators' overrides laid over it."""
+"""The servers of the endpoint list, with the operators' overrides applied."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 from sidecar_balancer.policy.types import ListKind, ServerState
 from sidecar_balancer.policy.verdicts import VerdictExchange
 
-FORMER_NAMES_MAX = 4096  # operators may still name servers that have left the list
+FORMER_NAMES_MAX = 4096  # names kept, as operators may still name servers that have left the list
 
 
 class EndpointTable:
-    """Keeps the servers; one that has left stays until its last attempt ended and it is not disabled.
+    """Table of servers; a removed one stays until its last attempt has ended and it is not disabled.
 
     Attributes:
         servers: by name.
-        former_names: names of servers that were listed once, the latest to leave at the end.
+        former_names: names of servers that have left the list, the latest at the end.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         self._actions = actions
 
     def list_received(self, now: int, event: EndpointListReceived) -> None:
-        """Apply an endpoint list, or plan another call for one."""
+        """Apply an endpoint list, or schedule another call if none was received."""
         if not self._discovery.list_received(now, event.kind):
             return
         if event.kind not in (ListKind.DELTA, ListKind.SOURCE_CHANGED):
@@ -79,11 +79,11 @@
             self._set_disabled(now, names | changed if event.disabled else names - changed)
 
     def disabled_servers_changed(self, now: int, event: DisabledServersChanged) -> None:
-        """Disable just these servers."""
+        """Disable exactly these servers."""
         self._set_disabled(now, frozenset(event.servers))
 
     def _set_disabled(self, now: int, names: frozenset[str]) -> None:
-        """Disable just these servers; one that is enabled again was restarted meanwhile, so it warms up."""
+        """Disable exactly these servers; one enabled again was restarted in the meantime, so it warms up."""
         enabled = self._disabled.replace(names)
         for server in self.servers.values():
             if server.name in names and not server.disabled:
@@ -107,7 +107,7 @@
             server.disabled = entry.server in self._disabled.names
         server.zone = entry.zone or self._server_zones.get(entry.server, "")
         if server.state is ServerState.REMOVED:
-            server.relative_latency = 1.0  # until responses show it: the list says nothing on size
+            server.relative_latency = 1.0  # until responses show it: the list does not tell a server's size
         server.state = entry.state
         if entry.started_at is not None and entry.started_at != server.started_at:
             server.started_at = entry.started_at
@@ -117,7 +117,7 @@
         self._update_pool(server)
 
     def _update_pool(self, server: Server) -> None:
-        """Bring the pool of ready servers up to date with a server that has changed."""
+        """Update the pool of ready servers after a change of a server."""
         zone = server.zone if server.is_ready() else None
         if server.pooled_zone != zone:
             self._zones.set_pool_zone(server, zone)
@@ -126,7 +126,7 @@
             self._removed[server] = None
 
     def _forget_removed(self) -> None:
-        """Forget servers that have left: each deploy brings new names."""
+        """Forget servers that have left the list: each deploy brings new names."""
         for server in list(self._removed):
             if server.in_flight or server.disabled:
                 continue
--- a/sidecar_balancer/policy/overrides.py
+++ b/sidecar_balancer/policy/overrides.py
@@ -1,4 +1,4 @@
-"""Servers that the operators have disabled."""
+"""Servers disabled by the operators."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class DisabledServers:
-    """The operators' overrides, which apply to servers listed now or later.
+    """Operator overrides of servers, which apply to servers listed now or later.
 
     Attributes:
-        names: all disabled servers, listed or not.
-        unused: servers enabled again that no request has used since, in that order.
+        names: names of all disabled servers, listed or not.
+        unused: servers enabled again that no request has used since, in the order they were enabled.
     """
 
     def __init__(self) -> None:
@@ -18,14 +18,14 @@
         self.unused: dict[Server, None] = {}
 
     def server_enabled(self, server: Server) -> None:
-        """Have the next request that may use the server, use it: its odds are low with few requests."""
+        """Make the next eligible request use the server: its odds are low when there are few requests."""
         self.unused[server] = None
 
     def server_used(self, server: Server) -> None:
-        """A request uses the server, or it is forgotten."""
+        """Remove a server from `unused`: a request uses it, or it is forgotten."""
         self.unused.pop(server, None)
 
     def replace(self, names: frozenset[str]) -> frozenset[str]:
-        """Set the complete set of disabled servers; return those enabled by it."""
+        """Replace the set of disabled servers; return the names of those that this enables."""
         enabled, self.names = self.names - names, names
         return enabled
--- a/sidecar_balancer/policy/slow_start.py
+++ b/sidecar_balancer/policy/slow_start.py
@@ -11,12 +11,12 @@
 from sidecar_balancer.policy.rates import Rate
 from sidecar_balancer.policy.settings import Rules
 
-REFILL_RATIO = 0.5  # part of the load that would overload the server: its true capacity is unknown
-BURST_RATIO = 0.18  # part of that load that may come at once
+REFILL_RATIO = 0.5  # refill, as a part of the overload limit: the server's true capacity is unknown
+BURST_RATIO = 0.18  # part of the overload limit that may be sent at once
 
 
 class SlowStart:
-    """Token buckets of the servers that warm up, sized by what warm servers serve for this balancer."""
+    """Token buckets of warming servers, sized by what warm servers serve for this balancer."""
 
     def __init__(
         self,
@@ -31,26 +31,27 @@
         self._duration_us = rules.slow_start_us
         self._ready_servers = ready_servers
         self._load = load
-        self._received = received  # requests, whatever server they went to
+        self._received = received  # requests, regardless of their server
         self._served_by_warm = served  # responses of warm servers, by cost
         self._start_jitter = start_jitter
-        self.capacity_per_us = 0.0  # what a warm server serves for this balancer, in requests of mean cost
-        self._capacity_at = -1  # when that was estimated
+        self.capacity_per_us = 0.0  # of a warm server, for this balancer's requests of mean cost
+        self._capacity_at = -1  # time of that estimate
 
     def start(self, now: int, server: Server, since: int) -> None:
-        """The server's process started at `since`.
+        """Begin the slow start of a server whose process started at `since`.
 
-        The bucket starts with a random part of a request, so that small balancers do not all send at once.
+        The bucket starts with a random part of a request, so that balancers with little traffic do not all
+        send at once.
         """
         server.warming_since = since
         server.slow_start_tokens, server.slow_start_tokens_at = self._start_jitter.random(), now
 
     def is_warming_up(self, now: int, server: Server) -> bool:
-        """Whether the server is in slow start."""
+        """Return whether the server is in slow start."""
         return server.warming_since is not None and now < server.warming_since + self._duration_us
 
     def weight(self, now: int, server: Server) -> float:
-        """The part of its full capacity that a server has at least, 1.0 after its slow start."""
+        """Return the part of its full capacity that a server has at least; 1.0 after its slow start."""
         if server.warming_since is None or not self.is_warming_up(now, server):
             return 1.0
         minimum = self._rules.slow_start_min_ratio
@@ -58,7 +59,7 @@
         return minimum + (1.0 - minimum) * age_us / self._duration_us
 
     def has_capacity(self, now: int, server: Server, cost: float) -> bool:
-        """Whether the server's bucket has the tokens for a request of this cost, after a refill."""
+        """Refill the server's bucket; return whether it has the tokens for a request of this cost."""
         if server.warming_since is None or not self.is_warming_up(now, server):
             return True
         limit = self._rules.overload_multiple * self.weight(now, server) * self.estimate_capacity(now)
@@ -69,27 +70,27 @@
         return server.slow_start_tokens >= min(cost, maximum)
 
     def attempt_sent(self, now: int, server: Server, cost: float) -> None:
-        """Take the tokens of an attempt."""
+        """Take the tokens for an attempt from the server's bucket."""
         if server.warming_since is not None and self.is_warming_up(now, server):
             server.slow_start_tokens -= cost
 
     def response_received(self, now: int, server: Server, cost: float) -> None:
-        """Count what a warm server has served; servers that warm up get light requests first."""
+        """Count the cost of a warm server's response; warming ones get light requests first."""
         if server.warming_since is None or not self.is_warming_up(now, server):
             self._served_by_warm.add(now, cost)
 
     def estimate_capacity(self, now: int) -> float:
-        """What a warm server serves for this balancer now, or has served of late, per microsecond."""
+        """Return what a warm server serves for this balancer, or has served recently, per microsecond."""
         if self._capacity_at != now:
-            faded = math.exp((self._capacity_at - now) / self._duration_us)
+            decay = math.exp((self._capacity_at - now) / self._duration_us)
             self._capacity_at = now
             warm = [server for server in self._ready_servers if not self.is_warming_up(now, server)]
-            counted = warm or self._ready_servers  # ejected ones too: they served a part of what is counted
+            counted = warm or self._ready_servers  # with ejected ones, which served a part of what is counted
             served = self._served_by_warm if warm else self._received
             rate = served.per_us(now) / max(min(len(counted), self._load.subset_size()), 1)
-            self.capacity_per_us = max(rate, self.capacity_per_us * faded)
+            self.capacity_per_us = max(rate, self.capacity_per_us * decay)
         return self.capacity_per_us
 
     def restore_capacity(self, now: int, capacity_per_us: float) -> None:
-        """Take over what an earlier process or peers had estimated."""
+        """Take over the estimate of an earlier process or of peers if it is higher."""
         self.capacity_per_us, self._capacity_at = max(self.capacity_per_us, capacity_per_us), now
