--- a/sidecar_balancer/policy/actions.py
+++ b/sidecar_balancer/policy/actions.py
@@ -1,4 +1,7 @@
-"""Actions: what a balancer wants done, in order.  Times are whole microseconds; treat actions as values."""
+"""Actions: the output of a balancer, to be carried out in order.
+
+Times are whole microseconds; treat actions as immutable values.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,7 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer: rejected; a retry is harmless."""
+    """Final answer: rejected; a retry is safe."""
 
     request: int
     retry_after_us: int = 0
@@ -41,7 +44,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Request a TimerFired."""
+    """Request a TimerFired event."""
 
     in_us: int
     token: str
@@ -83,28 +86,28 @@
 
 @dataclass(slots=True)
 class ApplyDisabledServers:
-    """The complete set of servers that count as draining from now on, whatever the endpoint list says."""
+    """Treat exactly these servers as draining from now on, whatever the endpoint list says."""
 
     servers: frozenset[str]
 
 
 @dataclass(slots=True)
 class PublishServerVerdict:
-    """What this balancer holds against a server has changed: publish it to peers."""
+    """Publish a changed verdict of this balancer on a server to peers."""
 
     server: str
     verdict: ServerVerdict
     service_class: str | None = None  # None: all classes
-    evidence: int = 1  # failures, or answers, that it rests on
+    evidence: int = 1  # number of failures, or answers, that it is based on
 
 
 @dataclass(slots=True)
 class PublishZoneVerdict:
-    """This balancer has evacuated a zone, or uses it again: publish it to peers."""
+    """Publish to peers that this balancer has evacuated a zone or that the zone has recovered."""
 
     zone: str
     verdict: ZoneVerdict
-    evidence: int = 1  # servers whose failures it rests on
+    evidence: int = 1  # number of servers whose failures it is based on
 
 
 @dataclass(slots=True)
@@ -112,8 +115,8 @@
     """A log line for the operators."""
 
     text: str
-    name: str = ""  # of the event
-    subject: str = ""  # the server or zone that it is about
+    name: str = ""  # name of the event
+    subject: str = ""  # the server or zone concerned
 
 
 Action = (
--- a/sidecar_balancer/policy/class_rejections.py
+++ b/sidecar_balancer/policy/class_rejections.py
@@ -1,4 +1,4 @@
-"""Servers that reject, or fail, requests of one class and tenant: these stay away for a while."""
+"""Backoff from servers that reject or fail requests of one class and tenant."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from sidecar_balancer.policy.types import ServerVerdict
 from sidecar_balancer.policy.verdicts import VerdictExchange, peers_against
 
-BACKOFF_OBJECTIVES = 2.0  # first backoff, in longest objectives; it doubles with each rejection in a row
+BACKOFF_OBJECTIVES = 2.0  # first backoff, in longest latency objectives; doubles with each rejection in a row
 BACKOFF_MAX_OBJECTIVES = 16.0
 REJECTIONS_MAX_COUNTED = 8
 
 
 class ClassRejections:
-    """Keeps a class and tenant away from a server that rejects or fails just these."""
+    """Backoff of a class and tenant from servers that reject or fail just their requests."""
 
     def __init__(self, longest_objective_us: int, verdicts: VerdictExchange, jitter: random.Random) -> None:
         self._longest_objective_us = longest_objective_us
@@ -23,14 +23,14 @@
         self._jitter = jitter
 
     def rejected(self, now: int, request: Request, server: Server) -> None:
-        """The server has rejected the request."""
+        """Back off from a server that has rejected the request."""
         self._back_off(now, request, server)
         self._verdicts.publish(server, request.service_class.name, ServerVerdict.REJECTING)
 
     def failed(self, now: int, request: Request, server: Server) -> None:
-        """The server has answered the request with an application error."""
+        """Record an application error; back off if it is repeated or peers have a verdict on the server."""
         service_class = request.service_class.name
-        is_repeated = request.flow in server.rejections  # without a response to this flow in between
+        is_repeated = request.flow in server.rejections  # no success of this flow in between
         if is_repeated or peers_against(server, service_class):
             self._back_off(now, request, server)
             self._verdicts.publish(server, service_class, ServerVerdict.FAILING, 1 + is_repeated)
@@ -39,7 +39,7 @@
 
     @staticmethod
     def delivered(request: Request, server: Server) -> None:
-        """The server has answered a request of the flow."""
+        """End the backoff from a server that has answered a request of the flow."""
         server.rejections.pop(request.flow, None)
 
     def _back_off(self, now: int, request: Request, server: Server) -> None:
@@ -47,6 +47,6 @@
         count = previous.rejections if previous is not None else 0
         wait_us = min(BACKOFF_OBJECTIVES * 2**count, BACKOFF_MAX_OBJECTIVES) * self._longest_objective_us
         if not request.may_be_sent_again():
-            wait_us = BACKOFF_MAX_OBJECTIVES * self._longest_objective_us  # each trial fails a request
+            wait_us = BACKOFF_MAX_OBJECTIVES * self._longest_objective_us  # a failed trial fails its request
         until = now + int(wait_us * (0.75 + 0.5 * self._jitter.random()))
         server.rejections[request.flow] = RejectionBackoff(until, min(count + 1, REJECTIONS_MAX_COUNTED))
--- a/sidecar_balancer/policy/events.py
+++ b/sidecar_balancer/policy/events.py
@@ -1,4 +1,4 @@
-"""Events: what a balancer is told.  Times are whole microseconds; treat events as values."""
+"""Events: the input of a balancer.  Times are whole microseconds; treat events as immutable values."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     cell: int = 0
     state: ServerState = ServerState.READY
     nominal: float = 1.0
-    started_at: int | None = None  # None: before anything that matters
+    started_at: int | None = None  # None: so long ago that it does not matter
 
 
 @dataclass(slots=True)
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class RequestReceived:
-    """A client's request; from here on it is owed one final answer."""
+    """A client's request, which must get one final answer from now on."""
 
     request: int
     service_class: str
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class RequestBodyEnded:
-    """The last byte of a request that arrived with an open body."""
+    """The last byte of a request that was received with an open body has arrived."""
 
     request: int
     remaining_us: int
@@ -67,8 +67,8 @@
 class AttemptEnded:
     """An attempt ended.
 
-    `elapsed_us` is the server's time: to the first byte of a streamed answer, and from the last byte of a
-    streamed body.
+    `elapsed_us` is the time that the server took: to the first byte of a streamed answer, and from the last
+    byte of a streamed body.
     """
 
     request: int
@@ -78,12 +78,12 @@
     elapsed_us: int
     answered: bool  # the client has its final answer, by this attempt or an earlier one
     report: Mapping[str, float] | None = None
-    body_consumed: bool = False  # the body is not buffered as a whole any more: it can't be sent again
+    body_consumed: bool = False  # the body is no longer buffered as a whole and can't be sent again
 
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client of a request disconnected: no answer is owed any more."""
+    """The client of a request disconnected; no final answer is required any more."""
 
     request: int
 
@@ -130,20 +130,20 @@
 
 @dataclass(slots=True)
 class PeerServerVerdict:
-    """What live peers hold against a server."""
+    """A verdict that live peers have against a server."""
 
     server: str
     verdict: ServerVerdict
     service_class: str | None  # None: all classes
-    peers: int  # how many hold it
+    peers: int  # number of peers that have this verdict
 
 
 @dataclass(slots=True)
 class PeerVerdictsReceived:
-    """The complete set of verdicts that live peers hold now."""
+    """The complete set of verdicts that live peers have now."""
 
     servers: Sequence[PeerServerVerdict] = ()
-    evacuated_zones: Mapping[str, int] = field(default_factory=dict)  # peers that evacuated each zone
+    evacuated_zones: Mapping[str, int] = field(default_factory=dict)  # number of peers by evacuated zone
 
 
 @dataclass(slots=True)
@@ -162,34 +162,34 @@
 
 @dataclass(slots=True)
 class ZoneHealthCheckerChanged:
-    """Which balancer health-checks evacuated zones for the tier."""
+    """Current assignment of the balancer that health-checks evacuated zones for the tier."""
 
-    is_self: bool | None  # None: nobody does, each balancer tries for itself
+    is_self: bool | None  # None: no balancer does, each one sends its own trials
 
 
 @dataclass(slots=True)
 class ZoneRecovered:
-    """The balancer that health-checks zones for the tier reports that this one answers again."""
+    """The balancer that health-checks zones for the tier reports that this zone responds again."""
 
     zone: str
 
 
 @dataclass(slots=True)
 class LearnedServer:
-    """What an earlier process, or a peer, learned of a server."""
+    """State of a server that an earlier process, or a peer, has learned."""
 
-    relative_latency: float  # its latency by the baseline of all servers
-    ejected_us: int = 0  # what was left of its ejection; 0: none
-    started_at: int | None = None  # of the server process that it was learned of
+    relative_latency: float  # relative to the baseline of all servers
+    ejected_us: int = 0  # remaining time of its ejection; 0: not ejected
+    started_at: int | None = None  # start of the server process that the state is about
 
 
 @dataclass(slots=True)
 class StateRestored:
-    """What an earlier process of this balancer, or its peers, had learned."""
+    """State that an earlier process of this balancer, or its peers, had learned."""
 
     servers: Mapping[str, LearnedServer] = field(default_factory=dict)
-    baseline_us: Mapping[tuple[str, int], float] = field(default_factory=dict)  # by class and size of request
-    capacity_per_us: float = 0.0  # of a server, seen from this balancer, in requests of mean cost
+    baselines_us: Mapping[tuple[str, int], float] = field(default_factory=dict)  # by class and cost exponent
+    capacity_per_us: float = 0.0  # of a server, as seen by this balancer, in requests of mean cost
 
 
 Event = (
--- a/sidecar_balancer/policy/settings.py
+++ b/sidecar_balancer/policy/settings.py
@@ -1,6 +1,6 @@
-"""What a balancer is configured with: classes of requests, tenants, limits, rules and prices.
+"""Settings of a balancer: request classes, tenants, limits, rules and prices.
 
-Times are whole microseconds (`_us`).  `sidecar_balancer.config.settings` reads them.
+Times are whole microseconds (`_us`).  `sidecar_balancer.config.settings` reads the settings.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 
 @unique
 class Idempotency(Enum):
-    """Whether requests of a class may be executed more than once."""
+    """Number of times that a request of a class may be executed."""
 
     IDEMPOTENT = "idempotent"  # any number of times
-    IDEMPOTENCY_KEY = "idempotency_key"  # servers drop repeats of a key, within a scope and for a while
-    NON_IDEMPOTENT = "non_idempotent"  # never
+    IDEMPOTENCY_KEY = "idempotency_key"  # servers drop repeats of a key within a scope and a window
+    NON_IDEMPOTENT = "non_idempotent"  # at most once
 
 
 @unique
 class DeduplicationScope(Enum):
-    """Which servers drop the repeats of an idempotency key together."""
+    """Set of servers that drop repeats of an idempotency key together."""
 
     ALL = "all"
     ZONE = "zone"
@@ -30,7 +30,7 @@
 
 @unique
 class DiscoveryMode(Enum):
-    """Whether changes of the endpoint list are pushed or have to be polled for."""
+    """Delivery of endpoint list changes: pushed, or polled for."""
 
     PUSH = "pushed"
     POLL = "on_request"
@@ -38,7 +38,7 @@
 
 @unique
 class WeightKind(Enum):
-    """What the nominal weight of a server means."""
+    """Meaning of a server's nominal weight."""
 
     NONE = "silent"
     NOMINAL = "nominal"
@@ -48,7 +48,7 @@
 
 @unique
 class ReportSource(Enum):
-    """Where load reports come from."""
+    """Source of load reports."""
 
     ANSWERS = "answers"
     PROBES = "probes"
@@ -57,7 +57,7 @@
 
 @unique
 class PriorityUnit(Enum):
-    """What the priority weight of a class is counted for."""
+    """Unit to which the priority weight of a class applies."""
 
     REQUEST = "request"
     WORK = "work"
@@ -71,7 +71,7 @@
     deadline_us: int
     latency_objective_us: int
     priority_weight: float = 1.0
-    late_priority_weight: float = 0.0  # of an answer after the objective
+    late_priority_weight: float = 0.0  # for an answer after the latency objective
     idempotency: Idempotency = Idempotency.NON_IDEMPOTENT
     deduplication_scope: DeduplicationScope = DeduplicationScope.CELL
     deduplication_window_us: int = 0
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant, and its share and quota of the whole fleet."""
+    """A tenant with its share and quota, which apply to the whole fleet."""
 
     name: str
     share: float = 1.0
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the deployment permits a balancer to do."""
+    """Permissions and limits that the deployment sets for a balancer."""
 
     max_attempts: int = 1
     may_hedge: bool = False
@@ -106,50 +106,50 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The bounds that a balancer has to keep.  The defaults are the strictest ones."""
+    """Bounds that a balancer must keep.  The defaults are the strictest ones."""
 
     answer_slack_us: int = 0
-    poll_interval_us: int = 10_000_000  # how old a polled endpoint list may be
+    poll_interval_us: int = 10_000_000  # maximum age of a polled endpoint list
     drain_grace_us: int = 0
     slow_start_min_ratio: float = 0.1  # part of its capacity that a server has when it starts
     slow_start_us: int = 30_000_000
-    overload_multiple: float = 1.0  # of its capacity, at which a server that warms up falls
+    overload_multiple: float = 1.0  # multiple of its capacity at which a warming server fails
     overload_window_us: int = 2_000_000
-    late_shedding: bool = False  # servers also reject work that they had begun
+    late_shedding: bool = False  # servers also reject requests that they had begun to execute
 
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """What extra traffic costs, in units of the priority weight of one request."""
+    """Costs of extra traffic, in units of the priority weight of one request."""
 
     cross_zone: float = 0.0
     probe: float = 0.0
     message: float = 0.0
     waste: float = 0.0
     handshake: float = 0.0
-    connection: float = 0.0  # for a hundred open connections a server
+    connection: float = 0.0  # for a hundred open connections per server
 
 
 @dataclass(frozen=True, slots=True)
 class Locality:
-    """How zones are used (docs/zones.md)."""
+    """Use of zones (docs/zones.md)."""
 
     enabled: bool = False
-    zone: str = ""  # this sidecar's, where the settings name none
+    zone: str = ""  # the zone of this sidecar if the settings name none
     regions: Mapping[str, str] = field(default_factory=dict)  # region by zone
-    server_zones: Mapping[str, str] = field(default_factory=dict)  # zone of servers whose entry names none
-    overprovisioning_factor: float = 1.4  # a zone bears its share while 1 / this of its servers are healthy
-    panic_threshold: float = 0.3  # with less than this part of the servers healthy, all are used
-    evacuation_failure_ratio: float = 0.5  # of a zone's servers in use, at which it is evacuated
+    server_zones: Mapping[str, str] = field(default_factory=dict)  # zone by server, if its entry names none
+    overprovisioning_factor: float = 1.4  # a zone serves its share if 1 / this of its servers are healthy
+    panic_threshold: float = 0.3  # all servers are used if less than this part is healthy
+    evacuation_failure_ratio: float = 0.5  # failing part of a zone's servers in use that evacuates it
     evacuation_min_failures: int = 3
-    slow_start_us: int = 0  # 0: that of a server
-    aggression: float = 1.0  # above 1 the weight rises faster at first
+    slow_start_us: int = 0  # recovery ramp of a zone; 0: slow start of a server
+    aggression: float = 1.0  # above 1, the weight rises faster at first
     health_check_interval_us: int = 250_000
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a balancer is configured with."""
+    """Complete settings of a balancer."""
 
     classes: tuple[ServiceClass, ...]
     tenants: tuple[Tenant, ...] = ()
@@ -160,10 +160,10 @@
     discovery: DiscoveryMode = DiscoveryMode.POLL
     weights: WeightKind = WeightKind.NONE
     priority_unit: PriorityUnit = PriorityUnit.REQUEST
-    over_share_weight: float = 1.0  # part of its priority weight that a request beyond its tenant's share has
+    over_share_weight: float = 1.0  # factor on the priority weight of requests beyond their tenant's share
     report_source: ReportSource = ReportSource.NONE
     report_columns: tuple[str, ...] = ()
-    warm_keys: bool = False  # a server that served a key before serves it again with less work
+    warm_keys: bool = False  # a server that has served a key serves it again with less work
     limits: Limits = field(default_factory=Limits)
     rules: Rules = field(default_factory=Rules)
     prices: Prices = field(default_factory=Prices)
--- a/sidecar_balancer/policy/types.py
+++ b/sidecar_balancer/policy/types.py
@@ -1,4 +1,4 @@
-"""Plain types that the balancer's events, actions and components share."""
+"""Plain types shared by the balancer's events, actions and components."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
 @unique
 class ListKind(Enum):
-    """How an endpoint list is to be read."""
+    """Kind of an endpoint list, or reason for its absence."""
 
     DELTA = "delta"  # changed entries only
     SNAPSHOT = "snapshot"  # complete: servers without an entry are removed
-    CACHED = "cached"  # complete, as it was before a restart
+    CACHED = "cached"  # complete, as of before a restart
     FAILED = "failed"  # a call failed or the watch broke; no entries
-    TIMED_OUT = "timed_out"  # a watch did not answer within its wait; no entries
-    SOURCE_CHANGED = "source_changed"  # discovery has another address from now on; no entries
+    TIMED_OUT = "timed_out"  # a watch got no answer within its wait time; no entries
+    SOURCE_CHANGED = "source_changed"  # discovery has a different address from now on; no entries
 
 
 @unique
 class Outcome(Enum):
-    """How an attempt ended."""
+    """Result of an attempt."""
 
     DELIVERED = "delivered"
     APPLICATION_ERROR = "application_error"
-    INVALID_REQUEST = "invalid_request"  # the fault is the request's, not the server's
+    INVALID_REQUEST = "invalid_request"  # a fault of the request, not of the server
     REJECTED = "rejected"  # the server is at capacity
     TIMED_OUT = "timed_out"
     CONNECT_FAILED = "connect_failed"
@@ -44,18 +44,18 @@
 
 @unique
 class ServerVerdict(Enum):
-    """What a balancer holds against a server, for one class of requests or all."""
+    """Verdict of a balancer on a server, for one class of requests or all."""
 
     EJECTED = "ejected"
     SLOW = "slow"
     REJECTING = "full"  # it rejects a class
     FAILING = "failing"  # it fails a class
-    CLEARED = "cleared"  # nothing any more
+    CLEARED = "cleared"  # an earlier verdict no longer holds
 
 
 @unique
 class ZoneVerdict(Enum):
-    """What a balancer holds against a zone as a whole."""
+    """Verdict of a balancer on a zone as a whole."""
 
     EVACUATED = "evacuated"
     RECOVERED = "recovered"
@@ -63,10 +63,10 @@
 
 @unique
 class ZoneOverride(Enum):
-    """What the operators have set for a zone."""
+    """Operators' override of a zone."""
 
     DRAIN = "drain"  # no new requests
-    NEVER_EVACUATE = "pin"  # it stays in use, whatever fails there
+    NEVER_EVACUATE = "pin"  # stays in use, whatever fails there
 
 
 class Flow(NamedTuple):
--- a/sidecar_balancer/policy/verdicts.py
+++ b/sidecar_balancer/policy/verdicts.py
@@ -1,4 +1,4 @@
-"""Verdicts on servers: published to peers, and received from them."""
+"""Exchange of verdicts on servers with peers."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from sidecar_balancer.policy.events import PeerServerVerdict
 from sidecar_balancer.policy.types import ServerVerdict
 
-PEERS_MAX = 2  # further peers change nothing, so that a few that lie have no more effect than this
+PEERS_MAX = 2  # further peers are not counted, which limits the effect of peers that lie
 
 
 class VerdictExchange:
-    """Publishes changes of this balancer's verdicts and applies those of its peers."""
+    """Publisher of this balancer's verdicts and receiver of those of its peers."""
 
     def __init__(self, actions: ActionQueue) -> None:
         self._actions = actions
@@ -23,7 +23,7 @@
     def publish(
         self, server: Server, service_class: str | None, verdict: ServerVerdict, evidence: int = 1
     ) -> None:
-        """Publish a verdict for one class, or all (None), unless peers have it from here already."""
+        """Publish a verdict for one class, or all (None), unless peers already have it from here."""
         current = None if verdict is ServerVerdict.CLEARED else verdict
         if server.published_verdicts.get(service_class) is not current:
             server.published_verdicts.pop(service_class, None)
@@ -32,12 +32,12 @@
             self._actions.append(PublishServerVerdict(server.name, verdict, service_class, max(evidence, 1)))
 
     def withdraw_all(self, server: Server) -> None:
-        """Clear everything that peers have on a server from here."""
+        """Clear all verdicts on a server that this balancer has published."""
         for service_class in list(server.published_verdicts):
             self.publish(server, service_class, ServerVerdict.CLEARED)
 
     def receive(self, verdicts: Collection[PeerServerVerdict], servers: Mapping[str, Server]) -> None:
-        """Replace the peers' verdicts; what an own response disproved stays disproved."""
+        """Replace the peers' verdicts; those disproved by an own response stay disproved."""
         received: dict[str, dict[str | None, int]] = {}
         for verdict in verdicts:
             server = servers.get(verdict.server)
@@ -49,7 +49,7 @@
         self.has_peer_verdicts = any(server.peer_verdicts for server in servers.values())
 
     def response_received(self, server: Server, service_class: str) -> None:
-        """A response disproves the peers' verdicts and ends the own one for its class."""
+        """Mark the peers' verdicts as disproved by a response, and clear the own one for its class."""
         if server.peer_verdicts:
             for name in (None, service_class):
                 if name in server.peer_verdicts:
@@ -59,6 +59,6 @@
 
 
 def peers_against(server: Server, service_class: str) -> int:
-    """How many peers have a verdict against a server for a class, as far as they count."""
+    """Return how many peers have a verdict against a server for a class, at most `PEERS_MAX`."""
     verdicts = server.peer_verdicts
     return min(max(verdicts.get(None, 0), verdicts.get(service_class, 0)), PEERS_MAX)
