--- a/sidecar_balancer/policy/restored_state.py
+++ b/sidecar_balancer/policy/restored_state.py
@@ -39,4 +39,4 @@
             if restored.ejected_us > 0 and server.ejected_until is None:
                 # Here the limit applies to the whole list, as the subset is not known yet.
                 ratio = EJECTED_MAX_RATIO * len(self._zones.ready_servers) / self._load.subset_size()
-                self._outliers.eject(now, server, "recalled", ratio)
+                self._outliers.eject(now, server, "restored", ratio)
