--- a/tests/policy/test_class_rejections.py
+++ b/tests/policy/test_class_rejections.py
@@ -19,15 +19,15 @@
 
 @pytest.mark.parametrize("errors", [1, 2])
 def test_a_server_that_fails_a_class_twice_is_avoided_by_that_class_alone(errors: int) -> None:
-    # Responses to other classes must not hide the errors from requests that can't be retried.
+    # Guards against responses to other classes hiding errors of requests that can't be retried.
     driver = BalancerDriver()
     faulty = server_names(6)[0]
-    driver.receive_list([faulty])  # so it gets them all
+    driver.receive_list([faulty])  # the only server gets all requests
     for _ in range(errors):
         driver.end_attempt(driver.request("pay"), Outcome.APPLICATION_ERROR)
         driver.end_attempt(driver.request())
     driver.receive_list(server_names(6))
-    # All stay in flight, so all servers are sampled.
+    # All requests stay in flight, so all servers are sampled.
     pays = {driver.target_of(driver.request("pay")) for _ in range(24)}
     looks = {driver.target_of(driver.request()) for _ in range(24)}
     assert (faulty in pays) == (errors == 1)
@@ -56,7 +56,7 @@
 def test_a_server_is_used_again_after_its_rejection_backoff() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(5))  # four others: as many as are sampled
-    driver.serve_traffic(40)  # one rejection among these is no overload
+    driver.serve_traffic(40)  # one rejection among these does not count as overload
     request = driver.request("amend")
     rejecting = driver.target_of(request)
     driver.end_attempt(request, Outcome.REJECTED)
@@ -73,7 +73,7 @@
 def test_requests_are_sent_to_rejecting_servers_if_there_are_no_others() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(3))
-    driver.serve_traffic(40)  # three rejections among these are no overload
+    driver.serve_traffic(40)  # three rejections among these do not count as overload
     request = driver.request("pay")
     for _ in range(3):
         driver.end_attempt(request, Outcome.REJECTED)
--- a/tests/policy/test_discovery_schedule.py
+++ b/tests/policy/test_discovery_schedule.py
@@ -1,4 +1,4 @@
-"""When discovery is called."""
+"""Schedule of the calls to discovery."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 def test_a_small_fleet_calls_discovery_at_once(seed: int) -> None:
     driver = BalancerDriver(settings(fleet_size=8), seed=seed)
     driver.receive_list(server_names(2), ListKind.CACHED)
-    driver.advance(0)  # the cached list may be old, and requests come at once
+    driver.advance(0)  # the cached list may be outdated, and requests arrive at once
     assert driver.actions_of(WatchEndpoints) == [WatchEndpoints(True)]
 
 
@@ -48,12 +48,12 @@
         called_at = [at for at, each in driver.timeline if isinstance(each, WatchEndpoints)]
         first.append(called_at[0] - START)
         driver.now = max(driver.now, called_at[0] + 2 * S)
-        failed = driver.now
+        failed_at = driver.now
         driver.feed(EndpointListReceived(ListKind.FAILED))
         driver.advance(4 * S)
         repeated.append(
-            next(at for at, each in driver.timeline if isinstance(each, WatchEndpoints) and at > failed)
-            - failed
+            next(at for at, each in driver.timeline if isinstance(each, WatchEndpoints) and at > failed_at)
+            - failed_at
         )
     for waits in (first, repeated):
         busiest = max(sum(at <= each < at + S for each in waits) for at in waits)
@@ -94,19 +94,20 @@
 
 
 def test_an_unanswered_watch_is_reopened_twice_at_once_and_then_with_backoff() -> None:
-    # join+mass: 11 of 200 sidecars asked again only 13 s later, and sent to servers that had left meanwhile.
+    # In the scenario join+mass, 11 of 200 sidecars repeated the call only 13 s later and sent requests to
+    # servers that had left in the meantime.
     driver = BalancerDriver(settings(fleet_size=200))
     driver.receive_list(server_names(3))
     before = len(driver.actions_of(WatchEndpoints))
     for unanswered in (
         1,
         2,
-    ):  # the first call after a silent watch may be silent too: its news soon counts as told
+    ):  # the call after an unanswered watch may get no answer either, and missed changes soon count as known
         driver.feed(EndpointListReceived(ListKind.TIMED_OUT))
         assert len(driver.actions_of(WatchEndpoints)) == before + unanswered
     driver.feed(
         EndpointListReceived(ListKind.TIMED_OUT)
-    )  # a service that is overbooked is not asked in step by all
+    )  # further calls back off, so that the fleet does not call an overloaded service simultaneously
     assert len(driver.actions_of(WatchEndpoints)) == before + 2
     driver.receive_list(server_names(3))
     driver.feed(EndpointListReceived(ListKind.TIMED_OUT))
--- a/tests/policy/test_endpoint_table.py
+++ b/tests/policy/test_endpoint_table.py
@@ -41,10 +41,10 @@
             driver.end_attempt(
                 request, Outcome.CONNECTION_LOST if deploy % 2 else Outcome.DELIVERED, answered=True
             )
-    late = driver.request()  # its server is removed while it is in flight
+    pending = driver.request()  # its server is removed while it is in flight
     driver.receive_list(server_names(3))
     assert len(driver.balancer.servers) == 4
-    driver.end_attempt(late)
+    driver.end_attempt(pending)
     driver.receive_list(server_names(3))
     driver.advance(60 * S)
     assert len(driver.balancer.servers) == 3
--- a/tests/policy/test_latency.py
+++ b/tests/policy/test_latency.py
@@ -11,10 +11,10 @@
 
 
 def test_relative_latency_adapts_faster_with_few_responses() -> None:
-    def change(every_us: int, taking_us: int, singly: bool) -> float:
+    def latency_change(every_us: int, taking_us: int, one_at_a_time: bool) -> float:
         driver = BalancerDriver()
         driver.receive_list(server_names(4))
-        if singly:
+        if one_at_a_time:
             serve_one_at_a_time(driver, 400, taking_us, every_us)
         else:
             driver.serve_traffic(400, every_us, taking_us)
@@ -25,4 +25,4 @@
         driver.end_attempt(request)
         return server.relative_latency - before
 
-    assert change(400 * MS, 60 * MS, True) > 2 * change(5 * MS, 60 * MS, False) > 0.0
+    assert latency_change(400 * MS, 60 * MS, True) > 2 * latency_change(5 * MS, 60 * MS, False) > 0.0
--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -19,7 +19,7 @@
 
 
 def _with_one_unresponsive_server(driver: BalancerDriver, rounds: int) -> tuple[str, list[int]]:
-    """Serve traffic, except that one server stops responding."""
+    """Serve traffic while one server does not respond; return its name and its unanswered requests."""
     driver.receive_list(server_names(6))
     driver.serve_traffic(120)
     first = driver.request()
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.CONNECTION_LOST, Outcome.CONNECT_FAILED])
 def test_connection_failures_eject_a_server_but_only_the_list_starts_its_slow_start(outcome: Outcome) -> None:
-    # A server that counts as restarted gets little traffic for as long as a slow start takes.
+    # A server mistaken for a restarted one would get little traffic for the duration of a slow start.
     driver = BalancerDriver()
     driver.receive_list(server_names(3))
     server = driver.balancer.servers[server_names(3)[0]]
--- a/tests/policy/test_overrides.py
+++ b/tests/policy/test_overrides.py
@@ -1,4 +1,4 @@
-"""Servers disabled by the operators, whatever the endpoint list says."""
+"""Servers disabled by the operators, regardless of the endpoint list."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
         driver.end_attempt(request, Outcome.CONNECTION_LOST)
     assert driver.balancer.ejected_servers
     assert override(driver, SERVERS[0], True)
-    driver.advance(60 * S)  # its trial is long due
+    driver.advance(60 * S)  # its trial is overdue
     assert servers_used(driver) == {SERVERS[1]}
     request = driver.request()
     driver.end_attempt(request, Outcome.REJECTED)
@@ -82,7 +82,7 @@
     override(driver, SERVERS[0], True)
     driver.serve_traffic(100)
     override(driver, SERVERS[0], False)
-    assert SERVERS[0] in servers_used(driver)  # 1.6 s of fifty requests a second
+    assert SERVERS[0] in servers_used(driver)  # 1.6 s at fifty requests a second
 
 
 @pytest.mark.parametrize(("is_listed", "waited_s"), [(False, 10), (True, 5)])
@@ -176,32 +176,35 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_both_processes_of_an_upgrade_send_a_warming_server_no_more_than_one_alone(seed: int) -> None:
     def attempts_at_warming_server(drivers: list[BalancerDriver]) -> int:
-        """Ten seconds of a hundred requests a second, dealt out in turn; one of four servers warms up."""
+        """Return the attempts at one warming server of four in ten seconds of a hundred requests a second.
+
+        The drivers receive the requests in turn.
+        """
         until, count = drivers[0].now + 10 * S, 0
-        out: list[tuple[BalancerDriver, int]] = []
+        in_flight: list[tuple[BalancerDriver, int]] = []
         warming = ListedServer("cold", zone="east", started_at=drivers[0].now)
         for driver in drivers:
             driver.receive_list([warming], ListKind.DELTA)
         while drivers[0].now < until:
-            for turn in drivers:
-                request = turn.request()
-                count += bool(turn.attempts(request)) and turn.target_of(request) == "cold"
+            for receiver in drivers:
+                request = receiver.request()
+                count += bool(receiver.attempts(request)) and receiver.target_of(request) == "cold"
                 for driver in drivers:
                     driver.advance(10 * MS)
-                out.append((turn, request))
-                if len(out) > 8:  # so many are in flight at any time
-                    which, done = out.pop(0)
-                    if which.attempts(done):
-                        which.end_attempt(done)
+                in_flight.append((receiver, request))
+                if len(in_flight) > 8:  # number of requests in flight at any time
+                    owner, finished = in_flight.pop(0)
+                    if owner.attempts(finished):
+                        owner.end_attempt(finished)
         return count
 
-    def served(seed: int) -> BalancerDriver:
+    def driver_after_traffic(seed: int) -> BalancerDriver:
         driver = BalancerDriver(seed=seed)
         driver.receive_list(SERVERS)
         driver.serve_traffic(300, every_us=10 * MS)
         return driver
 
-    alone = attempts_at_warming_server([served(seed)])
-    old, new = served(seed), BalancerDriver(seed=seed + 100, now=served(seed).now)
+    alone = attempts_at_warming_server([driver_after_traffic(seed)])
+    old, new = driver_after_traffic(seed), BalancerDriver(seed=seed + 100, now=driver_after_traffic(seed).now)
     new.receive_list(SERVERS)
     assert 0 < attempts_at_warming_server([old, new]) <= 1.15 * alone
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -21,26 +21,26 @@
     driver.receive_list(server_names(6))
     driver.serve_traffic(300, every_us=10 * MS)
     capacity_per_s = 100 / 6
-    began = driver.now
-    warming = ListedServer("10.0.0.6:80", zone="east", started_at=began)
+    joined_at = driver.now
+    warming = ListedServer("10.0.0.6:80", zone="east", started_at=joined_at)
     driver.receive_list([warming], ListKind.DELTA)
-    while driver.now < began + 10 * S:
+    while driver.now < joined_at + 10 * S:
         requests = [driver.request() for _ in range(burst)]
         driver.advance(every_us)
         for each in requests:
             if driver.attempts(each):
                 driver.end_attempt(each)
-    times = [at for at, each in driver.attempts() if each.server == "10.0.0.6:80" and at >= began]
-    for end in times:
-        weight = 0.2 + 0.8 * max(end - 2 * S - began, 0) / (10 * S)
-        inside = sum(1 for at in times if end - 2 * S < at <= end)
-        assert inside <= max(1.0, 3 * weight * capacity_per_s * 2)
-    assert times or burst == 1  # one at a time, the fastest known server gets all
+    sent_times = [at for at, each in driver.attempts() if each.server == "10.0.0.6:80" and at >= joined_at]
+    for end in sent_times:
+        weight = 0.2 + 0.8 * max(end - 2 * S - joined_at, 0) / (10 * S)
+        sent_in_window = sum(1 for at in sent_times if end - 2 * S < at <= end)
+        assert sent_in_window <= max(1.0, 3 * weight * capacity_per_s * 2)
+    assert sent_times or burst == 1  # with one request at a time, the fastest known server gets all
 
 
 def test_capacity_is_estimated_by_cost_not_by_number_of_requests() -> None:
     rates = []
-    for served_us in (100_000, 20_000):  # overload sheds the heavy ones, and the rest is light
+    for served_us in (100_000, 20_000):  # under overload the heavy requests are shed and light ones remain
         driver = BalancerDriver()
         driver.receive_list(server_names(4))
         for _ in range(60):
@@ -58,7 +58,7 @@
     driver.receive_list([ListedServer("10.0.0.9:80", zone="east", started_at=driver.now)], ListKind.DELTA)
     driver.request()
     served = driver.balancer.components.slow_start.estimate_capacity(driver.now)
-    driver.advance(5 * S)  # more than the span over which rates are averaged
+    driver.advance(5 * S)  # longer than the span over which rates are averaged
     assert driver.balancer.components.slow_start.estimate_capacity(driver.now) > 0.5 * served > 0.0
 
 
@@ -86,11 +86,11 @@
         driver.receive_list(server_names(5))
         driver.serve_traffic(40, every_us=200 * MS)  # one request a second to each server
         driver.receive_list([ListedServer("10.0.0.9:80", zone="east", started_at=driver.now)], ListKind.DELTA)
-        began, server = driver.now, driver.balancer.servers["10.0.0.9:80"]
+        joined_at, server = driver.now, driver.balancer.servers["10.0.0.9:80"]
         while not driver.balancer.components.slow_start.has_capacity(driver.now, server, 1.0):
             driver.advance(100 * MS)
-        waits_us.append(driver.now - began)
-    # Of 40 requests a second at a warm server, this warming one serves 8, and is overloaded by 48 in 2 s.
+        waits_us.append(driver.now - joined_at)
+    # At 40 requests a second per warm server, this warming one serves 8 and is overloaded by 48 in 2 s.
     assert 1 <= sum(each <= S for each in waits_us) <= 24
     assert max(sum(at <= each < at + 2 * S for each in waits_us) for at in waits_us) <= 36
 
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -1,7 +1,7 @@
-"""Slow start under a whole fleet: what all balancers send a warming server stays within its capacity.
+"""Slow start with a whole fleet: what all balancers send to a warming server stays within its capacity.
 
-The operators put only 2 x root of N + 2 requests beyond the budget of N down to chance, also with thirty
-processes, so the ramp has to hold for their sum.
+The operators attribute only 2 x square root of N + 2 requests beyond a budget of N to chance, also with
+thirty processes, so the ramp has to hold for the sum of all balancers.
 """
 
 from __future__ import annotations
@@ -16,46 +16,51 @@
 from sidecar_balancer.policy.types import ListKind
 
 WARMING_MIN_RATIO = 0.2  # of its capacity, at its start
-WARMING_US = 10 * S  # until it is warm
-FALL_MULTIPLE = 3.0
-FALL_US = 2 * S
-TAKING_US = 60 * MS
-JOINER = "10.0.9.9:80"
+WARMING_US = 10 * S  # duration of its slow start
+OVERLOAD_MULTIPLE = 3.0
+OVERLOAD_WINDOW_US = 2 * S
+LATENCY_US = 60 * MS
+WARMING_SERVER = "10.0.9.9:80"
 
 
 def budget(age_us: int, capacity_per_s: float) -> float:
-    """What a server of that age may get within `FALL_US`, given what a warm one serves a second."""
-    weight = min(WARMING_MIN_RATIO + (1.0 - WARMING_MIN_RATIO) * max(age_us - FALL_US, 0) / WARMING_US, 1.0)
-    return FALL_MULTIPLE * weight * capacity_per_s * FALL_US / S
+    """Return how many requests a server of that age may get within `OVERLOAD_WINDOW_US`.
+
+    `capacity_per_s` is what a warm server serves a second.
+    """
+    weight = min(
+        WARMING_MIN_RATIO + (1.0 - WARMING_MIN_RATIO) * max(age_us - OVERLOAD_WINDOW_US, 0) / WARMING_US, 1.0
+    )
+    return OVERLOAD_MULTIPLE * weight * capacity_per_s * OVERLOAD_WINDOW_US / S
 
 
-def chance(bound: float) -> float:
+def chance_margin(bound: float) -> float:
     return 2.0 * math.sqrt(bound) + 2.0
 
 
 def arrivals(drivers: list[BalancerDriver], per_s: float, seed: int, until: int) -> list[tuple[int, int]]:
-    """Requests of the whole fleet as (time, driver), a Poisson process with a few busy sidecars."""
+    """Return requests of the whole fleet as (time, driver): a Poisson process with a few busy sidecars."""
     source = random.Random(seed)
     weights = [4.0 if index % 10 == 0 else 1.0 for index in range(len(drivers))]
-    found, at = [], float(drivers[0].now)
+    schedule, at = [], float(drivers[0].now)
     while at < until:
         at += source.expovariate(per_s) * S
-        found.append((int(at), source.choices(range(len(drivers)), weights)[0]))
-    return found
+        schedule.append((int(at), source.choices(range(len(drivers)), weights)[0]))
+    return schedule
 
 
-def play_fleet(drivers: list[BalancerDriver], requests: list[tuple[int, int]], until: int) -> None:
+def run_fleet(drivers: list[BalancerDriver], requests: list[tuple[int, int]], until: int) -> None:
     """Advance all balancers together; each request is delivered after the same latency."""
     ends: list[tuple[int, int, int]] = []
     while requests and requests[0][0] <= until:
         now, index = requests.pop(0)
         while ends and ends[0][0] <= now:
-            due, other, ident = ends.pop(0)
+            due, other, request_id = ends.pop(0)
             drivers[other].advance(due - drivers[other].now)
-            if drivers[other].attempts(ident):
-                drivers[other].end_attempt(ident)
+            if drivers[other].attempts(request_id):
+                drivers[other].end_attempt(request_id)
         drivers[index].advance(now - drivers[index].now)
-        ends.append((now + TAKING_US, index, drivers[index].request()))
+        ends.append((now + LATENCY_US, index, drivers[index].request()))
 
 
 @pytest.mark.parametrize("seed", range(2))
@@ -75,16 +80,16 @@
     for driver in drivers:
         driver.receive_list(warm_servers)
     joined = START + 15 * S
-    play_fleet(drivers, arrivals(drivers, per_s, seed, joined), joined)
+    run_fleet(drivers, arrivals(drivers, per_s, seed, joined), joined)
     for driver in drivers:
         driver.advance(joined - driver.now)
-        driver.receive_list([ListedServer(JOINER, zone="east", started_at=joined)], ListKind.DELTA)
+        driver.receive_list([ListedServer(WARMING_SERVER, zone="east", started_at=joined)], ListKind.DELTA)
     end = joined + WARMING_US
-    play_fleet(drivers, arrivals(drivers, burst * per_s, seed + 50, end), end)
-    sent = sorted(at for driver in drivers for at, each in driver.attempts() if each.server == JOINER)
+    run_fleet(drivers, arrivals(drivers, burst * per_s, seed + 50, end), end)
+    sent = sorted(at for driver in drivers for at, each in driver.attempts() if each.server == WARMING_SERVER)
     assert sent, "it is used while it warms up"
     for at in sent:
-        # The budget follows the usual load: a burst does not raise a server's capacity.
+        # The budget follows the usual load, as a burst does not raise a server's capacity.
         bound = budget(at - joined, per_s / len(warm_servers))
-        inside = sum(at - FALL_US < each <= at for each in sent)
-        assert inside <= bound + chance(bound)
+        sent_in_window = sum(at - OVERLOAD_WINDOW_US < each <= at for each in sent)
+        assert sent_in_window <= bound + chance_margin(bound)
--- a/tests/policy/test_zone_evacuation.py
+++ b/tests/policy/test_zone_evacuation.py
@@ -23,15 +23,17 @@
 )
 from sidecar_balancer.policy.types import Flow, Outcome, ServerVerdict, ZoneOverride, ZoneVerdict
 
-ON = {"on": True, "ramp_ms": 4000}
+ENABLED = {"on": True, "ramp_ms": 4000}
 
 
 def driver_with_zones(
-    zones: dict[str, int], here: str = "a", seed: int = 7, **locality: Any
+    zones: dict[str, int], own_zone: str = "a", seed: int = 7, **locality: Any
 ) -> BalancerDriver:
-    """A driver in zone `here` with so many servers in each zone."""
-    given = settings(zone=here, locality={**ON, **locality}, limits={"may_health_check": True})
-    driver = BalancerDriver(given, seed=seed)
+    """Return a driver in zone `own_zone` with the given number of servers in each zone."""
+    balancer_settings = settings(
+        zone=own_zone, locality={**ENABLED, **locality}, limits={"may_health_check": True}
+    )
+    driver = BalancerDriver(balancer_settings, seed=seed)
     driver.receive_list(
         [ListedServer(f"{zone}-{n}", zone) for zone, count in zones.items() for n in range(count)]
     )
@@ -45,7 +47,10 @@
 def serve_zones(
     driver: BalancerDriver, count: int, failing: str = "", every_us: int = 20 * MS
 ) -> Counter[str]:
-    """Requests one by one, each answered after 10 ms, but failed at once by the servers of zone `failing`."""
+    """Send requests one by one and count the attempts by zone.
+
+    Each is answered after 10 ms, except that the servers of zone `failing` fail it at once.
+    """
     requests_by_zone: Counter[str] = Counter()
     for _ in range(count):
         driver.advance(every_us)
@@ -74,7 +79,7 @@
 
 
 def test_all_zones_are_used_if_the_own_zone_is_unknown() -> None:
-    driver = driver_with_zones({"a": 4, "b": 4}, here="")
+    driver = driver_with_zones({"a": 4, "b": 4}, own_zone="")
     requests_by_zone = serve_zones(driver, 300)
     assert min(requests_by_zone["a"], requests_by_zone["b"]) > 60
 
@@ -95,14 +100,14 @@
 
 def test_the_spillover_grows_as_servers_of_the_own_zone_are_ejected() -> None:
     driver = driver_with_zones({"a": 10, "b": 10})
-    spills = []
+    spillovers = []
     for removed in range(8):
-        spills.append(round(1.0 - driver.balancer.zones.load_shares()[0], 3))
+        spillovers.append(round(1.0 - driver.balancer.zones.load_shares()[0], 3))
         ejected = driver.balancer.servers[f"a-{removed}"]
         ejected.ejected_until = driver.now + SECOND
         driver.balancer.components.outliers.ejected.append(ejected)
         driver.balancer.zones.invalidate_shares()
-    assert spills == [0.0, 0.0, 0.0, 0.02, 0.16, 0.3, 0.44, 0.58]  # 1 - 1.4 x the healthy part
+    assert spillovers == [0.0, 0.0, 0.0, 0.02, 0.16, 0.3, 0.44, 0.58]  # 1 - 1.4 x the healthy part
 
 
 def test_a_failing_zone_is_evacuated_after_a_few_failures() -> None:
@@ -121,7 +126,7 @@
     serve_zones(driver, 50)
     driver.feed(PeerVerdictsReceived(evacuated_zones={"a": 1}))
     serve_zones(driver, 50)
-    assert evacuated_zones(driver) == set()  # its servers respond, which counts more
+    assert evacuated_zones(driver) == set()  # own responses outweigh the peers' verdict
     driver.advance(5 * SECOND)
     driver.feed(PeerVerdictsReceived(evacuated_zones={"a": 2}))
     requests_by_zone = serve_zones(driver, 5, failing="a")
@@ -131,33 +136,33 @@
 
 def test_a_flapping_zone_is_evacuated_for_longer_each_time() -> None:
     driver = driver_with_zones({"a": 4, "b": 4})
-    away: list[int] = []
+    backoffs_us: list[int] = []
     for _ in range(4):
         serve_zones(driver, 60)
         while not evacuated_zones(driver):
             serve_zones(driver, 1, failing="a")
         zone = driver.balancer.zones.by_name["a"]
         assert zone.evacuated_at is not None
-        away.append(zone.next_trial_at - zone.evacuated_at)
+        backoffs_us.append(zone.next_trial_at - zone.evacuated_at)
         while evacuated_zones(driver):
             serve_zones(driver, 5)
-    assert away == sorted(away)
-    assert away[-1] >= 4 * away[0]
+    assert backoffs_us == sorted(backoffs_us)
+    assert backoffs_us[-1] >= 4 * backoffs_us[0]
 
 
 def test_a_recovering_zone_gets_a_growing_part_of_the_traffic() -> None:
-    driver = driver_with_zones({"a": 3, "b": 3}, here="")
+    driver = driver_with_zones({"a": 3, "b": 3}, own_zone="")
     serve_zones(driver, 100)
     serve_zones(driver, 30, failing="a")
     assert evacuated_zones(driver) == {"a"}
     while evacuated_zones(driver):
         serve_zones(driver, 5)
-    parts = []
+    traffic_parts = []
     for _ in range(3):
-        first = serve_zones(driver, 66)  # some two seconds: half the ramp
-        parts.append(first["a"] / sum(first.values()))
-    assert parts[0] < parts[1] <= 0.65
-    assert 0.3 < parts[2] < 0.7
+        counts = serve_zones(driver, 66)  # about two seconds: half the ramp
+        traffic_parts.append(counts["a"] / sum(counts.values()))
+    assert traffic_parts[0] < traffic_parts[1] <= 0.65
+    assert 0.3 < traffic_parts[2] < 0.7
 
 
 def test_no_zone_is_evacuated_below_the_panic_threshold() -> None:
@@ -166,7 +171,7 @@
     serve_zones(driver, 30, failing="a")
     assert (
         evacuated_zones(driver) == set()
-    )  # without a, half of the servers would remain: under the threshold
+    )  # without zone a, half of the servers would remain, which is below the threshold
 
 
 def test_the_health_checker_recovers_a_zone_and_others_wait_for_its_report() -> None:
@@ -175,22 +180,22 @@
     driver.feed(ZoneHealthCheckerChanged(False))
     serve_zones(driver, 30, failing="a")
     before = len(driver.attempts())
-    # without a trial of its own
+    # no own trial
     assert serve_zones(driver, 20) == Counter(b=20)
     assert len(driver.attempts()) == before + 20
     driver.feed(ZoneRecovered("a"))
-    assert evacuated_zones(driver) == set()  # its backoff has run by now
+    assert evacuated_zones(driver) == set()  # its backoff has expired by now
     driver.feed(ZoneRecovered("nowhere"))
     serve_zones(driver, 60)
     serve_zones(driver, 40, failing="a")
     assert evacuated_zones(driver) == {"a"}
     assert not driver.actions_of(HealthCheck)
-    for turn in range(2):
+    for check_index in range(2):
         driver.feed(ZoneHealthCheckerChanged(True))
-        probe = driver.actions_of(HealthCheck)[-1]
-        assert probe.server.startswith("a-")
-        assert len(driver.actions_of(HealthCheck)) == turn + 1
-        driver.feed(HealthCheckEnded(probe.server, Outcome.DELIVERED, 1000))
+        health_check = driver.actions_of(HealthCheck)[-1]
+        assert health_check.server.startswith("a-")
+        assert len(driver.actions_of(HealthCheck)) == check_index + 1
+        driver.feed(HealthCheckEnded(health_check.server, Outcome.DELIVERED, 1000))
     assert evacuated_zones(driver) == set()
 
 
@@ -230,10 +235,10 @@
             driver.end_attempt(request)
         return total
 
-    plain, one, many = (
+    no_peers, one_peer, many_peers = (
         sum(requests_to_first_server(peers, seed) for seed in range(6)) for peers in (0, 1, 50)
     )
-    assert plain > one > many > plain / 8  # less, but never none: a peer that lies does no more than two
+    assert no_peers > one_peer > many_peers > no_peers / 8  # fewer, not none: liars count as at most two
     driver = BalancerDriver(settings())
     driver.receive_list([f"s-{n}" for n in range(8)])
     driver.feed(
@@ -271,9 +276,9 @@
     )
     weight = driver.balancer.components.priorities.weight(Flow("look", "t"), 5 / SECOND, 5 / SECOND)
     driver.feed(TierDemandReceived({"t": 95.0}))
-    over = driver.balancer.components.priorities.weight(Flow("look", "t"), 5 / SECOND, 5 / SECOND)
+    beyond_quota = driver.balancer.components.priorities.weight(Flow("look", "t"), 5 / SECOND, 5 / SECOND)
     assert weight == pytest.approx(1.0)
-    assert over == pytest.approx(0.1 + 0.9 * 0.1)
+    assert beyond_quota == pytest.approx(0.1 + 0.9 * 0.1)
 
 
 @pytest.mark.parametrize(
