--- a/sidecar_balancer/policy/actions.py
+++ b/sidecar_balancer/policy/actions.py
@@ -46,7 +46,7 @@
 class SetTimer:
     """Request a TimerFired event."""
 
-    in_us: int
+    delay_us: int
     token: str
 
 
--- a/sidecar_balancer/policy/events.py
+++ b/sidecar_balancer/policy/events.py
@@ -175,7 +175,7 @@
 
 
 @dataclass(slots=True)
-class LearnedServer:
+class RestoredServer:
     """State of a server that an earlier process, or a peer, has learned."""
 
     relative_latency: float  # relative to the baseline of all servers
@@ -187,7 +187,7 @@
 class StateRestored:
     """State that an earlier process of this balancer, or its peers, had learned."""
 
-    servers: Mapping[str, LearnedServer] = field(default_factory=dict)
+    servers: Mapping[str, RestoredServer] = field(default_factory=dict)
     baselines_us: Mapping[tuple[str, int], float] = field(default_factory=dict)  # by class and cost exponent
     capacity_per_us: float = 0.0  # of a server, as seen by this balancer, in requests of mean cost
 
--- a/sidecar_balancer/policy/overdue.py
+++ b/sidecar_balancer/policy/overdue.py
@@ -50,7 +50,7 @@
 
     def check(self, now: int, request: Request, attempt: Attempt) -> OverdueFinding:
         """Examine an overdue attempt and schedule its next check."""
-        if now == self._stalls.recovered_at:  # its response may be among the input delayed by the stall
+        if now == self._stalls.stall_ended_at:  # its response may be among the input delayed by the stall
             self._check_again(now + self._clock_tick_us, request, attempt)
             return OverdueFinding.NOTHING
         server = attempt.server
