--- a/sidecar_balancer/lease/errors.py
+++ b/sidecar_balancer/lease/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the leases."""
+"""Errors of the lease package."""
 
 
 class LeaseError(ValueError):
@@ -6,7 +6,7 @@
 
 
 class LeaseTimingError(LeaseError):
-    """The times of a lease leave no moment at which it may safely be renewed."""
+    """The timing of a lease leaves no time at which it can safely be renewed."""
 
 
 class LeaseMemberError(LeaseError):
--- a/sidecar_balancer/lease/fencing.py
+++ b/sidecar_balancer/lease/fencing.py
@@ -1,4 +1,4 @@
-"""Fenced commands: what the holder of a lease reports to the tier, rejected once its token is outdated."""
+"""Fenced commands: reports of a lease holder to the tier, rejected once its token is outdated."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class CommandVerb(IntEnum):
-    """What a fenced command reports, by its number in datagrams."""
+    """Events reported by fenced commands, by their numbers in datagrams."""
 
     ZONE_RECOVERED = 1
     SNAPSHOT_WRITTEN = 2
@@ -28,14 +28,14 @@
 
 
 class Fence:
-    """Admits a command only with a token that is at least the highest one seen of its lease."""
+    """Check that admits a command only if its token is at least the highest seen for its lease."""
 
     def __init__(self) -> None:
         self._highest_tokens: dict[int, int] = {}
         self.rejected_count = 0
 
     def admit(self, lease: int, token: int) -> bool:
-        """Whether `token` is not outdated; it is the highest from then on."""
+        """Return whether `token` is not outdated; if so, it is the highest seen from then on."""
         if token <= 0 or token < self._highest_tokens.get(lease, 0):
             self.rejected_count += 1
             return False
--- a/sidecar_balancer/lease/manager.py
+++ b/sidecar_balancer/lease/manager.py
@@ -1,6 +1,6 @@
 """The leases of one tier at one of its sidecars, and the fenced commands of their holders.
 
-Sans-IO: the caller carries the messages and commands between members.
+Sans-IO: the caller exchanges the messages and commands between members.
 """
 
 from __future__ import annotations
@@ -20,21 +20,21 @@
     OutgoingLeaseMessage,
 )
 
-ISSUED_COMMANDS_RETAINED = 64  # for the operators' view
-COMMAND_SUBJECTS_MAX = 256  # subjects whose latest command is remembered
-_INCARNATION_MASK = 0x3FFF_FFFF  # request numbers go on from it and must stay below 2**32
+ISSUED_COMMANDS_RETAINED = 64  # for the admin API
+COMMAND_SUBJECTS_MAX = 256  # subjects whose latest command version is kept
+_INCARNATION_MASK = 0x3FFF_FFFF  # request IDs continue from the incarnation and must stay below 2**32
 
 
 class TierLease(IntEnum):
-    """The leases of a tier, by their number in datagrams."""
+    """Leases of a tier, by their numbers in datagrams."""
 
-    ZONES = 0  # the holder probes evacuated zones for the tier
+    ZONES = 0  # the holder health-checks evacuated zones for the tier
     SNAPSHOT = 1  # the holder writes the tier's shared snapshot
 
 
 @dataclass(frozen=True, slots=True)
 class IssuedCommand:
-    """A command of this member, with the µs of its monotonic clock at which it was issued."""
+    """A command of this member, with the time in µs on its monotonic clock when it was issued."""
 
     issued_us: int
     lease: TierLease
@@ -52,13 +52,13 @@
     sequence: int
 
 
-_BEFORE_ANY_COMMAND = _CommandVersion(0, -1)
+_NO_COMMAND = _CommandVersion(0, -1)
 
 
 class LeaseManager:
-    """The leases of `TierLease` at member `member` of `size`.
+    """Leases of `TierLease` at member `member` of `size`.
 
-    `seed` may be any number that no earlier run of this member used.
+    `seed` is any number that no earlier run of this member used.
     """
 
     def __init__(self, member: int, size: int, seed: int, timing: LeaseTiming, now_us: int) -> None:
@@ -78,27 +78,27 @@
         return self._protocol.tick(now_us, alive)
 
     def receive(self, now_us: int, sender: int, message: LeaseMessage) -> list[OutgoingLeaseMessage]:
-        """Handle a message of the protocol and return the replies."""
+        """Handle a lease message and return the replies."""
         return self._protocol.receive(now_us, sender, message)
 
     def drop_unknown_message(self) -> None:
-        """Count a message of a kind that the protocol does not know."""
+        """Count a dropped message of an unknown kind."""
         self._protocol.counters.dropped += 1
 
     def due_us(self, now_us: int) -> int:
-        """The latest time at which `tick` is needed next."""
+        """Return the latest time at which `tick` must be called next."""
         return self._protocol.due_us(now_us)
 
     def token(self, lease: TierLease, now_us: int) -> int:
-        """The fencing token while this member holds the lease, else 0."""
+        """Return the fencing token while this member holds the lease, else 0."""
         return self._protocol.token(lease, now_us)
 
     def highest_epochs(self) -> dict[TierLease, int]:
-        """The highest epoch known of each lease."""
+        """Return the highest known epoch of each lease."""
         return {lease: self._protocol.highest_epoch(lease) for lease in TierLease}
 
     def restore_epoch(self, lease: int, epoch: int) -> None:
-        """Start from an epoch that an earlier run knew; a lease of an unknown number is ignored."""
+        """Restore an epoch known to an earlier run; ignore an unknown lease."""
         if 0 <= lease < len(TierLease):
             self._protocol.restore_epoch(lease, epoch)
 
@@ -107,30 +107,30 @@
     def issue_command(
         self, now_us: int, lease: TierLease, subject: str, verb: CommandVerb
     ) -> FencedCommand | None:
-        """A new command for all members; None where this member does not hold the lease (any longer)."""
+        """Return a new command for all members, or None if this member does not hold the lease."""
         token = self.token(lease, now_us)
         if not token or not self._fence.admit(lease, token):
             return None
         self._sequence += 1
         self._issued.append(IssuedCommand(now_us, lease, token, subject))
         command = FencedCommand(lease, token, self._sequence, subject, verb)
-        self._remember(command)
+        self._record_latest(command)
         return command
 
     def accept_command(self, command: FencedCommand) -> bool:
-        """Whether a command of another member is new and its token not outdated."""
+        """Return whether a command of another member is new and its token not outdated; if so, record it."""
         if command.lease >= len(TierLease):
             return False
-        latest = self._latest.get(_CommandSubject(command.lease, command.subject), _BEFORE_ANY_COMMAND)
+        latest = self._latest.get(_CommandSubject(command.lease, command.subject), _NO_COMMAND)
         if _CommandVersion(command.token, command.sequence) <= latest:
             return False
         if not self._fence.admit(command.lease, command.token):
             return False
-        self._remember(command)
+        self._record_latest(command)
         self._accepted_count += 1
         return True
 
-    def _remember(self, command: FencedCommand) -> None:
+    def _record_latest(self, command: FencedCommand) -> None:
         version = _CommandVersion(command.token, command.sequence)
         self._latest[_CommandSubject(command.lease, command.subject)] = version
         while len(self._latest) > COMMAND_SUBJECTS_MAX:
@@ -140,7 +140,7 @@
 
     @property
     def counters(self) -> LeaseCounters:
-        """Counts of the protocol's messages."""
+        """Message counters of the protocol."""
         return self._protocol.counters
 
     @property
@@ -150,10 +150,10 @@
 
     @property
     def accepted_count(self) -> int:
-        """Commands of other members that were new and not outdated."""
+        """Number of commands of other members that were new and not outdated."""
         return self._accepted_count
 
     @property
     def fenced_count(self) -> int:
-        """Commands that were rejected for an outdated token."""
+        """Number of commands rejected for an outdated token."""
         return self._fence.rejected_count
--- a/sidecar_balancer/lease/protocol.py
+++ b/sidecar_balancer/lease/protocol.py
@@ -1,26 +1,26 @@
-"""The lease protocol: leases granted by a majority of a tier's members, each with a fencing token.
+"""Lease protocol: leases granted by a majority of a tier's members, each with a fencing token.
 
-Sans-IO: `tick` and `receive` take the member's monotonic clock in µs and return the messages to send.
+Sans-IO: `tick` and `receive` take the time of the member's monotonic clock in µs and return the messages to
+send.
 
-Each member is both a candidate and an acceptor.  An acceptor grants a lease to one member for `term_us` of
-its own clock from the moment the request arrives, and grants another member only an epoch above any it has
-granted.  A candidate that gathers grants of a majority (itself included) for one request holds the lease
-until
+Each member is both a candidate and an acceptor.  An acceptor grants a lease to one member for `term_us` on
+its own clock, from the arrival of the request; it grants another member only an epoch above any that it has
+granted.  A candidate with grants of a majority (itself included) for one request holds the lease until
 
-    sent + term_us - 2 * skew_us        (its own clock, `sent` the moment the request left)
+    sent + term_us - 2 * skew_us        (on its own clock; `sent` is when the request was sent)
 
-which ends before the grant of any acceptor does, as long as no clock gains or loses more than `skew_us`
-against real time over one term.  The holder renews `renew_us` before the end; a member that holds nothing
-requests only if it ranks first among the members it believes alive (rendezvous hash of lease and member,
-xxh64).  The epoch is the fencing token: every command under the lease carries it and receivers (`Fence`)
-reject an older one.
+This is before any acceptor's grant ends, as long as no clock gains or loses more than `skew_us` against real
+time over one term.  The holder renews the lease `renew_us` before its end.  A member that does not hold the
+lease requests it only if it ranks first among the members that it believes alive (rendezvous hashing of lease
+and member with xxh64).  The epoch is the fencing token: every command under the lease carries it, and
+receivers (`Fence`) reject an older one.
 
-A member that starts (or restarts: it forgets its grants and their epochs) grants nothing for
-`term_us + 2 * skew_us`, so a grant from before the crash has run out, and nothing before it received the
-highest epoch known of so many others that every majority it may have been part of is among them: else an
-epoch could be granted twice.  Both hold while no more than a minority restarts within that span; a tier that
-restarts entirely begins anew, fences and all.  Sources: the leases of Gray and Cheriton; majority and epochs
-are those of the first phase of Paxos.
+A restarted member has lost its grants and their epochs.  A member that starts therefore grants nothing for
+`term_us + 2 * skew_us`, so that any grant from before a crash has expired, and nothing until it has received
+the highest known epoch from so many others that they include a member of every majority that it may have been
+part of.  Otherwise an epoch could be granted twice.  Both safeguards hold while no more than a minority
+restarts within that time; a tier that restarts entirely starts over, including its fences.  Sources: the
+leases of Gray and Cheriton; majority and epochs are those of the first phase of Paxos.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 class LeaseMessageKind(IntEnum):
-    """The kinds of messages, by their numbers in datagrams."""
+    """Kinds of messages, by their numbers in datagrams."""
 
     REQUEST = 8
     GRANT = 9
@@ -50,8 +50,8 @@
 class LeaseMessage(NamedTuple):
     """One message of the protocol.
 
-    `request_id` numbers a candidate's requests, so a late grant of an older request is not counted for a
-    newer one.  In an EPOCH_QUERY it is the incarnation of the sender, and the EPOCH_REPLY repeats it.
+    `request_id` numbers a candidate's requests, so that a late grant of an older request is not counted for a
+    newer one.  In an EPOCH_QUERY it is the sender's incarnation, which the EPOCH_REPLY echoes.
     """
 
     kind: LeaseMessageKind
@@ -71,11 +71,12 @@
 class LeaseTiming:
     """Times in µs of the member's own monotonic clock.
 
-    `skew_us`: what a clock may gain or lose against real time over one term.  `retry_us`: how long a request
-    waits for a majority before it is sent again.
+    `term_us` is the duration of a grant, `renew_us` the time before its end at which the holder renews it.
+    `skew_us` is how much a clock may gain or lose against real time over one term.  `retry_us` is how long a
+    request waits for a majority before it is sent again.
 
     Raises:
-        LeaseTimingError: the times leave no moment for a renewal.
+        LeaseTimingError: the times leave no time for a renewal.
     """
 
     term_us: int = 3_000_000
@@ -86,34 +87,36 @@
     def __post_init__(self) -> None:
         renewal_fits = 0 <= 2 * self.skew_us < self.term_us - self.renew_us
         if not renewal_fits or self.renew_us <= 0 or self.retry_us <= 0:
-            raise LeaseTimingError("lease: renew_us > 0 and term_us > renew_us + 2 * skew_us are needed")
+            raise LeaseTimingError(
+                "lease: expected renew_us, retry_us > 0, skew_us >= 0 and term_us > renew_us + 2 * skew_us"
+            )
 
     @property
     def holder_term_us(self) -> int:
-        """How long a holder may rely on a grant, from the moment its request left."""
+        """How long a holder may rely on a grant, counted from when its request was sent."""
         return self.term_us - 2 * self.skew_us
 
     @property
     def restart_wait_us(self) -> int:
-        """How long a member that started grants nothing."""
+        """How long a member grants nothing after its start."""
         return self.term_us + 2 * self.skew_us
 
 
 @dataclass(slots=True)
 class LeaseState:
-    """One lease as one member knows it, as an acceptor (`granted_*`) and as a candidate (the rest)."""
+    """State of one lease at one member, as an acceptor (`granted_*`) and as a candidate (the rest)."""
 
     highest_epoch: int = 0  # granted by this member, or received
     granted_to: int = NO_MEMBER
     granted_epoch: int = 0
     granted_until_us: int = 0
-    held_epoch: int = 0  # of this member's latest tenure
+    held_epoch: int = 0  # under which this member last held the lease
     held_until_us: int = 0
-    request_id: int = 0  # of the open request, 0: none
+    request_id: int = 0  # of the open request; 0: none
     request_epoch: int = 0
     request_sent_us: int = 0
     grants: frozenset[int] = frozenset()
-    epoch_sources: frozenset[int] = frozenset()  # members whose highest epoch this incarnation received
+    epoch_sources: frozenset[int] = frozenset()  # members that sent this incarnation their highest epoch
     epochs_queried_us: int = 0  # when they were last queried; 0: not yet
 
 
@@ -130,9 +133,9 @@
 
 @dataclass
 class LeaseProtocol:
-    """The leases 0 to `lease_count` - 1 at member `member` of `size`.
+    """Leases 0 to `lease_count` - 1 at member `member` of `size`.
 
-    `incarnation` differs from that of each earlier run of this member.
+    `incarnation` must differ from that of every earlier run of this member.
 
     Raises:
         LeaseMemberError: `member` or `lease_count` is out of range.
@@ -151,7 +154,7 @@
     def __post_init__(self) -> None:
         if not 0 <= self.member < self.size or self.lease_count <= 0:
             raise LeaseMemberError(
-                f"lease: member {self.member} of {self.size}, {self.lease_count} leases: out of range"
+                f"lease: member {self.member} of {self.size} with {self.lease_count} leases is out of range"
             )
         if self.last_request_id < 0:
             self.last_request_id = self.incarnation
@@ -161,9 +164,9 @@
     # -- Events -----------------------------------------------------------------------------------------
 
     def tick(self, now_us: int, alive: Iterable[int]) -> list[OutgoingLeaseMessage]:
-        """Renew each lease held and request each that this member ranks first for.
+        """Renew each lease that this member holds and request each for which it ranks first.
 
-        `alive`: the other members that this one believes alive.
+        `alive` are the other members that this one believes alive.
         """
         candidates = {self.member, *alive}
         outgoing: list[OutgoingLeaseMessage] = []
@@ -181,7 +184,7 @@
         return outgoing
 
     def receive(self, now_us: int, sender: int, message: LeaseMessage) -> list[OutgoingLeaseMessage]:
-        """Handle a message and return the replies; one of an unknown member or lease is dropped."""
+        """Handle a message and return the replies; drop one of an unknown member or lease."""
         is_peer = 0 <= sender < self.size and sender != self.member
         if not is_peer or not 0 <= message.lease < self.lease_count:
             self.counters.dropped += 1
@@ -201,23 +204,23 @@
         return []
 
     def restore_epoch(self, lease: int, epoch: int) -> None:
-        """Start from an epoch that an earlier run knew."""
+        """Restore an epoch known to an earlier run."""
         state = self.states[lease]
         state.highest_epoch = max(state.highest_epoch, epoch)
 
     # -- Views ------------------------------------------------------------------------------------------
 
     def token(self, lease: int, now_us: int) -> int:
-        """The fencing token of `lease` while this member holds it at `now_us`, else 0."""
+        """Return the fencing token of `lease` if this member holds it at `now_us`, else 0."""
         state = self.states[lease]
         return state.held_epoch if state.held_until_us > now_us else 0
 
     def highest_epoch(self, lease: int) -> int:
-        """The highest epoch that this member knows of `lease`."""
+        """Return the highest epoch of `lease` that this member knows."""
         return self.states[lease].highest_epoch
 
     def due_us(self, now_us: int) -> int:
-        """The latest time at which `tick` is needed next."""
+        """Return the latest time at which `tick` must be called next."""
         due_us = now_us + self.timing.retry_us
         for state in self.states:
             if state.request_id:
@@ -227,9 +230,9 @@
         return due_us
 
     def knows_highest_epoch(self, lease: int) -> bool:
-        """Whether at least one other of each majority that this member was in sent its highest epoch."""
-        needed = min(self.size - self._majority + 1, self.size - 1)
-        return len(self.states[lease].epoch_sources) >= needed
+        """Return whether another member of every majority that included this one sent its highest epoch."""
+        required = min(self.size - self._majority + 1, self.size - 1)
+        return len(self.states[lease].epoch_sources) >= required
 
     @property
     def _majority(self) -> int:
@@ -245,8 +248,8 @@
             return []
         state.epochs_queried_us = now_us
         query = LeaseMessage(LeaseMessageKind.EPOCH_QUERY, lease, 0, self.incarnation)
-        known = {self.member, *state.epoch_sources}
-        return [OutgoingLeaseMessage(other, query) for other in range(self.size) if other not in known]
+        excluded = {self.member, *state.epoch_sources}
+        return [OutgoingLeaseMessage(other, query) for other in range(self.size) if other not in excluded]
 
     def _request(self, now_us: int, lease: int, epoch: int) -> list[OutgoingLeaseMessage]:
         state = self.states[lease]
@@ -276,13 +279,13 @@
 
     def _reply_to_request(self, now_us: int, sender: int, request: LeaseMessage) -> LeaseMessage:
         state = self.states[request.lease]
-        waited = now_us >= self.started_us + self.timing.restart_wait_us
-        may_grant = waited and self.knows_highest_epoch(request.lease)
+        restart_wait_over = now_us >= self.started_us + self.timing.restart_wait_us
+        may_grant = restart_wait_over and self.knows_highest_epoch(request.lease)
         if not may_grant:
             state.highest_epoch = max(state.highest_epoch, request.epoch)
         granted_to_other = state.granted_until_us > now_us and state.granted_to != sender
-        renewal = state.granted_to == sender and state.granted_epoch == request.epoch
-        if not may_grant or granted_to_other or not (renewal or request.epoch > state.highest_epoch):
+        is_renewal = state.granted_to == sender and state.granted_epoch == request.epoch
+        if not may_grant or granted_to_other or not (is_renewal or request.epoch > state.highest_epoch):
             self.counters.rejected += 1
             highest = max(state.highest_epoch, state.granted_epoch)
             return request._replace(kind=LeaseMessageKind.REJECT, epoch=highest)
@@ -295,5 +298,5 @@
 
 
 def preferred_candidate(lease: int, members: Iterable[int]) -> int:
-    """The member that ranks first for `lease`: the lowest xxh64 of `lease:member` (rendezvous hashing)."""
+    """Return the member that ranks first: the lowest xxh64 of `lease:member` (rendezvous hashing)."""
     return min(members, key=lambda member: xxhash.xxh64_intdigest(f"{lease}:{member}".encode()))
--- a/tests/lease/test_exploration.py
+++ b/tests/lease/test_exploration.py
@@ -1,4 +1,4 @@
-"""The lease protocol in every state within a bound: safe as it is, unsafe without each of its safeguards."""
+"""The lease protocol in every state within a bound: it is safe, and unsafe without each safeguard."""
 
 from __future__ import annotations
 
--- a/tests/lease/test_fencing.py
+++ b/tests/lease/test_fencing.py
@@ -1,4 +1,4 @@
-"""The fence: a token is admitted only while no newer one was seen."""
+"""The fence: a token is admitted only if no newer one was seen."""
 
 from __future__ import annotations
 
--- a/tests/lease/test_manager.py
+++ b/tests/lease/test_manager.py
@@ -1,4 +1,4 @@
-"""The lease manager: commands need the lease, and each is accepted once and only with a current token."""
+"""The lease manager: only a holder issues commands; each is accepted once, and only with a current token."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     assert manager.accept_command(replace(COMMAND, sequence=2))
 
 
-def test_a_command_with_an_outdated_token_is_fenced_off(manager: LeaseManager) -> None:
+def test_a_command_with_an_outdated_token_is_rejected_and_counted(manager: LeaseManager) -> None:
     assert not manager.accept_command(replace(COMMAND, token=4, subject="zone-b"))
     assert manager.fenced_count == 1
 
--- a/tests/lease/test_protocol.py
+++ b/tests/lease/test_protocol.py
@@ -1,4 +1,4 @@
-"""The lease protocol between members: a majority grants, and a member that started does not yet."""
+"""The lease protocol between members: a majority grants a lease; a restarted member must first wait."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def holder() -> LeaseProtocol:
-    """A member of three that was granted the lease at 300 µs, for a request that was repeated once."""
+    """A member of three that was granted the lease at 300 µs, on the second attempt of its request."""
     members = [LeaseProtocol(member, 3, 1, TIMING, started_us=-10_000) for member in range(3)]
     for member in members:
         member.states[LEASE].epoch_sources = frozenset({0, 1, 2} - {member.member})
@@ -34,11 +34,11 @@
     assert holder.token(LEASE, 310) >= 1
 
 
-def test_a_holder_stops_before_the_grants_end(holder: LeaseProtocol) -> None:
+def test_a_holders_token_ends_before_the_grants_expire(holder: LeaseProtocol) -> None:
     assert holder.token(LEASE, 300 + TIMING.holder_term_us) == 0
 
 
-def test_a_token_is_fenced_off_by_the_next_holders_token(holder: LeaseProtocol) -> None:
+def test_a_token_is_rejected_once_the_next_holders_token_was_seen(holder: LeaseProtocol) -> None:
     token, fence = holder.token(LEASE, 310), Fence()
     assert fence.admit(LEASE, token + 1)
     assert not fence.admit(LEASE, token)
@@ -46,7 +46,7 @@
 
 
 class StartedMember:
-    """A member of three that started at 0 µs, and what it replies to requests of member 0."""
+    """Member 1 of three, started at 0 µs, with helpers to send it requests and epoch replies."""
 
     incarnation = 40
     may_grant_us = TIMING.restart_wait_us
@@ -66,7 +66,7 @@
 
 @pytest.fixture
 def started() -> StartedMember:
-    """A member that started and has received nothing."""
+    """A started member that has received nothing."""
     return StartedMember()
 
 
