--- a/sidecar_balancer/membership/bridge.py
+++ b/sidecar_balancer/membership/bridge.py
@@ -1,6 +1,6 @@
-"""Between the balancer and the membership plane: its verdicts go out, those of the peers come in as events.
+"""Bridge between the balancer and its peers: publishes its verdicts, delivers the peers' verdicts as events.
 
-Nothing is decided here: the balancer weighs `PeerVerdictsReceived`, `TierDemandReceived`,
+It makes no decisions: the balancer evaluates `PeerVerdictsReceived`, `TierDemandReceived`,
 `ZoneHealthCheckerChanged` and `ZoneRecovered`.
 """
 
@@ -37,22 +37,22 @@
 
 log = logging.getLogger(__name__)
 
-_STEP_S = 0.1  # how often the peers' verdicts are handed to the balancer
-_STEPS_PER_RENEWAL = int(RENEWAL_INTERVAL_MS / 1000 / _STEP_S)
-_STEPS_PER_EXCHANGE = 10  # of demand and latencies
+_TICK_INTERVAL_S = 0.1  # interval at which the peers' verdicts are passed to the balancer
+_TICKS_PER_RENEWAL = int(RENEWAL_INTERVAL_MS / 1000 / _TICK_INTERVAL_S)
+_TICKS_PER_EXCHANGE = 10  # of demand and relative latencies
 _BIND_RETRY_S = 1.0
-_STATE_POLL_S = 0.005  # how often a start checks whether a peer's state has come
-_STATE_REQUESTS = 3  # of one start: datagrams get lost
-_LATENCIES_MAX = 256  # servers whose latency is passed to a peer that starts
+_STATE_POLL_INTERVAL_S = 0.005  # interval at which a starting member checks for a peer's state
+_STATE_REQUESTS_MAX = 3  # per start, as datagrams may be lost
+_LATENCIES_MAX = 256  # servers whose relative latency is sent to a starting peer
 
 _SERVER_VERDICTS = {wire: verdict for verdict, wire in WIRE_VERDICTS.items()}
 
 
 class MembershipBridge:
-    """One sidecar's bridge.
+    """Bridge of one sidecar.
 
-    `handle_event` takes events for the balancer, `demand_rps` gives recent requests a second by tenant and
-    `relative_latencies` the latency of each server relative to the usual one.
+    `handle_event` passes events to the balancer, `demand_rps` returns the recent requests per second by
+    tenant and `relative_latencies` the latency of each server relative to the baseline latency.
     """
 
     def __init__(
@@ -72,9 +72,9 @@
         self._publisher = VerdictPublisher(transport, classes)
         self._tier_verdicts: list[TierVerdict] = []
         self._tier_demand: dict[str, float] = {}
-        self._checks_zones: bool | None = None
-        self._steps = 0
-        self._steps_per_zone_check = max(round(zone_check_interval_us / 1e6 / _STEP_S), 1)
+        self._is_zone_health_checker: bool | None = None
+        self._tick_count = 0
+        self._ticks_per_zone_check = max(round(zone_check_interval_us / 1e6 / _TICK_INTERVAL_S), 1)
         self._timer: asyncio.TimerHandle | None = None
         self._bind_task: asyncio.Future[None] | None = None
         transport.listen_for_commands(self._receive_command)
@@ -82,16 +82,16 @@
     # -- Lifecycle --------------------------------------------------------------------------------------
 
     async def start(self, on_bound: Callable[[], None], failed_attempts: int = 0) -> None:
-        """Bind the plane's address, then call `on_bound`.
+        """Bind the membership address, then call `on_bound`.
 
-        Retried each second: the older process of an upgrade may still have the address.
+        A failed bind is retried every second: the old process of an upgrade may still hold the address.
         """
         try:
             await self.transport.start()
         except OSError as error:
             if failed_attempts == 0:
                 log.warning(
-                    "the peer plane can't bind yet, it is tried each second: %s",
+                    "cannot bind the membership address, retrying every second: %s",
                     error,
                     extra={"event": "membership_bind_failed"},
                 )
@@ -101,13 +101,13 @@
             return
         members = self.transport.swim.members
         log.info(
-            "the peer plane is bound, member %d of %d",
+            "bound the membership address as member %d of %d",
             members.member,
             members.size,
             extra={"event": "membership_bound"},
         )
         on_bound()
-        self._step()
+        self._tick()
 
     def _retry_start(self, on_bound: Callable[[], None], failed_attempts: int) -> None:
         self._bind_task = asyncio.ensure_future(self.start(on_bound, failed_attempts))
@@ -119,10 +119,10 @@
         self.transport.stop()
 
     async def fetch_initial_state(self, stop: asyncio.Event, timeout_s: float) -> StateRestored:
-        """Request the peers' state and wait until one has answered entirely, `timeout_s` at most.
+        """Request the peers' state and wait, for at most `timeout_s`, until one has answered in full.
 
-        Their verdicts go to the balancer at once.  The latencies that they learned count half, as another
-        sidecar's may differ.
+        Their verdicts are passed to the balancer at once.  The deviations of their relative latencies from 1
+        are halved, as another sidecar's latencies may differ.
         """
         loop = asyncio.get_running_loop()
         transfer = self.transport.swim.transfer
@@ -131,14 +131,14 @@
             waited_s = loop.time() - started_s
             if waited_s >= timeout_s:
                 break
-            if waited_s >= requests * timeout_s / _STATE_REQUESTS:
+            if waited_s >= requests * timeout_s / _STATE_REQUESTS_MAX:
                 requests += 1
                 self.transport.request_state()
-            await asyncio.sleep(min(_STATE_POLL_S, timeout_s))
+            await asyncio.sleep(min(_STATE_POLL_INTERVAL_S, timeout_s))
         took_ms = 1000 * (loop.time() - started_s)
         log.info(
-            "warm start: %s in %.0f ms",
-            "all that a peer held" if transfer.complete else "no whole answer",
+            "initial state from peers is %s after %.0f ms",
+            "complete" if transfer.complete else "incomplete",
             took_ms,
             extra={"event": "initial_state_fetched", "took_ms": took_ms},
         )
@@ -157,15 +157,15 @@
     # -- From the balancer and the operators to the peers -----------------------------------------------
 
     def publish_server_verdict(self, action: PublishServerVerdict) -> None:
-        """Publish what the balancer holds against a server, for one service class or all."""
+        """Publish the balancer's verdict on a server, for one service class or all."""
         self._publisher.publish_server_verdict(action)
 
     def publish_zone_verdict(self, action: PublishZoneVerdict) -> None:
-        """Publish that the balancer has evacuated a zone, or uses it again."""
+        """Publish that the balancer has evacuated a zone or uses it again."""
         self._publisher.publish_zone_verdict(action)
 
     def set_disabled_servers(self, servers: frozenset[str]) -> None:
-        """Publish which servers this sidecar's operators have disabled."""
+        """Publish the servers that this sidecar's operators have disabled."""
         self._publisher.set_disabled_servers(servers)
 
     def _exchange_demand(self) -> None:
@@ -183,18 +183,18 @@
     # -- From the peers to the balancer -----------------------------------------------------------------
 
     def disabled_servers(self) -> frozenset[str]:
-        """The servers that operators at other sidecars of the tier have disabled."""
+        """Return the servers that operators of other sidecars in the tier have disabled."""
         return self.transport.swim.tier.disabled_servers(self.transport.now_us())
 
-    def _step(self) -> None:
-        self._steps += 1
-        if self._steps % _STEPS_PER_RENEWAL == 0:
+    def _tick(self) -> None:
+        self._tick_count += 1
+        if self._tick_count % _TICKS_PER_RENEWAL == 0:
             self._publisher.renew()
-        if self._steps % _STEPS_PER_EXCHANGE == 0:
+        if self._tick_count % _TICKS_PER_EXCHANGE == 0:
             self._exchange_demand()
         self._forward_verdicts()
-        self._forward_zone_checker()
-        self._timer = asyncio.get_running_loop().call_later(_STEP_S, self._step)
+        self._forward_zone_health_checker()
+        self._timer = asyncio.get_running_loop().call_later(_TICK_INTERVAL_S, self._tick)
 
     def _forward_verdicts(self) -> None:
         verdicts = self.transport.swim.tier.verdicts(self.transport.now_us(), len(self._classes))
@@ -205,46 +205,48 @@
     def _verdicts_event(self, verdicts: list[TierVerdict]) -> PeerVerdictsReceived:
         servers = [
             PeerServerVerdict(
-                server=tier.subject,
-                verdict=_SERVER_VERDICTS[tier.verdict],
-                service_class=self._classes[tier.scope] if tier.scope >= 0 else None,
-                peers=tier.members,
+                server=tier_verdict.subject,
+                verdict=_SERVER_VERDICTS[tier_verdict.verdict],
+                service_class=self._classes[tier_verdict.scope] if tier_verdict.scope >= 0 else None,
+                peers=tier_verdict.members,
             )
-            for tier in verdicts
-            if tier.verdict in _SERVER_VERDICTS
+            for tier_verdict in verdicts
+            if tier_verdict.verdict in _SERVER_VERDICTS
         ]
         zones = {
-            tier.subject: tier.members for tier in verdicts if tier.verdict is WireVerdict.ZONE_EVACUATED
+            tier_verdict.subject: tier_verdict.members
+            for tier_verdict in verdicts
+            if tier_verdict.verdict is WireVerdict.ZONE_EVACUATED
         }
         return PeerVerdictsReceived(servers, zones)
 
-    def _forward_zone_checker(self) -> None:
+    def _forward_zone_health_checker(self) -> None:
         if self.transport.leases is None:
             return
-        checks_zones = self.transport.lease_token(TierLease.ZONES) > 0
-        changed = checks_zones != self._checks_zones
+        is_zone_health_checker = self.transport.lease_token(TierLease.ZONES) > 0
+        changed = is_zone_health_checker != self._is_zone_health_checker
         if changed:
             log.info(
-                "zones are probed %s",
-                "by this sidecar, for the tier" if checks_zones else "by another",
+                "evacuated zones are health-checked by %s",
+                "this sidecar, for the tier" if is_zone_health_checker else "another sidecar",
                 extra={"event": "zone_health_checker_changed"},
             )
-        if changed or (checks_zones and self._steps % self._steps_per_zone_check == 0):
-            self._checks_zones = checks_zones
-            self._handle_event(ZoneHealthCheckerChanged(checks_zones))
+        if changed or (is_zone_health_checker and self._tick_count % self._ticks_per_zone_check == 0):
+            self._is_zone_health_checker = is_zone_health_checker
+            self._handle_event(ZoneHealthCheckerChanged(is_zone_health_checker))
 
     def _receive_command(self, command: FencedCommand) -> None:
         if command.lease == TierLease.ZONES and command.verb == CommandVerb.ZONE_RECOVERED:
             self._handle_event(ZoneRecovered(command.subject))
 
-    # -- For the operators ------------------------------------------------------------------------------
+    # -- Admin API --------------------------------------------------------------------------------------
 
     def describe(self) -> dict[str, Any]:
-        """The admin API's view of the members and verdicts."""
+        """Return the admin API's view of the members and verdicts."""
         transport = self.transport
         return admin_view.describe_membership(transport.swim, self._publisher, transport.now_us())
 
     def describe_leases(self) -> dict[str, Any] | None:
-        """The admin API's view of the leases; None where there are none."""
+        """Return the admin API's view of the leases, or None if leases are off."""
         leases = self.transport.leases
         return admin_view.describe_leases(leases, self.transport.now_us()) if leases is not None else None
--- a/tests/cluster/test_recovery.py
+++ b/tests/cluster/test_recovery.py
@@ -82,7 +82,7 @@
             path.unlink()
         await cluster.tier.start(0)
         await cluster.tier.wait_until(cluster.tier.all_ready)
-        assert "warm start: all that a peer held" in log_of(tmp_path, 0)
+        assert "initial state from peers is complete after" in log_of(tmp_path, 0)
         view = await cluster.tier.members(0)
         assert view is not None
         assert {verdict[1] for verdict in view["verdicts"] if verdict[2] == "ejected"} == {"a-0"}
@@ -98,7 +98,7 @@
         shutil.rmtree(tmp_path / "n0")
         await cluster.tier.start(0)
         await cluster.tier.wait_until(cluster.tier.all_ready)
-        assert "warm start: no whole answer" in log_of(tmp_path, 0)
+        assert "initial state from peers is incomplete after" in log_of(tmp_path, 0)
         cluster.load.start([0])
         await cluster.load.wait_for_responses(50)
         assert {response.status for response in cluster.load.responses} == {200}
