--- a/sidecar_balancer/membership/admin_view.py
+++ b/sidecar_balancer/membership/admin_view.py
@@ -1,4 +1,4 @@
-"""The admin API's view of membership and leases, in its own words (docs/membership.md, docs/leases.md)."""
+"""Membership and leases in the admin API, under its own names (docs/membership.md, docs/leases.md)."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def describe_membership(swim: Swim, publisher: VerdictPublisher, now_us: int) -> dict[str, Any]:
-    """The JSON of `GET /api/members`, without the servers that operators disabled."""
+    """Return the JSON of `GET /api/members`, without the servers that operators disabled."""
     counters = swim.counters
     published = {
         f"{key.subject} {int(key.scope)}": VERDICT_NAMES[verdict]
@@ -57,7 +57,7 @@
 
 
 def describe_leases(leases: LeaseManager, now_us: int) -> dict[str, Any]:
-    """The JSON of `GET /api/duties`."""
+    """Return the JSON of `GET /api/duties`."""
     counters = leases.counters
     return {
         "held": {name: leases.token(lease, now_us) for lease, name in LEASE_NAMES.items()},
--- a/sidecar_balancer/membership/codec.py
+++ b/sidecar_balancer/membership/codec.py
@@ -1,7 +1,7 @@
-"""Datagrams between sidecars: msgpack, versioned, at most `DATAGRAM_MAX_BYTES`, every field checked.
+"""Codec of the datagrams between sidecars: versioned msgpack with every field validated.
 
-A datagram is the msgpack array `[VERSION, kind, incarnation, sequence, argument, updates]` (see
-`Message`); an update is an array too, its first element an `UpdateTag`:
+A datagram of at most `DATAGRAM_MAX_BYTES` is the array `[VERSION, kind, incarnation, sequence, argument,
+updates]` (see `Message`).  Each update is an array too, with an `UpdateTag` as its first element:
 
 - `[0, member, incarnation, status]`: `MemberUpdate`;
 - `[1, origin, incarnation, counter, subject, scope, verdict, evidence, ttl_ms]`: `VerdictUpdate`;
@@ -46,12 +46,12 @@
 )
 
 VERSION = 2
-_MESSAGE_FIELDS = 6
-_ARRAY_MAX_ELEMENTS = 24  # no array of a datagram is longer; a bound for the unpacker alone
+_MESSAGE_FIELD_COUNT = 6
+_ARRAY_MAX_ELEMENTS = 24  # limit for the unpacker only: no array in a datagram is longer
 
 
 class UpdateTag(enum.IntEnum):
-    """The first element of an update."""
+    """First element of an update's array; it identifies the type."""
 
     MEMBER = 0
     VERDICT = 1
@@ -61,10 +61,10 @@
 
 
 class EncodedMessage(NamedTuple):
-    """A datagram's bytes, and how many of the candidate updates they include."""
+    """A datagram's bytes and the number of candidate updates that they include."""
 
     data: bytes
-    included: int
+    included_count: int
 
 
 def encode(message: Message, candidates: Sequence[Update] = ()) -> EncodedMessage:
@@ -73,23 +73,23 @@
     Raises:
         DatagramTooLongError: the message alone is too long.
     """
-    head = [VERSION, int(message.kind), message.incarnation, message.sequence, message.argument]
+    header = [VERSION, int(message.kind), message.incarnation, message.sequence, message.argument]
     updates = [update_to_list(update) for update in message.updates]
-    data = msgpack.packb([*head, updates])
+    data = msgpack.packb([*header, updates])
     if len(data) > DATAGRAM_MAX_BYTES:
-        raise DatagramTooLongError(f"a message of {len(data)} bytes, over {DATAGRAM_MAX_BYTES}")
-    included = 0
+        raise DatagramTooLongError(f"message of {len(data)} bytes exceeds {DATAGRAM_MAX_BYTES}")
+    included_count = 0
     for candidate in candidates[: UPDATES_MAX - len(updates)]:
         updates.append(update_to_list(candidate))
-        longer = msgpack.packb([*head, updates])
-        if len(longer) > DATAGRAM_MAX_BYTES:
+        extended_data = msgpack.packb([*header, updates])
+        if len(extended_data) > DATAGRAM_MAX_BYTES:
             break
-        data, included = longer, included + 1
-    return EncodedMessage(data, included)
+        data, included_count = extended_data, included_count + 1
+    return EncodedMessage(data, included_count)
 
 
 def update_to_list(update: Update) -> list[Any]:
-    """An update as the array that a datagram carries."""
+    """Return an update as the array that a datagram carries."""
     match update:
         case MemberUpdate():
             return [int(UpdateTag.MEMBER), update.member, update.incarnation, int(update.status)]
@@ -107,26 +107,26 @@
 
 
 def decode(data: bytes) -> Message:
-    """Read one datagram.
+    """Decode one datagram.
 
     Raises:
-        MalformedDatagramError: it is anything but a well-formed message of this version.
+        MalformedDatagramError: the data is not a well-formed message of this version.
     """
     if len(data) > DATAGRAM_MAX_BYTES:
-        raise MalformedDatagramError(f"{len(data)} bytes, over {DATAGRAM_MAX_BYTES}")
+        raise MalformedDatagramError(f"datagram of {len(data)} bytes exceeds {DATAGRAM_MAX_BYTES}")
     fields = _unpack(data)
-    if not isinstance(fields, list) or len(fields) != _MESSAGE_FIELDS:
-        raise MalformedDatagramError(f"a message of {_MESSAGE_FIELDS} fields is needed")
+    if not isinstance(fields, list) or len(fields) != _MESSAGE_FIELD_COUNT:
+        raise MalformedDatagramError(f"expected an array of {_MESSAGE_FIELD_COUNT} fields")
     version, kind, incarnation, sequence, argument, updates = fields
     if version != VERSION:
-        raise MalformedDatagramError(f"version {version!r:.20}")
+        raise MalformedDatagramError(f"unsupported version {version!r:.20}, expected {VERSION}")
     if not isinstance(updates, list):
-        raise MalformedDatagramError("updates: a list is needed")
+        raise MalformedDatagramError("updates: expected a list")
     return Message(
-        DatagramKind(_integer(kind, 0, len(DatagramKind) - 1, "kind")),
-        _integer(incarnation, 0, UINT32_MAX, "incarnation"),
-        _integer(sequence, 0, UINT32_MAX, "sequence"),
-        _integer(argument, NO_ARGUMENT, MEMBERS_MAX - 1, "argument"),
+        DatagramKind(_validated_integer(kind, 0, len(DatagramKind) - 1, "kind")),
+        _validated_integer(incarnation, 0, UINT32_MAX, "incarnation"),
+        _validated_integer(sequence, 0, UINT32_MAX, "sequence"),
+        _validated_integer(argument, NO_ARGUMENT, MEMBERS_MAX - 1, "argument"),
         tuple(update_from_list(update) for update in updates),
     )
 
@@ -142,71 +142,73 @@
             max_ext_len=0,
             strict_map_key=True,
         )
-    except Exception as error:  # msgpack raises several kinds; all mean the same here
-        raise MalformedDatagramError(f"not msgpack: {type(error).__name__}") from None
+    except Exception as error:  # msgpack raises several types, all for malformed input
+        raise MalformedDatagramError(f"invalid msgpack: {type(error).__name__}") from None
 
 
 def update_from_list(value: Any) -> Update:
-    """An update from the array that a datagram carries.
+    """Return the update of an array that a datagram carries.
 
     Raises:
-        MalformedDatagramError: the array is no well-formed update.
+        MalformedDatagramError: the array is not a well-formed update.
     """
     if not isinstance(value, list) or not value or type(value[0]) is not int:
-        raise MalformedDatagramError("update: a list is needed")
+        raise MalformedDatagramError("update: expected a list with an integer tag first")
     reader = _UPDATE_READERS.get((value[0], len(value)))
     if reader is None:
-        raise MalformedDatagramError(f"update: tag {value[0]} with {len(value)} fields is unknown")
+        raise MalformedDatagramError(f"update: unknown tag {value[0]} with {len(value)} fields")
     return reader(value)
 
 
 def _read_member(value: list[Any]) -> Update:
     _, member, incarnation, status = value
     return MemberUpdate(
-        _integer(member, 0, MEMBERS_MAX - 1, "member"),
-        _integer(incarnation, 0, UINT32_MAX, "incarnation"),
-        MemberStatus(_integer(status, 0, len(MemberStatus) - 1, "status")),
+        _validated_integer(member, 0, MEMBERS_MAX - 1, "member"),
+        _validated_integer(incarnation, 0, UINT32_MAX, "incarnation"),
+        MemberStatus(_validated_integer(status, 0, len(MemberStatus) - 1, "status")),
     )
 
 
 def _read_verdict(value: list[Any]) -> Update:
     _, origin, incarnation, counter, subject, scope, verdict, evidence, ttl_ms = value
     return VerdictUpdate(
-        _integer(origin, 0, MEMBERS_MAX - 1, "origin"),
-        _integer(incarnation, 0, UINT32_MAX, "incarnation"),
-        _integer(counter, 0, UINT32_MAX, "counter"),
-        _name(subject),
-        WireVerdict(_integer(verdict, 0, len(WireVerdict) - 1, "verdict")),
-        _integer(evidence, 0, EVIDENCE_MAX, "evidence"),
-        _integer(ttl_ms, 1, VERDICT_TTL_MAX_MS, "ttl_ms"),
-        _integer(scope, min(VerdictScope), SERVICE_CLASSES_MAX - 1, "scope"),
+        _validated_integer(origin, 0, MEMBERS_MAX - 1, "origin"),
+        _validated_integer(incarnation, 0, UINT32_MAX, "incarnation"),
+        _validated_integer(counter, 0, UINT32_MAX, "counter"),
+        _validated_name(subject),
+        WireVerdict(_validated_integer(verdict, 0, len(WireVerdict) - 1, "verdict")),
+        _validated_integer(evidence, 0, EVIDENCE_MAX, "evidence"),
+        _validated_integer(ttl_ms, 1, VERDICT_TTL_MAX_MS, "ttl_ms"),
+        _validated_integer(scope, min(VerdictScope), SERVICE_CLASSES_MAX - 1, "scope"),
     )
 
 
 def _read_lease(value: list[Any]) -> Update:
     _, kind, lease, epoch, request_id = value
     return LeaseUpdate(
-        _integer(kind, 0, UINT8_MAX, "kind"),
-        _integer(lease, 0, LEASES_MAX - 1, "lease"),
-        _integer(epoch, 0, UINT32_MAX, "epoch"),
-        _integer(request_id, 0, UINT32_MAX, "request_id"),
+        _validated_integer(kind, 0, UINT8_MAX, "kind"),
+        _validated_integer(lease, 0, LEASES_MAX - 1, "lease"),
+        _validated_integer(epoch, 0, UINT32_MAX, "epoch"),
+        _validated_integer(request_id, 0, UINT32_MAX, "request_id"),
     )
 
 
 def _read_command(value: list[Any]) -> Update:
     _, lease, token, sequence, subject, verb = value
     return FencedCommand(
-        _integer(lease, 0, LEASES_MAX - 1, "lease"),
-        _integer(token, 1, UINT32_MAX, "token"),
-        _integer(sequence, 0, UINT32_MAX, "sequence"),
-        _name(subject, may_be_empty=True),
-        _integer(verb, 0, UINT8_MAX, "verb"),
+        _validated_integer(lease, 0, LEASES_MAX - 1, "lease"),
+        _validated_integer(token, 1, UINT32_MAX, "token"),
+        _validated_integer(sequence, 0, UINT32_MAX, "sequence"),
+        _validated_name(subject, may_be_empty=True),
+        _validated_integer(verb, 0, UINT8_MAX, "verb"),
     )
 
 
 def _read_latency(value: list[Any]) -> Update:
     _, server, percent = value
-    return LatencyUpdate(_name(server), _integer(percent, 1, RELATIVE_LATENCY_MAX_PERCENT, "percent"))
+    return LatencyUpdate(
+        _validated_name(server), _validated_integer(percent, 1, RELATIVE_LATENCY_MAX_PERCENT, "percent")
+    )
 
 
 _UPDATE_READERS: dict[tuple[int, int], Callable[[list[Any]], Update]] = {  # by tag and number of fields
@@ -218,13 +220,15 @@
 }
 
 
-def _name(value: Any, may_be_empty: bool = False) -> str:
+def _validated_name(value: Any, may_be_empty: bool = False) -> str:
     if not isinstance(value, str) or not (value or may_be_empty):
-        raise MalformedDatagramError(f"a name is needed, not {value!r:.80}")
+        raise MalformedDatagramError(f"expected a name, got {value!r:.80}")
     return value
 
 
-def _integer(value: Any, minimum: int, maximum: int, field: str) -> int:
+def _validated_integer(value: Any, minimum: int, maximum: int, field: str) -> int:
     if type(value) is not int or not minimum <= value <= maximum:
-        raise MalformedDatagramError(f"{field}: {value!r:.40} is not a whole number in {minimum}..{maximum}")
+        raise MalformedDatagramError(
+            f"{field}: expected an integer in {minimum}..{maximum}, got {value!r:.40}"
+        )
     return value
--- a/sidecar_balancer/membership/counters.py
+++ b/sidecar_balancer/membership/counters.py
@@ -1,4 +1,4 @@
-"""Counts of the datagrams of one member."""
+"""Datagram counters of one member."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 
 class DropReason(enum.StrEnum):
-    """Why a datagram was dropped; the values are the admin API's."""
+    """Reason for dropping a datagram; the values are names in the admin API."""
 
-    ADDRESS = "address"  # it came from outside the tier
+    ADDRESS = "address"  # sent from outside the tier
     ERROR = "error"  # the socket reported an error
     MALFORMED = "malformed"
-    SENDER = "sender"  # it came from this member itself or from no member
-    STATE = "state"  # a state request too soon after the one before
+    SENDER = "sender"  # the sender is this member itself or no member
+    STATE = "state"  # a state request too soon after the previous one
 
 
 @dataclass(slots=True)
 class TrafficCounters:
-    """Datagrams and bytes since the start."""
+    """Datagram and byte counts since the start."""
 
     sent: int = 0
     sent_bytes: int = 0
--- a/sidecar_balancer/membership/errors.py
+++ b/sidecar_balancer/membership/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the membership plane."""
+"""Errors of the membership package."""
 
 
 class MembershipError(ValueError):
@@ -10,7 +10,7 @@
 
 
 class MalformedDatagramError(MembershipError):
-    """A datagram or an update is not of this version's form, or out of bounds."""
+    """A datagram or an update is malformed, of another version, or out of bounds."""
 
 
 class DatagramTooLongError(MembershipError):
--- a/sidecar_balancer/membership/gossip.py
+++ b/sidecar_balancer/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Dissemination: updates ride on every datagram until each has been sent often enough (piggybacking)."""
+"""Gossip: updates are piggybacked on outgoing datagrams until each reaches its transmit limit."""
 
 from __future__ import annotations
 
@@ -30,31 +30,31 @@
 
 
 def transmit_limit(size: int, multiplier: int) -> int:
-    """How many datagrams carry an update (memberlist's limit): multiplier x ceil(log10(size + 1))."""
+    """Return how many datagrams carry an update (memberlist's limit): multiplier x ceil(log10(size + 1))."""
     return multiplier * math.ceil(math.log10(size + 1))
 
 
 class GossipQueue:
-    """Updates to send, at most one of each member, verdict or command subject: the latest one added."""
+    """Queue of updates to send, with only the latest one per member, verdict or command subject."""
 
-    def __init__(self, transmits: int) -> None:
-        self._transmits = transmits
+    def __init__(self, transmits_per_update: int) -> None:
+        self._transmits_per_update = transmits_per_update
         self._pending: dict[_MemberKey | VerdictKey | _CommandKey, _Pending] = {}
 
     def add(self, update: GossipUpdate) -> None:
-        """Queue an update for its full number of transmits, in place of an earlier one of the same key."""
-        self._pending[_key(update)] = _Pending(update, self._transmits)
+        """Queue an update for its full number of transmits, replacing an earlier one with the same key."""
+        self._pending[_key(update)] = _Pending(update, self._transmits_per_update)
 
     def encode(self, target: int, message: Message) -> bytes:
-        """The datagram of `message` with as many updates as fit.
+        """Return the datagram of `message` with as many updates as fit.
 
-        Updates about `target` come first, that it may refute them; then those that were sent least.  A
+        Updates about `target` come first, so that it can refute them, then those sent the fewest times.  A
         verdict is not sent back to its origin.
         """
-        pending = [item for item in self._pending.items() if not _is_of_origin(item[1].update, target)]
+        pending = [item for item in self._pending.items() if not _originates_from(item[1].update, target)]
         pending.sort(key=lambda item: (not _is_about(item[1].update, target), -item[1].transmits_left))
         encoded = codec.encode(message, [entry.update for _, entry in pending])
-        for key, entry in pending[: encoded.included]:
+        for key, entry in pending[: encoded.included_count]:
             entry.transmits_left -= 1
             if entry.transmits_left <= 0:
                 del self._pending[key]
@@ -71,7 +71,7 @@
             return _CommandKey(update.lease, update.subject)
 
 
-def _is_of_origin(update: GossipUpdate, member: int) -> bool:
+def _originates_from(update: GossipUpdate, member: int) -> bool:
     return isinstance(update, VerdictUpdate) and update.origin == member
 
 
--- a/sidecar_balancer/membership/lease_channel.py
+++ b/sidecar_balancer/membership/lease_channel.py
@@ -1,4 +1,4 @@
-"""Carries the lease protocol and its fenced commands over the membership plane."""
+"""Channel that carries lease messages and fenced commands in membership datagrams."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 
 
 class CommandListener(Protocol):
-    """Is notified of each command of another member that is new and in force."""
+    """Callback for each new command of another member whose token is current."""
 
     def __call__(self, command: FencedCommand, /) -> None:
         """Handle the command."""
 
 
 class LeaseChannel:
-    """Between a member's `LeaseManager` and the updates that datagrams carry (see `swim.LeaseHandler`)."""
+    """Adapter between a member's `LeaseManager` and the updates in datagrams (see `swim.LeaseHandler`)."""
 
     def __init__(self, leases: LeaseManager) -> None:
         self._leases = leases
         self.command_listener: CommandListener | None = None
 
     def tick(self, now_us: int, alive: Iterable[int]) -> list[DirectUpdate]:
-        """Advance the leases; `alive`: other members that are believed alive."""
+        """Advance the leases; `alive` are the other members believed alive."""
         return _direct_updates(self._leases.tick(now_us, alive))
 
     def receive_update(self, now_us: int, sender: int, update: LeaseUpdate) -> list[DirectUpdate]:
-        """Handle a lease message from `sender`; one of an unknown kind is dropped and counted."""
+        """Handle a lease message from `sender`; drop and count one of an unknown kind."""
         kind = _KINDS.get(update.kind)
         if kind is None:
             self._leases.drop_unknown_message()
@@ -41,7 +41,7 @@
         return _direct_updates(self._leases.receive(now_us, sender, message))
 
     def accept_command(self, command: FencedCommand) -> bool:
-        """Notify the listener of a command that is new and in force; False for any other."""
+        """Notify the listener of a new command with a current token; return False for any other."""
         if not self._leases.accept_command(command):
             return False
         if self.command_listener is not None:
--- a/sidecar_balancer/membership/local_health.py
+++ b/sidecar_balancer/membership/local_health.py
@@ -1,4 +1,4 @@
-"""Lifeguard's local health: a member that misses acks stretches its timeouts, so that it suspects less."""
+"""Lifeguard's local health: a member that misses acks lengthens its timeouts, so that it suspects less."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 
 class LocalHealth:
-    """A score from 0 (healthy) to `score_max`; timeouts are stretched by score + 1."""
+    """Health score from 0 (healthy) to `score_max`; timeouts are multiplied by score + 1."""
 
     def __init__(self, score_max: int) -> None:
         self.score = 0
         self._score_max = score_max
 
     def worsen(self) -> None:
-        """Note a probe without an ack, or a refuted suspicion of this member."""
+        """Raise the score for a probe without an ack, or a refuted suspicion of this member."""
         self.score = min(self.score + 1, self._score_max)
 
     def improve(self) -> None:
-        """Note an ack."""
+        """Lower the score for an acked probe."""
         self.score = max(self.score - 1, 0)
 
-    def stretched_us(self, span_ms: int) -> int:
-        """A timeout of `span_ms` at the present score, in µs."""
-        return span_ms * (self.score + 1) * _US_PER_MS
+    def scaled_us(self, duration_ms: int) -> int:
+        """Return a timeout of `duration_ms` in µs, multiplied according to the current score."""
+        return duration_ms * (self.score + 1) * _US_PER_MS
--- a/sidecar_balancer/membership/member_table.py
+++ b/sidecar_balancer/membership/member_table.py
@@ -1,4 +1,4 @@
-"""The members of a tier as one of them sees the others, and SWIM's transitions between their states."""
+"""The members of a tier as seen by one of them, and SWIM's transitions between their states."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class Transition(enum.Enum):
-    """What an update changed."""
+    """Effect of an update on the member table."""
 
     NONE = enum.auto()
     CHANGED = enum.auto()
-    REJOINED = enum.auto()  # alive again after its death, or restarted
+    REJOINED = enum.auto()  # alive again after it was declared dead, or restarted
 
 
 class MemberView(NamedTuple):
@@ -33,7 +33,7 @@
 
 
 class MemberTable:
-    """Every other member's status, and the own incarnation of `member`, one of `range(size)`.
+    """Status of every other member, and the own incarnation of `member`, one of `range(size)`.
 
     Raises:
         MembershipSettingsError: `member` or `size` is out of range.
@@ -50,28 +50,28 @@
         }
 
     def __contains__(self, member: int) -> bool:
-        """Whether `member` is one of the others."""
+        """Return whether `member` is one of the other members."""
         return member in self._others
 
     def __getitem__(self, member: int) -> MemberView:
-        """Another member's status and incarnation."""
+        """Return another member's status and incarnation."""
         other = self._others[member]
         return MemberView(other.status, other.incarnation)
 
     def alive(self) -> list[int]:
-        """Other members that are alive or suspect (suspects still serve), in order."""
+        """Return the other members that are alive or suspect (suspects still serve), in order."""
         return [number for number, other in self._others.items() if other.status is not MemberStatus.DEAD]
 
     def dead(self) -> list[int]:
-        """Other members that are dead, in order."""
+        """Return the other members that are dead, in order."""
         return [number for number, other in self._others.items() if other.status is MemberStatus.DEAD]
 
     def view(self) -> dict[int, MemberView]:
-        """Every other member's status and incarnation."""
+        """Return every other member's status and incarnation."""
         return {number: self[number] for number in self._others}
 
     def apply(self, now_us: int, update: MemberUpdate) -> Transition:
-        """Apply a rumour about another member where it prevails over what is known."""
+        """Apply an update about another member if it supersedes the known state."""
         other = self._others.get(update.member)
         if other is None or not _prevails(update, other):
             return Transition.NONE
@@ -82,7 +82,10 @@
         return Transition.REJOINED if rejoined else Transition.CHANGED
 
     def refute(self, update: MemberUpdate) -> bool:
-        """Raise the own incarnation above a rumour of this member that is not its own; False where it is."""
+        """Raise the own incarnation above that of an update about this member.
+
+        Return False, without a change, for an update that is outdated or this member's own.
+        """
         if update.incarnation < self.incarnation:
             return False
         if update.status is MemberStatus.ALIVE and update.incarnation == self.incarnation:
@@ -91,11 +94,11 @@
         return True
 
     def own_update(self) -> MemberUpdate:
-        """That this member is alive at its incarnation."""
+        """Return the update that this member is alive at its incarnation."""
         return MemberUpdate(self.member, self.incarnation, MemberStatus.ALIVE)
 
     def expired_suspicions(self, now_us: int, timeout_us: int) -> list[MemberUpdate]:
-        """The deaths of members that have been suspect for `timeout_us`."""
+        """Return the deaths of members that have been suspect for `timeout_us`."""
         return [
             MemberUpdate(number, other.incarnation, MemberStatus.DEAD)
             for number, other in self._others.items()
@@ -103,11 +106,11 @@
         ]
 
     def restore_incarnation(self, persisted: int) -> None:
-        """Start with the incarnation after that of an earlier run."""
+        """Continue with the incarnation after that of an earlier run."""
         self.incarnation = min(persisted + 1, UINT32_MAX)
 
     def restore_others(self, now_us: int, persisted: dict[int, tuple[MemberStatus, int]]) -> None:
-        """Start from an earlier run's view (status, incarnation); a member dead then is suspect at first."""
+        """Restore an earlier run's view (status, incarnation); a member that was dead starts as suspect."""
         for number, (status, incarnation) in persisted.items():
             other = self._others.get(number)
             if other is not None and incarnation >= other.incarnation:
@@ -116,7 +119,7 @@
 
 
 def _prevails(update: MemberUpdate, other: _Member) -> bool:
-    """SWIM's order of rumours about one member."""
+    """Return whether `update` supersedes the known state, in SWIM's order of updates about one member."""
     if update.incarnation != other.incarnation:
         return update.incarnation > other.incarnation
     return update.status > other.status
--- a/sidecar_balancer/membership/messages.py
+++ b/sidecar_balancer/membership/messages.py
@@ -1,4 +1,4 @@
-"""What datagrams between sidecars carry, as types: messages, updates, their numbers and bounds."""
+"""Types of the datagrams between sidecars: messages, updates, their wire numbers and bounds."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 from sidecar_balancer.lease.fencing import FencedCommand
 
-DATAGRAM_MAX_BYTES = 256  # PROTOCOL, "Between sidecars": a longer one voids the run
+DATAGRAM_MAX_BYTES = 256  # PROTOCOL, "Between sidecars": a longer one makes the run invalid
 MEMBERS_MAX = 1024
 NAME_MAX_BYTES = 64  # of a server, zone or tenant
-UPDATES_MAX = 16  # in one datagram
+UPDATES_MAX = 16  # per datagram
 VERDICT_TTL_MAX_MS = 60_000
 EVIDENCE_MAX = 1 << 20
 SERVICE_CLASSES_MAX = 256
@@ -23,18 +23,18 @@
 
 
 class DatagramKind(enum.IntEnum):
-    """The kinds of messages, by their numbers on the wire."""
+    """Kinds of messages, by their numbers on the wire."""
 
     PING = 0
     ACK = 1
     PING_REQ = 2  # asks the receiver to ping another member for the sender
-    DIRECT = 3  # updates for the receiver alone
+    DIRECT = 3  # updates for the receiver only
     STATE_REQUEST = 4
     STATE_PART = 5
 
 
 class MemberStatus(enum.IntEnum):
-    """SWIM's status of a member; of two at one incarnation the higher number prevails."""
+    """SWIM status of a member; at equal incarnations the higher number prevails."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -42,7 +42,7 @@
 
 
 class WireVerdict(enum.IntEnum):
-    """The numbers that stand for verdicts, disabled servers and tenants' demand in a datagram."""
+    """Numbers of verdicts, disabled servers and tenants' demand in a datagram."""
 
     EJECTED = 0
     SLOW = 1
@@ -56,17 +56,17 @@
 
 
 class VerdictScope(enum.IntEnum):
-    """What a verdict is about, where it is no service class (by its number, from 0)."""
+    """Scope of a verdict that is not on one service class (those are numbered from 0)."""
 
     ALL_CLASSES = -1  # a server, for all service classes
-    DISABLED_SERVER = -2  # a server, by the operators
+    DISABLED_SERVER = -2  # a server, disabled by operators
     ZONE = -3
     TENANT_DEMAND = -4  # a tenant; the evidence is its requests in 100 s
 
 
 @dataclass(frozen=True, slots=True)
 class MemberUpdate:
-    """SWIM's rumour: `member` is `status` at `incarnation`."""
+    """SWIM update: `member` has `status` at `incarnation`."""
 
     member: int
     incarnation: int
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseUpdate:
-    """A message of the lease protocol for its receiver alone; `kind` may be unknown to this version."""
+    """A message of the lease protocol, for its receiver only; `kind` may be unknown to this version."""
 
     kind: int
     lease: int
@@ -103,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LatencyUpdate:
-    """A server's latency relative to the usual one, in percent, for a member that starts."""
+    """A server's latency in percent of the baseline latency, for a starting member."""
 
     server: str
     percent: int
@@ -114,10 +114,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """One datagram's content.
+    """Content of one datagram.
 
-    `incarnation` is the sender's.  `sequence` numbers a probe and is echoed by its ack; of a state part it is
-    the part's index.  `argument` is the member to ping of a PING_REQ and the number of parts of a STATE_PART.
+    `incarnation` is the sender's.  `sequence` numbers a probe and is echoed by its ack; in a STATE_PART it is
+    the part's index.  `argument` is the member to ping in a PING_REQ and the number of parts in a STATE_PART.
     """
 
     kind: DatagramKind
@@ -135,14 +135,14 @@
 
 
 class DirectUpdate(NamedTuple):
-    """An update for one member alone."""
+    """An update for one member only."""
 
     target: int
     update: LeaseUpdate
 
 
 class Datagram(NamedTuple):
-    """Bytes and the number of the member to send them to."""
+    """Encoded message and the number of the member to send it to."""
 
     target: int
     data: bytes
--- a/sidecar_balancer/membership/swim.py
+++ b/sidecar_balancer/membership/swim.py
@@ -1,10 +1,11 @@
 """SWIM membership with Lifeguard's local health and gossip of verdicts, sans-IO.
 
 Members are the sidecars of one tier, numbered as in the configuration's `peers`.  Events go in (`tick`,
-`receive`, `publish`) with the time in µs of a monotonic clock; datagrams come out.  Each protocol period the
-failure detector probes one member; a suspicion not refuted within the suspicion timeout becomes a death.  A
-member that receives a rumour of its own suspicion or death refutes it with a higher incarnation, so a process
-that restarts under the same number prevails over rumours of its earlier run.
+`receive`, `publish`) with the time in µs of a monotonic clock; datagrams come out.  In each protocol period
+the failure detector probes one member; a suspect that does not refute the suspicion within the suspicion
+timeout is declared dead.  A member that learns of its own suspicion or death refutes it with a higher
+incarnation, so the updates of a process that restarts under the same number supersede those about its
+earlier run.
 
 See docs/membership.md for the bounds on detection and dissemination.
 """
@@ -50,17 +51,17 @@
 
 
 class LeaseHandler(Protocol):
-    """Handles what datagrams carry for the tier's leases."""
+    """Handler of the lease messages and fenced commands that datagrams carry."""
 
     def receive_update(self, now_us: int, sender: int, update: LeaseUpdate) -> list[DirectUpdate]:
         """Handle a lease message and return the replies."""
 
     def accept_command(self, command: FencedCommand) -> bool:
-        """Whether the command is new and in force, so that it is worth passing on."""
+        """Return whether the command is new and its token current, so that it is gossiped further."""
 
 
 class Swim:
-    """Member `member` of `size`; `seed` draws the order of probes.
+    """SWIM at member `member` of `size`; `seed` determines the probe order.
 
     Raises:
         MembershipSettingsError: `member` or `size` is out of range.
@@ -90,7 +91,7 @@
     # -- Time -------------------------------------------------------------------------------------------
 
     def tick(self, now_us: int) -> list[Datagram]:
-        """Advance the clock: probes and suspicions that expire.  Call it at `due_us()` at the latest."""
+        """Send due probes and expire suspicions; must be called no later than at `due_us()`."""
         for death in self.members.expired_suspicions(now_us, self._suspicion_timeout_us()):
             self._apply_member(now_us, death)
         datagrams = self._encode(self._detector.indirect_probes(now_us))
@@ -103,17 +104,17 @@
         return datagrams
 
     def due_us(self) -> int:
-        """The latest time at which `tick` is needed next."""
+        """Return the latest time at which `tick` must be called next."""
         return self._detector.due_us()
 
     def _suspicion_timeout_us(self) -> int:
         periods = self._settings.suspicion_mult * max(1.0, math.log10(self.members.size))
-        return self.health.stretched_us(int(periods * self._settings.period_ms))
+        return self.health.scaled_us(int(periods * self._settings.period_ms))
 
     # -- Receiving --------------------------------------------------------------------------------------
 
     def receive(self, now_us: int, sender: int, data: bytes) -> list[Datagram]:
-        """Handle a datagram from member `sender`; a malformed one is dropped and counted."""
+        """Handle a datagram from member `sender`; drop and count a malformed one."""
         self.counters.received += 1
         self.counters.received_bytes += len(data)
         if sender not in self.members:
@@ -124,7 +125,7 @@
         except MalformedDatagramError:
             self.counters.dropped[DropReason.MALFORMED] += 1
             return []
-        self._remind_of_suspicion(sender, message.incarnation)
+        self._gossip_suspicion_of_sender(sender, message.incarnation)
         self._apply_member(now_us, MemberUpdate(sender, message.incarnation, MemberStatus.ALIVE))
         datagrams: list[Datagram] = []
         for update in message.updates:
@@ -156,7 +157,7 @@
             return
         self._gossip.add(update)
         if transition is Transition.REJOINED:
-            self._repeat_own_verdicts(now_us)
+            self._gossip_own_verdicts(now_us)
 
     def _refute(self, update: MemberUpdate) -> None:
         if not self.members.refute(update):
@@ -165,22 +166,22 @@
             self.health.worsen()
         self._gossip.add(self.members.own_update())
 
-    def _remind_of_suspicion(self, sender: int, incarnation: int) -> None:
-        """Gossip a suspicion or death of a member that sends, so that it can refute it."""
+    def _gossip_suspicion_of_sender(self, sender: int, incarnation: int) -> None:
+        """Gossip the known suspicion or death of the sender, so that it can refute it."""
         known = self.members[sender]
         if known.status is not MemberStatus.ALIVE and incarnation <= known.incarnation:
             self._gossip.add(MemberUpdate(sender, known.incarnation, known.status))
 
-    def _repeat_own_verdicts(self, now_us: int) -> None:
-        """Gossip this member's verdicts again: a member that rejoined may have missed them."""
+    def _gossip_own_verdicts(self, now_us: int) -> None:
+        """Gossip this member's verdicts again, since a member that rejoined may have missed them."""
         for update, remaining_ms in self.verdicts.live(now_us):
             if update.origin == self.members.member:
                 self._gossip.add(replace(update, ttl_ms=remaining_ms))
 
     def _apply_verdict(self, now_us: int, update: VerdictUpdate) -> None:
         if update.origin == self.members.member:
-            of_this_run = update.counter > 0 and update.incarnation == self.members.incarnation
-            if not of_this_run:
+            is_from_this_run = update.counter > 0 and update.incarnation == self.members.incarnation
+            if not is_from_this_run:
                 return
         if self.verdicts.merge(now_us, update):
             self._gossip.add(update)
@@ -200,7 +201,7 @@
         return []
 
     def _send_state(self, now_us: int, requester: int) -> list[Datagram]:
-        if not self.transfer.may_answer(now_us, requester):
+        if not self.transfer.admit_request(now_us, requester):
             self.counters.dropped[DropReason.STATE] += 1
             return []
         parts = self.transfer.parts(now_us, self.members.incarnation)
@@ -209,14 +210,14 @@
     # -- Sending ----------------------------------------------------------------------------------------
 
     def request_state(self) -> list[Datagram]:
-        """Request all that a few members know; `transfer.complete` tells when one has answered entirely."""
+        """Request the state of a few members; `transfer.complete` is true once one has answered in full."""
         alive = self.members.alive()
         chosen = self._rng.sample(alive, min(self._settings.indirect, len(alive)))
         request = Message(DatagramKind.STATE_REQUEST, self.members.incarnation, 0)
         return self._encode(OutgoingMessage(member, request) for member in chosen)
 
     def send_direct(self, updates: Iterable[DirectUpdate]) -> list[Datagram]:
-        """Datagrams for single members, with gossip riding along."""
+        """Return datagrams with updates for single members, with gossip piggybacked."""
         return self._encode(
             OutgoingMessage(
                 target,
@@ -238,7 +239,7 @@
         ttl_ms: int,
         scope: int = VerdictScope.ALL_CLASSES,
     ) -> None:
-        """Record and gossip a verdict of this member; `evidence` and `ttl_ms` are cut to their bounds."""
+        """Record and gossip a verdict of this member; `evidence` and `ttl_ms` are clamped to their bounds."""
         self._verdict_counter += 1
         update = VerdictUpdate(
             self.members.member,
@@ -273,7 +274,7 @@
     def restore(
         self, now_us: int, incarnation: int, verdict_counter: int, verdicts: Iterable[LiveVerdict]
     ) -> None:
-        """Start from what an earlier run persisted: its incarnation and counter, and others' verdicts."""
+        """Restore what an earlier run persisted: its incarnation and counter, and others' verdicts."""
         self.members.restore_incarnation(incarnation)
         self._verdict_counter = max(self._verdict_counter, verdict_counter)
         self._gossip.add(self.members.own_update())
--- a/sidecar_balancer/membership/tier_view.py
+++ b/sidecar_balancer/membership/tier_view.py
@@ -1,4 +1,4 @@
-"""What the live peers of a member state together: views on the verdict table, computed when read."""
+"""Aggregates of the verdicts of a member's live peers, computed from the verdict table on each read."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from sidecar_balancer.membership.settings import MembershipSettings
 from sidecar_balancer.membership.verdict_table import VerdictTable
 
-_NOT_AGAINST_A_SUBJECT = (WireVerdict.CLEARED, WireVerdict.DISABLED, WireVerdict.DEMAND)
-_OWN_VIEWS = (VerdictScope.DISABLED_SERVER, VerdictScope.TENANT_DEMAND)  # not part of `verdicts`
+_EXCLUDED_VERDICTS = (WireVerdict.CLEARED, WireVerdict.DISABLED, WireVerdict.DEMAND)
+_EXCLUDED_SCOPES = (VerdictScope.DISABLED_SERVER, VerdictScope.TENANT_DEMAND)  # not part of `verdicts`
 DEMAND_UNITS_PER_RPS = 100.0  # a unit of evidence is one request in 100 s
 _EJECTING_PEERS_MIN = 2
 
 
 class TierVerdict(NamedTuple):
-    """What live members state about a subject in one scope."""
+    """Aggregate of the live members' verdicts on a subject in one scope."""
 
     subject: str
     scope: int
-    verdict: WireVerdict  # the most frequent one
-    members: int  # how many state one
+    verdict: WireVerdict  # the most frequent verdict
+    members: int  # how many members have a verdict
 
 
 class TierView:
-    """The verdicts of live members other than this one."""
+    """Aggregated verdicts of live members other than this one."""
 
     def __init__(self, verdicts: VerdictTable, members: MemberTable, settings: MembershipSettings) -> None:
         self._verdicts = verdicts
@@ -34,15 +34,15 @@
         self._settings = settings
 
     def agreeing_members(self, now_us: int, subject: str, verdict: WireVerdict) -> int:
-        """How many live members other than this one state `verdict` about `subject`."""
+        """Return how many live members other than this one have `verdict` on `subject`."""
         live = set(self._members.alive())
         matching = self._verdicts.matching(now_us, subject, verdict, self._members.member)
         return sum(update.origin in live for update in matching)
 
     def disabled_servers(self, now_us: int) -> frozenset[str]:
-        """Servers that the operators of at least `ban_quorum` live peers have disabled.
+        """Return the servers that the operators of at least `ban_quorum` live peers have disabled.
 
-        `ban_most` at most: those of the most peers first, then by name.
+        At most `ban_most` are returned: those disabled at the most peers first, then by name.
         """
         counts = Counter(
             update.subject for update in self._live(now_us) if update.verdict is WireVerdict.DISABLED
@@ -52,10 +52,10 @@
         return frozenset(server for _, server in chosen[:maximum])
 
     def verdicts(self, now_us: int, class_count: int) -> list[TierVerdict]:
-        """What live peers state against servers, classes and zones, in the order of subject and scope."""
+        """Return the verdicts of live peers against servers, classes and zones, by subject and scope."""
         counts: dict[tuple[str, int], Counter[WireVerdict]] = {}
         for update in self._live(now_us):
-            if update.verdict in _NOT_AGAINST_A_SUBJECT or update.scope in _OWN_VIEWS:
+            if update.verdict in _EXCLUDED_VERDICTS or update.scope in _EXCLUDED_SCOPES:
                 continue
             if update.scope < class_count:
                 counts.setdefault((update.subject, update.scope), Counter())[update.verdict] += 1
@@ -65,15 +65,15 @@
         ]
 
     def ejected_servers(self, now_us: int) -> frozenset[str]:
-        """Servers that half of the live peers, and at least two of them, have ejected."""
+        """Return the servers that at least half of the live peers, and at least two, have ejected."""
         counts = Counter(
             update.subject for update in self._live(now_us) if update.verdict is WireVerdict.EJECTED
         )
-        needed = max(_EJECTING_PEERS_MIN, len(self._members.alive()) / 2)
-        return frozenset(server for server, count in counts.items() if count >= needed)
+        required = max(_EJECTING_PEERS_MIN, len(self._members.alive()) / 2)
+        return frozenset(server for server, count in counts.items() if count >= required)
 
     def demand_rps(self, now_us: int) -> dict[str, float]:
-        """Recent demand at the live peers together, in requests a second by tenant."""
+        """Return the total recent demand at the live peers, in requests per second by tenant."""
         units = Counter[str]()
         for update in self._live(now_us):
             if update.scope == VerdictScope.TENANT_DEMAND and update.verdict is WireVerdict.DEMAND:
--- a/sidecar_balancer/membership/transport.py
+++ b/sidecar_balancer/membership/transport.py
@@ -1,7 +1,7 @@
-"""The membership plane on a UDP socket: datagrams in and out, and the timer; no decisions.
+"""UDP transport of the membership protocol: the socket and the timer, without decisions.
 
-Datagrams are accepted only from the addresses in `peers`, where every sidecar sends from (PROTOCOL);
-others are dropped and counted.  A member's number is its place in `peers`.
+Datagrams are accepted only from the addresses in `peers`, from which every sidecar sends (PROTOCOL);
+others are dropped and counted.  A member's number is its index in `peers`.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 
 
 def monotonic_us() -> int:
-    """The process's monotonic clock in µs."""
+    """Return the time of the process's monotonic clock in µs."""
     return time.monotonic_ns() // 1000
 
 
 class MembershipTransport(asyncio.DatagramProtocol):
-    """Member `member` of the tier `peers`, on its address `listen`; `lease_timing` None: without leases."""
+    """Transport of member `member` of `peers` on address `listen`; `lease_timing` None: without leases."""
 
     def __init__(
         self,
@@ -57,10 +57,10 @@
     # -- Lifecycle --------------------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Bind the address and begin to probe.
+        """Bind the address and start probing.
 
         Raises:
-            OSError: the address can't be bound.
+            OSError: the address cannot be bound.
         """
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self, local_addr=self._listen)
@@ -74,14 +74,14 @@
             self._transport.close()
 
     def listen_for_commands(self, listener: CommandListener) -> None:
-        """Notify `listener` of each command of another member's lease; never where there are no leases."""
+        """Register the listener for commands of other lease holders; it is not called without leases."""
         if self._lease_channel is not None:
             self._lease_channel.command_listener = listener
 
     # -- asyncio's datagram protocol --------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Note the socket."""
+        """Store the socket's transport."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
@@ -93,13 +93,13 @@
         self._send(self.swim.receive(self._clock(), sender, data))
 
     def error_received(self, _exc: Exception) -> None:
-        """Count a socket error: datagrams may be lost anyway."""
+        """Count a socket error; it needs no other handling, as datagrams may be lost anyway."""
         self.swim.counters.dropped[DropReason.ERROR] += 1
 
-    # -- Operations at the present time -----------------------------------------------------------------
+    # -- Operations at the current time -----------------------------------------------------------------
 
     def now_us(self) -> int:
-        """The plane's clock in µs: monotonic, of this process alone."""
+        """Return the time in µs of the membership clock: monotonic and local to this process."""
         return self._clock()
 
     def publish(
@@ -114,11 +114,11 @@
         self.swim.publish(self._clock(), subject, verdict, evidence, ttl_ms, scope)
 
     def request_state(self) -> None:
-        """Request all that a few members know."""
+        """Request the state of a few members (see `Swim.request_state`)."""
         self._send(self.swim.request_state())
 
     def issue_command(self, lease: TierLease, subject: str, verb: CommandVerb) -> bool:
-        """Broadcast a fenced command; False where this member does not hold the lease."""
+        """Broadcast a fenced command; return False if this member does not hold the lease."""
         if self.leases is None:
             return False
         command = self.leases.issue_command(self._clock(), lease, subject, verb)
@@ -128,10 +128,10 @@
         return True
 
     def lease_token(self, lease: TierLease) -> int:
-        """The fencing token while this member holds the lease, else 0."""
+        """Return the fencing token while this member holds the lease, else 0."""
         return self.leases.token(lease, self._clock()) if self.leases is not None else 0
 
-    # -- Inside -----------------------------------------------------------------------------------------
+    # -- Internals --------------------------------------------------------------------------------------
 
     def _tick(self) -> None:
         now_us = self._clock()
--- a/sidecar_balancer/membership/verdict_publisher.py
+++ b/sidecar_balancer/membership/verdict_publisher.py
@@ -1,6 +1,6 @@
-"""Publishes to the tier what this sidecar's balancer and operators hold against servers and zones.
+"""Publisher of the verdicts of this sidecar's balancer and operators on servers and zones.
 
-A verdict goes out at once and is renewed every third of its time to live for as long as it stands.
+A verdict is published at once and renewed every third of its time to live while it applies.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class PublishedKey(NamedTuple):
-    """What a published verdict is about."""
+    """Subject and scope of a published verdict."""
 
     subject: str
     scope: int
@@ -42,7 +42,7 @@
 
 
 class VerdictPublisher:
-    """The verdicts of one sidecar; `classes` are the service classes in the settings' order."""
+    """Publisher of one sidecar; `classes` are the service classes in the order of the settings."""
 
     def __init__(self, transport: MembershipTransport, classes: list[str]) -> None:
         self._transport = transport
@@ -52,7 +52,7 @@
         self._disabled_servers: frozenset[str] = frozenset()
 
     def publish_server_verdict(self, action: PublishServerVerdict) -> None:
-        """Publish what the balancer holds against a server, for one service class or all."""
+        """Publish the balancer's verdict on a server, for one service class or all."""
         scope: int = VerdictScope.ALL_CLASSES
         if action.service_class is not None:
             if action.service_class not in self._classes:
@@ -61,18 +61,18 @@
         self._publish(PublishedKey(action.server, scope), WIRE_VERDICTS[action.verdict], action.evidence)
 
     def publish_zone_verdict(self, action: PublishZoneVerdict) -> None:
-        """Publish that the balancer has evacuated a zone, or uses it again."""
+        """Publish that the balancer has evacuated a zone or uses it again."""
         key = PublishedKey(action.zone, VerdictScope.ZONE)
         if action.verdict is ZoneVerdict.EVACUATED:
             self._publish(key, WireVerdict.ZONE_EVACUATED, action.evidence)
             return
-        # Reaches the tier only where this sidecar holds the lease.
+        # Broadcast only if this sidecar holds the lease.
         self._transport.issue_command(TierLease.ZONES, action.zone, CommandVerb.ZONE_RECOVERED)
         if self._published.pop(key, None) is not None:
             self._send(key, WireVerdict.CLEARED, 1)
 
     def set_disabled_servers(self, servers: frozenset[str]) -> None:
-        """Publish which servers this sidecar's operators have disabled, and which no longer."""
+        """Publish the servers that this sidecar's operators have disabled or enabled again."""
         for server in servers - self._disabled_servers:
             self._send_disabled(server, WireVerdict.DISABLED)
         for server in self._disabled_servers - servers:
@@ -80,14 +80,14 @@
         self._disabled_servers = servers
 
     def renew(self) -> None:
-        """Publish again all that stands."""
+        """Publish all current verdicts and disabled servers again."""
         for key, (verdict, evidence) in self._published.items():
             self._send(key, verdict, evidence)
         for server in self._disabled_servers:
             self._send_disabled(server, WireVerdict.DISABLED)
 
     def publish_demand(self, rps_by_tenant: Mapping[str, float]) -> None:
-        """Publish the recent demand of each tenant with a name that fits into a datagram."""
+        """Publish the recent demand of each tenant whose name fits into a datagram."""
         for tenant, rps in rps_by_tenant.items():
             if tenant and len(tenant.encode()) <= NAME_MAX_BYTES:
                 units = min(int(rps * DEMAND_UNITS_PER_RPS), EVIDENCE_MAX)
@@ -96,12 +96,12 @@
                 )
 
     def published(self) -> dict[PublishedKey, WireVerdict]:
-        """The balancer's verdicts that stand and are published."""
+        """Return the published verdicts of the balancer that currently apply."""
         return {key: published.verdict for key, published in self._published.items()}
 
     @property
     def unpublished_count(self) -> int:
-        """Verdicts that were not published, as `PUBLISHED_VERDICTS_MAX` others stood."""
+        """Verdicts not published because `PUBLISHED_VERDICTS_MAX` others applied."""
         return self._unpublished_count
 
     def _publish(self, key: PublishedKey, verdict: WireVerdict, evidence: int) -> None:
--- a/sidecar_balancer/membership/verdict_table.py
+++ b/sidecar_balancer/membership/verdict_table.py
@@ -1,9 +1,10 @@
 """Shared verdicts: one entry per (origin, subject, scope); the highest (incarnation, counter) prevails.
 
-Merging is commutative and idempotent: of two updates with one key the one with the higher version stays,
-whatever the order or number of their arrivals.  Each entry expires on the receiver's own monotonic clock,
-`ttl_ms` after it was merged, so no clocks of different processes are compared.  An expired entry remains as a
-tombstone until `VERDICT_TTL_MAX_MS` after its expiry, so that a replayed datagram does not bring it back.
+Merging is commutative and idempotent: of two updates with the same key the one with the higher version is
+kept, whatever the order or number of their arrivals.  Each entry expires on the receiver's own monotonic
+clock, `ttl_ms` after it was merged, so clocks of different processes are never compared.  An expired entry
+remains as a tombstone until `VERDICT_TTL_MAX_MS` after its expiry, so that a replayed datagram does not
+restore it.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 class VerdictKey(NamedTuple):
-    """What identifies an entry."""
+    """Key of an entry."""
 
     origin: int
     subject: str
@@ -27,12 +28,12 @@
 
     @classmethod
     def of(cls, update: VerdictUpdate) -> VerdictKey:
-        """The key of the entry that `update` is for."""
+        """Return the key of the entry that `update` is for."""
         return cls(update.origin, update.subject, update.scope)
 
 
 class LiveVerdict(NamedTuple):
-    """An unexpired verdict and the ms until it expires, 1 at least."""
+    """An unexpired verdict and the ms until it expires, at least 1."""
 
     update: VerdictUpdate
     remaining_ms: int
@@ -45,7 +46,7 @@
 
 
 class VerdictTable:
-    """A table of at most `capacity` entries; past that the one that expires first is evicted.
+    """Table of at most `capacity` entries; at capacity, the entry that expires first is evicted.
 
     Raises:
         MembershipSettingsError: `capacity` is less than 1.
@@ -53,14 +54,14 @@
 
     def __init__(self, capacity: int) -> None:
         if capacity < 1:
-            raise MembershipSettingsError(f"peer_plane: a table of {capacity} verdicts, 1 at least is needed")
+            raise MembershipSettingsError(f"peer_plane: expected verdicts_most >= 1, got {capacity}")
         self._capacity = capacity
         self._entries: dict[VerdictKey, _Entry] = {}
         self._evicted_count = 0
         self._stale_count = 0
 
     def merge(self, now_us: int, update: VerdictUpdate) -> bool:
-        """Merge one update; True where it changed the table, so that it is worth passing on."""
+        """Merge one update; return whether it changed the table, so that it is gossiped further."""
         key = VerdictKey.of(update)
         present = self._entries.get(key)
         if present is not None and _version(present.update) >= _version(update):
@@ -86,7 +87,7 @@
     def matching(
         self, now_us: int, subject: str, verdict: WireVerdict, except_origin: int = _NO_ORIGIN
     ) -> list[VerdictUpdate]:
-        """The unexpired verdicts of that kind on `subject`, without those of `except_origin`."""
+        """Return the unexpired updates with `verdict` on `subject`, except those of `except_origin`."""
         return [
             update
             for update, _ in self.live(now_us)
@@ -94,7 +95,7 @@
         ]
 
     def live(self, now_us: int) -> list[LiveVerdict]:
-        """Every unexpired verdict, the soonest to expire last."""
+        """Return every unexpired verdict, the soonest to expire last."""
         entries = [entry for entry in self._entries.values() if entry.expires_us > now_us]
         entries.sort(key=lambda entry: -entry.expires_us)
         return [
@@ -103,12 +104,12 @@
 
     @property
     def evicted_count(self) -> int:
-        """Entries that went before they expired, for lack of capacity."""
+        """Entries evicted for lack of capacity."""
         return self._evicted_count
 
     @property
     def stale_count(self) -> int:
-        """Updates that were not merged, as an equal or newer version was present."""
+        """Updates not merged because an equal or newer version was present."""
         return self._stale_count
 
     def __len__(self) -> int:
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -1,4 +1,4 @@
-"""The codec: messages come back from their bytes, and anything else raises one error."""
+"""The datagram codec: messages survive a round trip, and any other bytes raise one error."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
 
 
 @given(st.binary(max_size=400))
-def test_any_bytes_decode_or_raise_the_malformed_error(data: bytes) -> None:
+def test_any_bytes_decode_or_raise_the_malformed_datagram_error(data: bytes) -> None:
     try:
         message = codec.decode(data)
     except MalformedDatagramError:
@@ -89,7 +89,7 @@
 
 
 @given(VERDICT_UPDATES | MEMBER_UPDATES | LEASE_UPDATES | COMMANDS | LATENCY_UPDATES)
-def test_any_update_within_its_bounds_reads_back_from_its_array(update: Update) -> None:
+def test_any_update_within_its_bounds_is_read_back_from_its_array(update: Update) -> None:
     assert codec.update_from_list(codec.update_to_list(update)) == update
 
 
--- a/tests/membership/test_lease_channel.py
+++ b/tests/membership/test_lease_channel.py
@@ -1,4 +1,4 @@
-"""The lease channel: it carries lease messages both ways and notifies of accepted commands."""
+"""The lease channel: lease messages in both directions, and notification of accepted commands."""
 
 from __future__ import annotations
 
--- a/tests/membership/test_membership_settings.py
+++ b/tests/membership/test_membership_settings.py
@@ -1,4 +1,4 @@
-"""The plane's settings: values out of range raise an error."""
+"""The membership settings: values out of range raise an error."""
 
 from __future__ import annotations
 
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def lossy_network() -> SimulatedNetwork:
-    """Eight members at 30 % loss, one of which has been down for 6 s."""
+    """Eight members with 30 % datagram loss, one of which has been down for 6 s."""
     network = SimulatedNetwork(8, loss=0.3, seed=4)
     network.run(3_000)
     network.down.add(5)
@@ -81,7 +81,7 @@
 
 @pytest.fixture
 def network_with_verdict() -> SimulatedNetwork:
-    """Sixteen members at 10 % loss, 3 s after member 7 published a verdict."""
+    """Sixteen members with 10 % datagram loss, 3 s after member 7 published a verdict."""
     network = SimulatedNetwork(16, loss=0.1, seed=5)
     network.run(500)
     network.publish(7, SERVER, WireVerdict.EJECTED, 12, 30_000)
@@ -117,7 +117,7 @@
     assert all(offset.agreeing_members(member, "s", WireVerdict.SLOW) == 1 for member in (1, 2, 4, 5))
 
 
-def test_a_replayed_datagram_does_not_bring_back_an_older_verdict() -> None:
+def test_a_replayed_datagram_does_not_restore_an_older_verdict() -> None:
     network = SimulatedNetwork(3, seed=9)
     network.run(500)
     network.publish(0, "s", WireVerdict.EJECTED, 1, 2_000)
@@ -135,7 +135,9 @@
 
 
 @pytest.mark.parametrize(("quorum", "disabled_count"), [(1, 4), (2, 0)])
-def test_one_faulty_peer_disables_no_more_servers_than_its_bound(quorum: int, disabled_count: int) -> None:
+def test_one_faulty_peer_disables_at_most_as_many_servers_as_allowed(
+    quorum: int, disabled_count: int
+) -> None:
     settings = MembershipSettings(ban_quorum=quorum, ban_most=4)
     network = SimulatedNetwork(5, seed=6, settings=settings)
     network.run(500)
--- a/tests/membership/test_verdict_table.py
+++ b/tests/membership/test_verdict_table.py
@@ -1,4 +1,4 @@
-"""The verdict table: merging in any order gives one result, within the table's capacity."""
+"""The verdict table: merging gives the same result in any order, and the capacity is respected."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def updates() -> list[VerdictUpdate]:
-    """Six versions from each of four origins, one subject each."""
+    """Six versions from each of four origins, each with one subject."""
     return [
         VerdictUpdate(origin, incarnation, counter, f"s{origin % 3}", WireVerdict.EJECTED, 1, 5000)
         for origin in range(4)
@@ -26,7 +26,7 @@
 
 
 def _merged(updates: list[VerdictUpdate], seed: int) -> list[tuple[int, str, int, int]]:
-    """The content of a table that took each update twice, in an order drawn by `seed`."""
+    """Return the content of a table after merging each update twice, in an order determined by `seed`."""
     table, shuffled = VerdictTable(100), list(updates) * 2
     random.Random(seed).shuffle(shuffled)
     for update in shuffled:
@@ -44,7 +44,7 @@
     assert len(_merged(updates, seed=0)) == 4
 
 
-def test_a_full_table_evicts_and_counts_it() -> None:
+def test_a_full_table_evicts_entries_and_counts_them() -> None:
     table = VerdictTable(2)
     for origin in range(5):
         update = VerdictUpdate(origin, 0, 1, "s", WireVerdict.REJECTING, 1, 1000 + origin)
