--- a/sidecar_balancer/membership/swim.py
+++ b/sidecar_balancer/membership/swim.py
@@ -81,7 +81,7 @@
         self.members = MemberTable(member, size, now_us)
         self.health = LocalHealth(self._settings.health_most)
         self.verdicts = VerdictTable(self._settings.verdicts_most)
-        self.tier = TierView(self.verdicts, self.members, self._settings)
+        self.tier_view = TierView(self.verdicts, self.members, self._settings)
         self.transfer = StateTransfer(self.verdicts, self._settings.verdicts_most)
         self.counters = TrafficCounters()
         self.lease_handler: LeaseHandler | None = None
@@ -91,7 +91,7 @@
     # -- Time -------------------------------------------------------------------------------------------
 
     def tick(self, now_us: int) -> list[Datagram]:
-        """Send due probes and expire suspicions; must be called no later than at `due_us()`."""
+        """Return due probes and expire suspicions; must be called no later than at `due_us()`."""
         for death in self.members.expired_suspicions(now_us, self._suspicion_timeout_us()):
             self._apply_member(now_us, death)
         datagrams = self._encode(self._detector.indirect_probes(now_us))
