--- a/sidecar_balancer/persistence/__init__.py
+++ b/sidecar_balancer/persistence/__init__.py
@@ -1,1 +1,1 @@
-"""State that survives a crash: checksummed snapshots and change logs on disk (docs/recovery.md)."""
+"""Crash-safe state persistence: checksummed snapshots and change logs on disk (docs/recovery.md)."""
--- a/sidecar_balancer/persistence/change_log.py
+++ b/sidecar_balancer/persistence/change_log.py
@@ -1,12 +1,12 @@
-"""Change log files: the changes of keyed records since a snapshot, appended one after another.
+"""Change log files: the changes to keyed records since a snapshot, in the order they were made.
 
 Layout, integers big-endian:
 
     MAGIC (8 bytes) | version (u16) | incarnation (u32) | generation (u32) | change*
-    change = see framing.py; the payload is msgpack [key, value], value nil for a deletion
+    change = a record as in framing.py; the payload is msgpack [key, value], where nil is a deletion
 
-A log is valid only with the snapshot of its own incarnation and generation, and up to the first change that
-is truncated or fails its checksum.
+A log applies only to the snapshot with the same incarnation and generation.  It is valid up to the first
+change that is truncated or fails its checksum.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 
 
 class Change(NamedTuple):
-    """A new value of a key, or None for its deletion."""
+    """The new value of a key; None deletes the key."""
 
     key: str
     value: bytes | None
 
 
 class LogVersion(NamedTuple):
-    """What a log has to have in common with its snapshot."""
+    """The incarnation and generation that identify the snapshot of a log."""
 
     incarnation: int
     generation: int
@@ -45,10 +45,10 @@
     def __init__(self, path: Path) -> None:
         self._path = path
         self._count = 0
-        self.size_bytes = 0  # of the changes, without the header
+        self.size_bytes = 0  # size of the changes, excluding the header
 
     def start(self, version: LogVersion) -> None:
-        """Replace the log with an empty one; raises OSError."""
+        """Replace the log with an empty one; raise OSError on failure."""
         with self._path.open("wb") as file:
             file.write(_HEADER.pack(MAGIC, VERSION, *version))
             file.flush()
@@ -56,7 +56,7 @@
         self._count = self.size_bytes = 0
 
     def append(self, payloads: list[bytes]) -> None:
-        """Append encoded changes durably; raises OSError, which may leave a partial change at the end."""
+        """Append encoded changes durably; raise OSError on failure, which may leave a partial change."""
         data = b"".join(frame_record(payload, index) for index, payload in enumerate(payloads, self._count))
         with self._path.open("ab") as file:
             file.write(data)
@@ -67,25 +67,25 @@
 
 
 def encode_change(key: str, value: bytes | None) -> bytes:
-    """Return the payload of a change."""
+    """Return the record payload of a change."""
     payload: bytes = msgpack.packb([key, value])
     return payload
 
 
 def size_on_disk(payloads: list[bytes]) -> int:
-    """Return how many bytes `payloads` take in a log."""
+    """Return the size in bytes of `payloads` in a log, including their record headers."""
     return sum(RECORD_HEADER_BYTES + len(payload) for payload in payloads)
 
 
 class ChangeLogContent(NamedTuple):
-    """The changes of a log file, and how much of the file they take with the header."""
+    """The valid changes of a log file, and the bytes that they and the file header take."""
 
     changes: list[Change]
     valid_bytes: int
 
 
 def unpack(data: bytes, version: LogVersion) -> ChangeLogContent | None:
-    """Read the bytes of a log; None where they are no log of `version`."""
+    """Parse the bytes of a log; return None if they are not a log of `version`."""
     if len(data) < _HEADER.size or _HEADER.unpack_from(data) != (MAGIC, VERSION, *version):
         return None
     changes: list[Change] = []
@@ -102,7 +102,7 @@
 def _decode_change(payload: bytes) -> Change | None:
     try:
         key, value = msgpack.unpackb(payload)
-    except Exception:  # msgpack and the assignment raise several kinds; all mean a payload of another form
+    except Exception:  # msgpack and the assignment raise various exceptions; all mean a malformed payload
         return None
     is_change = isinstance(key, str) and (value is None or isinstance(value, bytes))
     return Change(key, value) if is_change else None
--- a/sidecar_balancer/persistence/framing.py
+++ b/sidecar_balancer/persistence/framing.py
@@ -1,7 +1,7 @@
-"""Records on disk: a length and a checksum before each payload.
+"""Framing of records on disk: a length and a checksum precede each payload.
 
-Layout, integers big-endian: length (u32) | xxh32(payload, seed = the record's index) (u32) | payload.  The
-index as the seed makes a record that was moved or repeated fail its checksum.
+Layout, integers big-endian: length (u32) | xxh32(payload, seed = the record's index) (u32) | payload.
+Seeding with the index makes a record that was moved or duplicated fail its checksum.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 
 def frame_record(payload: bytes, index: int) -> bytes:
-    """Return the bytes on disk of the record number `index` of its file."""
+    """Return the bytes on disk of a record; `index` is its position in the file, from 0."""
     return _RECORD_HEADER.pack(len(payload), xxhash.xxh32_intdigest(payload, seed=index)) + payload
 
 
 def read_record(data: bytes, offset: int, index: int) -> bytes | None:
-    """Return the payload of the record at `offset`; None where it is truncated or fails its checksum."""
+    """Return the payload of the record at `offset`, or None if it is truncated or fails its checksum."""
     if len(data) - offset < RECORD_HEADER_BYTES:
         return None
     length, checksum = _RECORD_HEADER.unpack_from(data, offset)
--- a/sidecar_balancer/persistence/persister.py
+++ b/sidecar_balancer/persistence/persister.py
@@ -1,4 +1,4 @@
-"""Writes a sidecar's state to disk while it runs and restores it at the next start (docs/recovery.md)."""
+"""Persister of a sidecar's state: periodic writes, and the restore at the next start (docs/recovery.md)."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
 
 
 class StatePersister:
-    """Persists state in `store` and, as the leader of that duty, in the tier's folder.
+    """Persists state in `store` and, while this sidecar holds the snapshot lease, in the tier's folder.
 
-    A disk that fails never stops the sidecar: each fault is logged once, until a write succeeds again.
+    Disk errors never stop the sidecar; each kind is logged once until a write succeeds again.
     """
 
     def __init__(self, store: Store, tier_folder: Path | None = None) -> None:
         self.store = store
         self._tier_folder = tier_folder
-        self._store_fails = False
-        self._tier_snapshot_fails = False
+        self._store_write_failed = False
+        self._tier_write_failed = False
 
     def restore(self) -> RestoredState:
-        """Read what an earlier incarnation left; faults are logged, and what is unreadable is left out."""
+        """Read the state of an earlier incarnation; log errors and omit what is unreadable."""
         try:
             loaded = self.store.open()
         except OSError as error:
             log.warning(
-                "the state can't be read, starting cold: %s", error, extra={"event": "state_read_failed"}
+                "state cannot be read, starting without it: %s", error, extra={"event": "state_read_failed"}
             )
             return RestoredState()
         _log_rejected_files(loaded.notes)
@@ -54,14 +54,14 @@
         return state
 
     def _restore_tier_snapshot(self, state: RestoredState) -> None:
-        """Take the tier's fencing token, and its knowledge where this sidecar has none of its own."""
+        """Take the tier snapshot's fencing token, and its state if this sidecar restored no servers."""
         if self._tier_folder is None:
             return
         try:
             snapshot = tier_snapshot.read(self._tier_folder, _MAX_TIER_SNAPSHOT_BYTES)
         except OSError as error:
             log.warning(
-                "the tier's snapshot can't be read: %s", error, extra={"event": "tier_snapshot_read_failed"}
+                "tier snapshot cannot be read: %s", error, extra={"event": "tier_snapshot_read_failed"}
             )
             return
         _log_rejected_files(snapshot.notes)
@@ -72,7 +72,7 @@
             state.learned = shared.learned
             state.verdicts = state.verdicts or shared.verdicts
             log.info(
-                "the tier's snapshot: token %d, %d servers",
+                "tier snapshot restored: token %d, %d servers",
                 snapshot.token,
                 len(shared.learned.servers),
                 extra={"event": "tier_snapshot_restored"},
@@ -85,7 +85,7 @@
         transport: MembershipTransport | None,
         endpoint_list: EndpointListRecord | None,
     ) -> None:
-        """Write what changed since the last call; `now_us` is the balancer's clock."""
+        """Write the changes since the last call; `now_us` is the time of the balancer's clock."""
         records = state_records.encode(balancer, now_us, transport, endpoint_list)
         for prefix in state_records.DELETED_WHEN_ABSENT:
             for key in self.store.keys(prefix):
@@ -103,50 +103,50 @@
         except OSError as error:
             self._report_write_failure(error)
         else:
-            self._store_fails = False
+            self._store_write_failed = False
 
     def _report_write_failure(self, error: OSError) -> None:
-        if not self._store_fails:
+        if not self._store_write_failed:
             log.error(
-                "the state can't be written, serving goes on: %s",
+                "state cannot be written, requests are still served: %s",
                 error,
                 extra={"event": "state_write_failed"},
             )
-        self._store_fails = True
+        self._store_write_failed = True
 
     def _persist_tier_snapshot(self, transport: MembershipTransport) -> None:
-        """Write the tier's snapshot if this sidecar is the leader of that duty."""
+        """Write the tier snapshot if this sidecar holds the snapshot lease."""
         token = transport.lease_token(TierLease.SNAPSHOT)
         if self._tier_folder is None or not token:
             return
         if not transport.issue_command(TierLease.SNAPSHOT, "", CommandVerb.SNAPSHOT_WRITTEN):
             return
-        records = state_records.shared(self.store.records())
+        records = state_records.select_shared(self.store.records())
         try:
             written = tier_snapshot.write(self._tier_folder, token, records)
         except OSError as error:
             self._report_tier_write_failure(error)
             return
-        self._tier_snapshot_fails = False
+        self._tier_write_failed = False
         if not written:
             log.warning(
-                "the tier's snapshot has a newer token than %d: not written",
+                "tier snapshot not written: the folder has a newer token than %d",
                 token,
                 extra={"event": "tier_snapshot_superseded"},
             )
 
     def _report_tier_write_failure(self, error: OSError) -> None:
-        if not self._tier_snapshot_fails:
+        if not self._tier_write_failed:
             log.error(
-                "the tier's snapshot can't be written: %s",
+                "tier snapshot cannot be written: %s",
                 error,
                 extra={"event": "tier_snapshot_write_failed"},
             )
-        self._tier_snapshot_fails = True
+        self._tier_write_failed = True
 
 
 def resume_membership(transport: MembershipTransport, state: RestoredState) -> None:
-    """Continue the membership of an earlier incarnation: its version, members, verdicts and lease epochs."""
+    """Restore the membership of an earlier incarnation: version, members, verdicts and lease epochs."""
     if state.membership is not None:
         verdicts = [LiveVerdict(verdict, verdict.ttl_ms) for verdict in state.verdicts]
         incarnation, counter = state.membership
--- a/sidecar_balancer/persistence/snapshot.py
+++ b/sidecar_balancer/persistence/snapshot.py
@@ -1,14 +1,14 @@
-"""Snapshot files: a versioned header, checksummed records, and a trailer with a checksum over everything.
+"""Snapshot files: a versioned header, checksummed records and a trailer with a checksum of the whole file.
 
 Layout, integers big-endian:
 
     MAGIC (8 bytes) | version (u16) | record* | trailer
-    record  = see framing.py, its payload at most MAX_RECORD_BYTES long
+    record  = as in framing.py, with a payload of at most MAX_RECORD_BYTES
     trailer = TRAILER_MAGIC (4 bytes) | count (u32) | xxh64 of every byte before the trailer (u64)
 
-A truncated file (a crash during a write) keeps the records before the first one that is incomplete.  A file
-with another magic, another version or a trailer that does not match raises SnapshotError, so that no wrong
-state is loaded.  Records are opaque bytes here; callers encode them.
+A file that was truncated by a crash during a write is read up to its first incomplete record.  A file with
+another magic, another version or a trailer that does not match raises SnapshotError, so that no wrong state
+is loaded.  Records are opaque bytes here; callers encode them.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class SnapshotError(ValueError):
-    """A file that is no snapshot of this version, or that fails its checksum or its size limit."""
+    """A file that is not a snapshot of this version, fails its checksum or exceeds its size limit."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,30 +39,30 @@
     """The records of a snapshot file."""
 
     records: list[bytes]
-    is_complete: bool  # False: the file was truncated, and what came after `records` was dropped
+    is_complete: bool  # False: the file was truncated, and the data after `records` was dropped
     valid_bytes: int
 
 
 def pack(records: list[bytes]) -> bytes:
-    """Return the bytes of a snapshot of `records`; raises ValueError for one over `MAX_RECORD_BYTES`."""
+    """Return a snapshot file of `records`; raise ValueError for a record over `MAX_RECORD_BYTES`."""
     parts = [_HEADER.pack(MAGIC, VERSION)]
     for index, payload in enumerate(records):
         if len(payload) > MAX_RECORD_BYTES:
-            raise ValueError(f"a record of {len(payload)} bytes, over {MAX_RECORD_BYTES}")
+            raise ValueError(f"record of {len(payload)} bytes exceeds the limit of {MAX_RECORD_BYTES}")
         parts.append(frame_record(payload, index))
     body = b"".join(parts)
     return body + _TRAILER.pack(TRAILER_MAGIC, len(records), xxhash.xxh64_intdigest(body))
 
 
 def unpack(data: bytes) -> SnapshotContent:
-    """Read the bytes of a snapshot; raises SnapshotError."""
+    """Parse the bytes of a snapshot file; raise SnapshotError if they are rejected."""
     if len(data) < _HEADER.size:
         return SnapshotContent([], False, 0)
     magic, version = _HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise SnapshotError("not a snapshot")
+        raise SnapshotError(f"expected magic {MAGIC!r}, got {magic!r}")
     if version != VERSION:
-        raise SnapshotError(f"a snapshot of version {version}, not {VERSION}")
+        raise SnapshotError(f"expected snapshot version {VERSION}, got {version}")
     records: list[bytes] = []
     offset = _HEADER.size
     while True:
@@ -77,7 +77,7 @@
 
 
 def write(path: Path, records: list[bytes]) -> None:
-    """Replace `path` with a snapshot of `records` atomically and durably; raises OSError."""
+    """Replace `path` atomically and durably with a snapshot of `records`; raise OSError on failure."""
     temporary = path.with_name(path.name + ".new")
     with temporary.open("wb") as file:
         file.write(pack(records))
@@ -88,18 +88,18 @@
 
 
 def load(path: Path, max_bytes: int) -> SnapshotContent:
-    """Read the snapshot at `path`; a missing file gives a complete one without records.
+    """Read the snapshot at `path`; a missing file counts as a complete snapshot without records.
 
     Raises:
-        SnapshotError: it is no snapshot, is damaged, or is larger than `max_bytes`.
-        OSError: it can't be read.
+        SnapshotError: The file is not a snapshot, is damaged or is larger than `max_bytes`.
+        OSError: The file cannot be read.
     """
     try:
         size = path.stat().st_size
     except FileNotFoundError:
         return SnapshotContent([], True, 0)
     if size > max_bytes:
-        raise SnapshotError(f"{size} bytes, over {max_bytes}")
+        raise SnapshotError(f"file of {size} bytes exceeds the limit of {max_bytes}")
     return unpack(path.read_bytes())
 
 
@@ -110,7 +110,7 @@
 def _check_trailer(data: bytes, offset: int, record_count: int) -> None:
     _, count, checksum = _TRAILER.unpack_from(data, offset)
     if count != record_count or checksum != xxhash.xxh64_intdigest(data[:offset]):
-        raise SnapshotError("the trailer does not match the records")
+        raise SnapshotError("trailer does not match the records")
 
 
 def _sync_folder(folder: Path) -> None:
--- a/sidecar_balancer/persistence/state_records.py
+++ b/sidecar_balancer/persistence/state_records.py
@@ -1,13 +1,15 @@
-"""The state of a sidecar as keyed records: the keys and the msgpack values that the files on disk hold.
+"""Encoding of a sidecar's state as keyed records.
+
+Keys and their msgpack values:
 
     list                          [address of the discovery service, the endpoint list as JSON]
-    server/NAME                   [relative latency, us left of its ejection, start of its process or nil]
+    server/NAME                   [relative latency, remaining us of its ejection, process start time or nil]
     usual                         [[class, size, us], ...]: the latency baselines
-    bearable                      requests of mean cost per us that a warm server serves
+    bearable                      capacity of a warmed-up server, in requests of mean cost per us
     plane                         [incarnation, version counter] of this member
     member/N                      [status, incarnation]
-    verdict/ORIGIN/SLOT/SUBJECT   a verdict as a datagram carries it, with the ms it has left
-    lease/N                       the highest epoch known of the lease
+    verdict/ORIGIN/SCOPE/SUBJECT  a verdict in its datagram encoding, with its remaining ms
+    lease/N                       the highest known epoch of the lease
 
 A record that can't be decoded is skipped.
 """
@@ -34,7 +36,7 @@
 log = logging.getLogger(__name__)
 
 MAX_SERVERS = 1024
-DELETED_WHEN_ABSENT = ("server/", "member/", "verdict/")  # prefixes of the records that come and go
+DELETED_WHEN_ABSENT = ("server/", "member/", "verdict/")  # key prefixes; absent records are deleted
 _SHARED_KINDS = ("server", "usual", "bearable", "verdict")
 _RELATIVE_LATENCY_STEP = 0.05  # coarse, so that small changes are not written each time
 _MAX_RELATIVE_LATENCY = 1e6
@@ -51,7 +53,7 @@
 
 
 class RestoredEndpointList(NamedTuple):
-    """As EndpointListRecord, with the list parsed but not checked."""
+    """A decoded EndpointListRecord; the list is parsed from JSON but not validated."""
 
     source: str
     content: dict[str, Any]
@@ -73,7 +75,7 @@
 
 @dataclass(slots=True)
 class RestoredState:
-    """What was on disk."""
+    """The state decoded from persisted records."""
 
     learned: StateRestored = field(default_factory=StateRestored)
     endpoint_list: RestoredEndpointList | None = None
@@ -89,7 +91,7 @@
     transport: MembershipTransport | None,
     endpoint_list: EndpointListRecord | None,
 ) -> dict[str, bytes]:
-    """Return the records of the current state; `now_us` is the balancer's clock."""
+    """Return the records of the current state; `now_us` is the time of the balancer's clock."""
     records = dict(_balancer_records(balancer, now_us))
     if transport is not None:
         records.update(_member_records(transport.swim, transport.now_us()))
@@ -99,8 +101,8 @@
     return records
 
 
-def shared(records: Mapping[str, bytes]) -> dict[str, bytes]:
-    """Return the records that hold for every sidecar of the tier."""
+def select_shared(records: Mapping[str, bytes]) -> dict[str, bytes]:
+    """Return the records that apply to every sidecar of the tier."""
     return {key: value for key, value in records.items() if key.partition("/")[0] in _SHARED_KINDS}
 
 
@@ -120,7 +122,8 @@
     steps = round(server.relative_latency / _RELATIVE_LATENCY_STEP)
     ejected_us = 0
     if server.ejected_until is not None:
-        # In whole seconds, so that it does not change each time; at least one, while it waits for its trial.
+        # Whole seconds, so that the record does not change at every write; at least one second while the
+        # server waits for its trial.
         ejected_us = max((server.ejected_until - now_us) // _US_PER_S, 1) * _US_PER_S
     value = [round(steps * _RELATIVE_LATENCY_STEP, 2), ejected_us, server.started_at]
     payload: bytes = msgpack.packb(value)
@@ -145,19 +148,19 @@
 
 
 def decode(records: Mapping[str, bytes]) -> RestoredState:
-    """Return the state that the records hold."""
+    """Return the state that the records hold; log and skip records that cannot be decoded."""
     decoder = _Decoder()
     for key, value in records.items():
         kind, _, name = key.partition("/")
         try:
             decoder.add(kind, name, msgpack.unpackb(value))
         except (ValueError, TypeError, IndexError, MalformedDatagramError, msgpack.UnpackException):
-            log.warning("state: record %.80s is rejected", key, extra={"event": "state_record_rejected"})
+            log.warning("state: record %.80s is malformed", key, extra={"event": "state_record_rejected"})
     return decoder.result()
 
 
 class _Decoder:
-    """Collects decoded records."""
+    """Builds a RestoredState from records, one at a time."""
 
     def __init__(self) -> None:
         self._state = RestoredState()
@@ -166,7 +169,7 @@
         self._capacity_per_us = 0.0
 
     def add(self, kind: str, name: str, value: Any) -> None:
-        """Decode one record; raises ValueError, TypeError or IndexError for a value of another form."""
+        """Decode one record; raise ValueError, TypeError or IndexError if its value is malformed."""
         state = self._state
         match kind:
             case "server":
@@ -199,14 +202,14 @@
 def _decode_server(value: Any) -> LearnedServer:
     relative_latency, ejected_us, started_at = value
     if not 0.0 < float(relative_latency) < _MAX_RELATIVE_LATENCY:
-        raise ValueError(f"a relative latency is needed, not {relative_latency!r:.60}")
+        raise ValueError(f"relative latency out of range: {relative_latency!r:.60}")
     if type(ejected_us) is not int or ejected_us < 0:
-        raise ValueError(f"microseconds are needed, not {ejected_us!r:.60}")
+        raise ValueError(f"expected a non-negative integer of microseconds, got {ejected_us!r:.60}")
     return LearnedServer(float(relative_latency), ejected_us, None if started_at is None else int(started_at))
 
 
 def _decode_pair(value: Any) -> tuple[int, int]:
     first, second = value
     if type(first) is not int or type(second) is not int or first < 0 or second < 0:
-        raise ValueError(f"two whole numbers are needed, not {value!r:.60}")
+        raise ValueError(f"expected two non-negative integers, got {value!r:.60}")
     return first, second
--- a/sidecar_balancer/persistence/store.py
+++ b/sidecar_balancer/persistence/store.py
@@ -1,15 +1,15 @@
-"""Keyed records that survive a crash: a snapshot, and a log of the changes since.
+"""Crash-safe store of keyed records: a snapshot and a log of the changes since.
 
-Each start of the program is an incarnation, one higher than the highest on disk, and writes files of its
-own.  So of two processes that share the folder during an upgrade, the older never overwrites what the newer
-wrote; once it finds files of a later incarnation it stops writing.
+Each start of the process has its own incarnation, one higher than the highest on disk, and writes its own
+files.  When two processes share the folder during an upgrade, the older one therefore never overwrites the
+files of the newer one, and it stops writing once it finds files of a later incarnation.
 
     state-INCARNATION.snap   a snapshot (snapshot.py): record 0 is msgpack [incarnation, generation], each
-                             further one msgpack [key, value]
+                             further record msgpack [key, value]
     state-INCARNATION.log    a change log (change_log.py) of the snapshot of the same generation
 
-Once the log exceeds half of the store's size limit, a new snapshot takes its place.  Live records may take
-the other half: beyond it those written longest ago are evicted.
+Once the log would exceed half of the store's size limit, a new snapshot replaces it.  Live records may take
+the other half; beyond it, the records written longest ago are evicted.
 """
 
 from __future__ import annotations
@@ -31,14 +31,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadedRecords:
-    """What was on disk."""
+    """The records that were on disk."""
 
     records: dict[str, bytes] = field(default_factory=dict)
     notes: tuple[str, ...] = ()  # a line for each file that was rejected or truncated
 
 
 class Store:
-    """The records of one incarnation: `open` first; `put` changes them in memory, `flush` writes them."""
+    """The records of one incarnation; call `open` first, `put` to change them in memory, `flush` to write."""
 
     def __init__(self, folder: Path, max_bytes: int) -> None:
         self._folder = folder
@@ -48,14 +48,14 @@
         self._records: dict[str, bytes] = {}
         self._size_bytes = 0
         self._unsaved: dict[str, bytes | None] = {}
-        self._log: ChangeLogWriter | None = None  # None: the next flush has to write a snapshot
-        self.is_superseded = False  # a later incarnation writes here, so this one no longer does
+        self._log: ChangeLogWriter | None = None  # None: the next flush writes a snapshot
+        self.is_superseded = False  # a later incarnation writes to the folder, so this one stopped
         self.evicted_count = 0
 
     # -- Reading ----------------------------------------------------------------------------------------
 
     def open(self) -> LoadedRecords:
-        """Load the records of the latest readable incarnation; raises OSError for an unreadable folder."""
+        """Load the records of the latest readable incarnation; raise OSError if the folder is unreadable."""
         self._folder.mkdir(parents=True, exist_ok=True)
         incarnations = self._incarnations_on_disk()
         self.incarnation = max(incarnations, default=0) + 1
@@ -76,19 +76,19 @@
         return self._folder / f"state-{incarnation}.{suffix}"
 
     def _load(self, incarnation: int, notes: list[str]) -> dict[str, bytes] | None:
-        """Return the records of an incarnation; None where its snapshot is missing or rejected."""
+        """Return the records of an incarnation, or None if its snapshot is missing or rejected."""
         path = self._path(incarnation, "snap")
         try:
             content = snapshot.load(path, self._max_bytes)
             if not content.records:
-                notes.append(f"{path.name} holds no records")
+                notes.append(f"{path.name} is missing or has no records")
                 return None
             generation, records = _decode_snapshot(content.records)
         except (SnapshotError, OSError) as error:
-            notes.append(f"{path.name} is rejected: {error}")
+            notes.append(f"{path.name} rejected: {error}")
             return None
         if not content.is_complete:
-            notes.append(f"{path.name} was truncated, read up to {content.valid_bytes} bytes")
+            notes.append(f"{path.name} is truncated; read {content.valid_bytes} bytes")
             return records  # the log may build on the records that were lost
         self._replay_log(LogVersion(incarnation, generation), records, notes)
         return records
@@ -100,29 +100,29 @@
         except FileNotFoundError:
             return
         except (SnapshotError, OSError) as error:
-            notes.append(f"{path.name} is rejected: {error}")
+            notes.append(f"{path.name} rejected: {error}")
             return
         content = change_log.unpack(data, version)
         if content is None:
-            notes.append(f"{path.name} does not belong to its snapshot")
+            notes.append(f"{path.name} does not match its snapshot")
             return
         for key, value in content.changes:
             records.pop(key, None)
             if value is not None:
                 records[key] = value
         if content.valid_bytes < len(data):
-            notes.append(f"{path.name} was truncated, read up to {content.valid_bytes} of {len(data)} bytes")
+            notes.append(f"{path.name} is truncated; read {content.valid_bytes} of {len(data)} bytes")
 
     def _read_log(self, path: Path) -> bytes:
         size = path.stat().st_size
         if size > 2 * self._max_bytes:
-            raise SnapshotError(f"{size} bytes, over {2 * self._max_bytes}")
+            raise SnapshotError(f"file of {size} bytes exceeds the limit of {2 * self._max_bytes}")
         return path.read_bytes()
 
     # -- Writing ----------------------------------------------------------------------------------------
 
     def put(self, key: str, value: bytes | None) -> None:
-        """Set a record, or delete it (None), in memory; an unchanged value is not written again."""
+        """Set a record in memory, or delete it (None); an unchanged value is not written again."""
         current = self._records.get(key)
         if current == value:
             return
@@ -147,7 +147,7 @@
         return [key for key in self._records if key.startswith(prefix)]
 
     def flush(self) -> None:
-        """Write the changes; raises OSError, after which the next call tries all of them again."""
+        """Write the changes to disk; raise OSError on failure, after which the next call retries them all."""
         has_changes = bool(self._unsaved) or self._log is None
         if self.is_superseded or not has_changes:
             return
@@ -162,12 +162,12 @@
             else:
                 self._log.append(changes)
         except OSError:
-            self._log = None  # it may end in a partial change
+            self._log = None  # the file may end in a partial change
             raise
         self._unsaved.clear()
 
     def _write_snapshot(self) -> ChangeLogWriter:
-        """Begin a new generation: first the snapshot, then an empty log; files of earlier incarnations go."""
+        """Start a generation: write a snapshot, then an empty log; delete files of earlier incarnations."""
         self._generation += 1
         version = LogVersion(self.incarnation, self._generation)
         header: bytes = msgpack.packb(list(version))
@@ -190,11 +190,11 @@
 
 
 def _decode_snapshot(payloads: list[bytes]) -> tuple[int, dict[str, bytes]]:
-    """Return the generation and the records; raises SnapshotError for content of another form."""
+    """Return the generation and the records; raise SnapshotError if the content is malformed."""
     try:
         _, generation = msgpack.unpackb(payloads[0])
-    except Exception as error:  # msgpack and the assignment raise several kinds; all mean another form
-        raise SnapshotError(f"a first record of another form: {type(error).__name__}") from None
+    except Exception as error:  # msgpack and the assignment raise various exceptions; all mean malformed
+        raise SnapshotError(f"malformed first record: {type(error).__name__}") from None
     if type(generation) is not int:
-        raise SnapshotError("a first record of another form")
+        raise SnapshotError(f"expected an integer generation in the first record, got {generation!r:.60}")
     return generation, keyed_records.decode(payloads[1:])
--- a/sidecar_balancer/persistence/tier_snapshot.py
+++ b/sidecar_balancer/persistence/tier_snapshot.py
@@ -1,9 +1,9 @@
-"""The tier's shared snapshot: what the leader of the snapshot duty knows, in a folder that all sidecars see.
+"""Tier snapshots: state of the snapshot lease's holder, in a folder shared by all sidecars of the tier.
 
-It is for a tier that lost power as a whole, with no peer left to answer.  The file's name holds the lease's
-fencing token, `tier-TOKEN.snap`, and the file with the highest token is valid: a leader that was paused and
-resumes after its lease expired can only write its own, older file, which nobody reads and the next leader
-deletes.
+They serve a tier that lost power as a whole, so that no peer is left to provide its state.  The file name
+`tier-TOKEN.snap` holds the lease's fencing token, and the file with the highest token is valid.  A lease
+holder that was paused and resumes after its lease expired can only write its own older file, which no sidecar
+reads and the next lease holder deletes.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class TierSnapshot(NamedTuple):
-    """The newest readable snapshot of the tier; token 0: there is none."""
+    """The newest readable snapshot of the tier; token 0 means that there is none."""
 
     token: int
     records: dict[str, bytes]
@@ -27,9 +27,9 @@
 
 
 def write(folder: Path, token: int, records: dict[str, bytes]) -> bool:
-    """Write a snapshot under `token`; False, and nothing is written, where a newer token was used.
+    """Write a snapshot under `token` and return True; if a newer token was used, write nothing, return False.
 
-    Raises OSError.
+    Raise OSError on failure.
     """
     folder.mkdir(parents=True, exist_ok=True)
     tokens = _tokens(folder)
@@ -43,7 +43,7 @@
 
 
 def read(folder: Path, max_bytes: int) -> TierSnapshot:
-    """Read the newest snapshot that is valid; raises OSError where the folder can't be listed."""
+    """Read the newest valid snapshot; raise OSError if the folder cannot be listed."""
     notes: list[str] = []
     tokens = _tokens(folder) if folder.is_dir() else []
     for token in sorted(tokens, reverse=True):
@@ -52,10 +52,10 @@
             content = snapshot.load(path, max_bytes)
             records = keyed_records.decode(content.records)
         except (SnapshotError, OSError) as error:
-            notes.append(f"{path.name} is rejected: {error}")
+            notes.append(f"{path.name} rejected: {error}")
             continue
         if not content.is_complete:
-            notes.append(f"{path.name} was truncated")
+            notes.append(f"{path.name} is truncated")
         return TierSnapshot(token, records, notes)
     return TierSnapshot(0, {}, notes)
 
