--- a/sidecar_balancer/admin/__init__.py
+++ b/sidecar_balancer/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The admin API: its server, its calls, the operators' overrides, and a client for the command line."""
+"""The admin API: its server and handlers, the operator overrides and a client for the command line."""
--- a/sidecar_balancer/admin/client.py
+++ b/sidecar_balancer/admin/client.py
@@ -1,4 +1,4 @@
-"""Calls a running sidecar's admin server."""
+"""Client for a running sidecar's admin server."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class AdminCallError(Exception):
-    """An admin server that can't be reached or gives no valid response."""
+    """The admin server cannot be reached or its response is invalid."""
 
 
 class AdminResponse(NamedTuple):
-    """The response to a call."""
+    """The response to an API call."""
 
     status: int
     body: str
@@ -23,18 +23,18 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminCall:
-    """A call of the admin API; `path` has braces where it takes the name of a server or zone."""
+    """An admin API call; `path` has a `{}` placeholder if the call takes the name of a server or zone."""
 
     method: str
     path: str
 
     @property
     def needs_name(self) -> bool:
-        """Whether the call is about one server or zone."""
+        """Whether the call takes the name of a server or zone."""
         return "{}" in self.path
 
     def send(self, address: str, name: str, timeout_s: float) -> AdminResponse:
-        """Call the admin server at `address` (host:port); raises AdminCallError."""
+        """Call the admin server at `address` (host:port); raise AdminCallError on failure."""
         host, _, port = address.rpartition(":")
         path = "/api/" + self.path.format(quote(name, safe=""))
         try:
@@ -47,7 +47,7 @@
         return AdminResponse(response.status, body)
 
 
-CALLS = {  # by the command that makes them
+CALLS = {  # by CLI command
     "status": AdminCall("GET", "status"),
     "servers": AdminCall("GET", "servers"),
     "members": AdminCall("GET", "members"),
--- a/sidecar_balancer/admin/drain.py
+++ b/sidecar_balancer/admin/drain.py
@@ -1,4 +1,4 @@
-"""Operators' drain of the whole sidecar: clients are sent elsewhere while the process runs on."""
+"""Drain of the whole sidecar by an operator: clients are sent elsewhere while the process keeps running."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 
 log = logging.getLogger(__name__)
 
-IDLE_CLOSE_DELAY_S = 0.4  # until others accept the clients, idle connections end by a response only
+IDLE_CLOSE_DELAY_S = 0.4  # until clients are accepted elsewhere, idle connections end only with a response
 
 
 class SidecarDrain:
-    """Drains the client side while the operators' override says so."""
+    """Drains downstream connections while the operator override is set."""
 
     def __init__(self, frontend: Frontend, lifecycle: Lifecycle) -> None:
         self._frontend = frontend
         self._lifecycle = lifecycle
         self._is_draining = False
 
-    def follow(self, drain: bool) -> None:
-        """Start or end the drain; during a graceful shutdown, which drains anyway, nothing changes."""
-        if drain == self._is_draining or self._lifecycle.is_shutting_down:
+    def apply_stored(self, should_drain: bool) -> None:
+        """Start or end the drain; do nothing during a graceful shutdown, which drains anyway."""
+        if should_drain == self._is_draining or self._lifecycle.is_shutting_down:
             return
-        self._is_draining = drain
-        if drain:
-            log.info("drain started", extra={"event": "operator_drain_started"})
+        self._is_draining = should_drain
+        if should_drain:
+            log.info("operator drain started", extra={"event": "operator_drain_started"})
             self._frontend.drain(IDLE_CLOSE_DELAY_S)
         else:
-            log.info("drain ended", extra={"event": "operator_drain_ended"})
+            log.info("operator drain ended", extra={"event": "operator_drain_ended"})
             self._frontend.cancel_drain()
--- a/sidecar_balancer/admin/handlers.py
+++ b/sidecar_balancer/admin/handlers.py
@@ -1,4 +1,4 @@
-"""The admin API: its routes, and the calls that store operators' overrides and apply them."""
+"""Admin API handlers: the routes, and the calls that store and apply operator overrides."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from sidecar_balancer.runtime.engine import Engine
 from sidecar_balancer.upstream.endpoint_pool import EndpointPool
 
-if TYPE_CHECKING:  # loaded only where configured: starts cost CPU
+if TYPE_CHECKING:  # not imported at run time unless configured: imports cost CPU at start
     from sidecar_balancer.membership.bridge import MembershipBridge
     from sidecar_balancer.observability.latency import LatencyHistograms
 
@@ -30,7 +30,7 @@
 
 
 class AdminHandlers:
-    """Handles the calls of the admin API, and follows the overrides that are stored."""
+    """Handles admin API calls and applies the stored overrides."""
 
     def __init__(
         self,
@@ -59,10 +59,10 @@
             bridge,
             latencies,
         )
-        self._load_fails = False
+        self._load_failed = False
 
     def routes(self) -> dict[str, Route]:
-        """Return the calls by their path below /api/; a path that ends in a slash takes a name after it."""
+        """Return the routes by path below /api/; a path that ends in a slash is followed by a name."""
         status, overrides = self.status, self.overrides
         return {
             "ready": Route("GET", status.ready),
@@ -81,34 +81,34 @@
         }
 
     def apply_stored_overrides(self) -> None:
-        """Follow what is stored; during an upgrade the other process may have stored it."""
+        """Apply the stored overrides, which the other process may have changed during an upgrade."""
         try:
             stored = self.overrides.load()
         except OSError as error:
             self._report_load_failure(error)
             return
-        self._load_fails = False
-        self.disabled_servers.follow(stored.disabled_servers)
-        self._follow_zone_overrides()
-        self._drain.follow(stored.is_draining)
+        self._load_failed = False
+        self.disabled_servers.apply_stored(stored.disabled_servers)
+        self._apply_stored_zone_overrides()
+        self._drain.apply_stored(stored.is_draining)
 
     def _report_load_failure(self, error: OSError) -> None:
-        if not self._load_fails:
+        if not self._load_failed:
             log.error(
-                "the operators' overrides can't be read, those in force stay: %s",
+                "operator overrides cannot be read, the current ones stay in effect: %s",
                 error,
                 extra={"event": "overrides_read_failed"},
             )
-        self._load_fails = True
+        self._load_failed = True
 
-    def _follow_zone_overrides(self) -> None:
+    def _apply_stored_zone_overrides(self) -> None:
         if not self._zone_overrides.zones.enabled:
             return
         try:
             stored = self.overrides.zone_overrides()
         except OSError:
-            return  # reading the other overrides reports a fault of the folder
-        self._zone_overrides.follow(stored)
+            return  # loading the other overrides reports an error of the folder
+        self._zone_overrides.apply_stored(stored)
 
     def _override_zone(self, zone: str, override: ZoneOverride | None) -> None:
         zones = self._zone_overrides.zones
@@ -116,28 +116,28 @@
             raise RequestRejectedError(404, "zones are off")
         if zone not in zones.by_name:
             raise RequestRejectedError(404, "no such zone is listed")
-        with _storing():
+        with _rejecting_storage_errors():
             self.overrides.set_zone_override(zone, override.value if override is not None else None)
         self.apply_stored_overrides()
 
     def _override_server(self, server: str, disabled: bool) -> None:
-        """Store the override, then apply it; where it can't be stored, nothing has changed."""
+        """Store the override, then apply it; change nothing if it cannot be stored."""
         store = self.overrides.disable_server if disabled else self.overrides.enable_server
-        with _storing():
+        with _rejecting_storage_errors():
             store(server)
-        if not self.disabled_servers.request(server, disabled):
-            with _storing():
+        if not self.disabled_servers.set_disabled(server, disabled):
+            with _rejecting_storage_errors():
                 self.overrides.enable_server(server)
             raise RequestRejectedError(404, "no such server was ever listed")
 
     def _override_drain(self, _: str, store: Callable[[], None]) -> None:
-        with _storing():
+        with _rejecting_storage_errors():
             store()
         self.apply_stored_overrides()
 
 
 @contextlib.contextmanager
-def _storing() -> Iterator[None]:
+def _rejecting_storage_errors() -> Iterator[None]:
     try:
         yield
     except OSError as error:
--- a/sidecar_balancer/admin/lifecycle.py
+++ b/sidecar_balancer/admin/lifecycle.py
@@ -1,10 +1,10 @@
-"""Where this process stands between its start and its end, as the admin API reports it."""
+"""Lifecycle state of this process, as reported by the admin API."""
 
 from __future__ import annotations
 
 
 class Lifecycle:
-    """Written by the sidecar, read by the admin handlers."""
+    """Lifecycle flags, written by the sidecar and read by the admin handlers."""
 
     def __init__(self) -> None:
         self.accepts_clients = False
--- a/sidecar_balancer/admin/server.py
+++ b/sidecar_balancer/admin/server.py
@@ -1,7 +1,7 @@
-"""The admin server: HTTP/1.1, one call to a connection.  It parses and routes calls and decides nothing.
+"""Admin server: HTTP/1.1 with one call per connection.  It only parses calls and routes them to handlers.
 
-A call that has arrived completely is answered in the event loop turn that reads it: under load each further
-turn may take a large part of the second in which a response is due, so no tasks and no transports are used.
+A complete call is answered in the event loop iteration that reads it: under load each further iteration may
+take a large part of the second within which a response is due, so no tasks or transports are used.
 """
 
 from __future__ import annotations
@@ -21,26 +21,26 @@
 
 log = logging.getLogger(__name__)
 
-MAX_CONNECTIONS = 16  # beyond it the oldest is closed, so that idle callers keep nobody out
+MAX_CONNECTIONS = 16  # beyond it the oldest is closed, so that idle callers do not block others
 _BACKLOG = 8 * MAX_CONNECTIONS
 _REQUEST_TIMEOUT_S = 2.0
-_LINGER_S = 1.0  # how long an answered connection stays open, so that the response is delivered
+_LINGER_S = 1.0  # how long a connection stays open after its response, so that it is delivered
 _MAX_BODY_BYTES = 4096  # of a request; no call needs a body
 _MAX_HEAD_BYTES = 16 * 1024
 _READ_BYTES = 16 * 1024
 _API_PREFIX = "/api/"
-_TOO_SLOW = "the call did not come in time"
+_TIMEOUT_BODY = "the call did not come in time"
 
 
 class RequestRejectedError(RequestError):
-    """A call of the admin API that is rejected; the reason is the body of its response."""
+    """A rejected admin API call; the message is the body of the response."""
 
 
 class Route(NamedTuple):
-    """A call of the API.
+    """An admin API call.
 
-    The handler takes the name in the path, empty where the call has none, and returns the response's body,
-    None standing for "yes".  It raises RequestRejectedError.
+    The handler takes the name in the path, "" for a call without one, and returns the response body, or None
+    for the body "yes".  It may raise RequestRejectedError.
     """
 
     method: str
@@ -48,32 +48,32 @@
 
 
 class Response(NamedTuple):
-    """What a call is answered with."""
+    """The response to a call."""
 
     status: int
     body: str
 
 
 class AdminServer:
-    """Listens for operators' calls.
+    """Listens for admin API calls.
 
-    `routes` has the calls by their path below /api/; a path that ends in a slash takes a name after it.
+    `routes` maps paths below /api/ to their routes; a path that ends in a slash is followed by a name.
     """
 
     def __init__(self, address: Address, routes: dict[str, Route]) -> None:
         self._routes = routes
-        self._connections: dict[AdminConnection, None] = {}  # the oldest first
+        self._connections: dict[AdminConnection, None] = {}  # oldest first
         self._sock = socket.create_server(address, backlog=_BACKLOG)
         self._sock.setblocking(False)
         self.address: Address = self._sock.getsockname()[:2]
 
     @property
     def connection_count(self) -> int:
-        """How many connections are open."""
+        """The number of open connections."""
         return len(self._connections)
 
     def start(self) -> None:
-        """Accept connections from now on."""
+        """Start to accept connections."""
         asyncio.get_running_loop().add_reader(self._sock, self._accept)
 
     def stop(self) -> None:
@@ -89,7 +89,7 @@
                 sock, _ = self._sock.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
-            except OSError as error:  # out of descriptors: one is freed, and the next turn accepts again
+            except OSError as error:  # out of descriptors: free one, and accept in the next iteration
                 self._report_accept_failure(error)
                 self._close_oldest()
                 return
@@ -97,7 +97,7 @@
                 self._close_oldest()
             connection = AdminConnection(sock, self._handle, self._connections)
             self._connections[connection] = None
-            connection.read()  # answers in this turn what has arrived already
+            connection.read()  # a call that has already arrived is answered in this iteration
 
     @staticmethod
     def _report_accept_failure(error: OSError) -> None:
@@ -113,24 +113,24 @@
             route, name = self._route(method, target)
             body = route.handle(name)
         except RequestRejectedError as rejection:
-            if method != "GET":  # whoever waits for a start polls many times a second
+            if method != "GET":  # a caller that waits for a start polls many times a second
                 log.info(
-                    "operators: %s %.100s: no, %s",
+                    "admin call %s %.100s rejected: %s",
                     method,
                     target,
                     rejection,
                     extra={"event": "admin_call_rejected"},
                 )
             return Response(rejection.status, str(rejection))
-        except Exception:  # a defect; the server goes on
-            log.exception("the call %s %.100s failed", method, target, extra={"event": "admin_call_failed"})
+        except Exception:  # a defect in a handler; the server keeps running
+            log.exception("admin call %s %.100s failed", method, target, extra={"event": "admin_call_failed"})
             return Response(500, "internal error")
         if method != "GET":
-            log.info("operators: %s %.100s: yes", method, target, extra={"event": "admin_call_accepted"})
+            log.info("admin call %s %.100s accepted", method, target, extra={"event": "admin_call_accepted"})
         return Response(200, "yes" if body is None else body)
 
     def _route(self, method: str, target: str) -> tuple[Route, str]:
-        """Return the route of a call and the name in its path; raises RequestRejectedError."""
+        """Return the route of a call and the name in its path; raise RequestRejectedError without one."""
         path = target.partition("?")[0]
         call, slash, name = path.removeprefix(_API_PREFIX).partition("/")
         is_known = path.startswith(_API_PREFIX) and call + slash in self._routes
@@ -143,7 +143,7 @@
 
 
 class AdminConnection:
-    """One connection of the admin server, which carries one call."""
+    """A connection to the admin server, which carries one call."""
 
     def __init__(
         self,
@@ -164,7 +164,7 @@
         loop.add_reader(sock, self.read)
 
     def read(self) -> None:
-        """Read what has arrived, and respond once the call is complete."""
+        """Read the received data, and respond once the call is complete."""
         try:
             data = self._sock.recv(_READ_BYTES)
         except (BlockingIOError, InterruptedError):
@@ -209,10 +209,13 @@
         if self._has_responded:
             self.close()
         else:
-            self._respond(Response(408, _TOO_SLOW))
+            self._respond(Response(408, _TIMEOUT_BODY))
 
     def _respond(self, response: Response) -> None:
-        """Respond and shut down the sending side; to close on unread bytes would reset the response away."""
+        """Respond and shut down the sending side.
+
+        A close with unread input would reset the connection, and the response would be lost.
+        """
         body = f"{response.body}\n".encode()
         headers = [
             (b"Content-Type", b"text/plain"),
@@ -228,12 +231,12 @@
             self._sock.shutdown(socket.SHUT_WR)
 
     def _send(self, data: bytes | None) -> None:
-        # Few bytes, the first of their connection: they fit the socket's buffer, or the connection is broken.
+        # The first few bytes on the connection: they fit the socket buffer unless the connection is broken.
         with contextlib.suppress(OSError):
             self._sock.send(data or b"")
 
     def close(self) -> None:
-        """Close the connection; further calls do nothing."""
+        """Close the connection; repeated calls do nothing."""
         self._timeout.cancel()
         if self._connections.pop(self, self) is None:
             asyncio.get_running_loop().remove_reader(self._sock)
--- a/sidecar_balancer/admin/status_handlers.py
+++ b/sidecar_balancer/admin/status_handlers.py
@@ -1,4 +1,4 @@
-"""The admin API's read-only calls; their JSON is described in docs/on-call.md."""
+"""Read-only admin API calls; their JSON is described in docs/on-call.md."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from sidecar_balancer.runtime.engine import Engine
 from sidecar_balancer.upstream.endpoint_pool import EndpointPool
 
-if TYPE_CHECKING:  # loaded only where configured: starts cost CPU
+if TYPE_CHECKING:  # not imported at run time unless configured: imports cost CPU at start
     from sidecar_balancer.membership.bridge import MembershipBridge
     from sidecar_balancer.observability.latency import LatencyHistograms
     from sidecar_balancer.observability.logs import LogRateLimiter
 
 
 class StatusHandlers:
-    """Answers the calls that change nothing; each takes an unused name and returns the response's body."""
+    """Handles the read-only calls; each handler ignores its name and returns the response body."""
 
     def __init__(
         self,
@@ -50,18 +50,18 @@
         self.log_rate_limiter: LogRateLimiter | None = None
 
     def ready(self, _: str) -> None:
-        """Reject unless clients are accepted."""
+        """Reject the call unless this process accepts clients."""
         if not self._lifecycle.accepts_clients:
             raise RequestRejectedError(503, "this process takes no clients")
 
     def members(self, _: str) -> str:
-        """Return the membership of the tier and the servers that are disabled now."""
+        """Return the tier membership and the servers disabled now."""
         if self._bridge is None:
             raise RequestRejectedError(404, "the peer plane is off")
-        return json.dumps(self._bridge.describe() | {"excluded": sorted(self._disabled_servers.in_force)})
+        return json.dumps(self._bridge.describe() | {"excluded": sorted(self._disabled_servers.effective)})
 
     def status(self, _: str) -> str:
-        """Return the state of the sidecar at a glance; latencies in ms."""
+        """Return a summary of the sidecar's state; latencies in ms."""
         limiter, latencies = self.log_rate_limiter, self._latencies
         view = {
             "ready": self._lifecycle.accepts_clients and not self._frontend.draining,
@@ -89,7 +89,7 @@
         return json.dumps(zones_view(self._engine.balancer.zones, self._engine.clock.now()))
 
     def leases(self, _: str) -> str:
-        """Return the leases of the tier's duties."""
+        """Return the leases of the tier."""
         view = self._bridge.describe_leases() if self._bridge is not None else None
         if view is None:
             raise RequestRejectedError(404, "there are no duties: the peer plane or its leases are off")
--- a/sidecar_balancer/admin/tables.py
+++ b/sidecar_balancer/admin/tables.py
@@ -1,4 +1,4 @@
-"""Shows the admin server's responses to a person: tables, or indented JSON."""
+"""Human-readable formatting of admin API responses: tables or indented JSON."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def show_response(command: str, body: str) -> str:
-    """Return the text to print for a response to `command`; a body that is no JSON stays as it is."""
+    """Return the text to print for a response to `command`; a body that is not JSON is unchanged."""
     try:
         content = json.loads(body)
     except ValueError:
@@ -28,7 +28,7 @@
 
 
 def _table(rows: Rows) -> str:
-    """Return a table with a line for each row, its columns those of the first."""
+    """Return a table with one line per row; the first row determines the columns."""
     columns = list(next(iter(rows.values())))
     lines = [["", *columns]]
     for name, row in rows.items():
--- a/sidecar_balancer/admin/views.py
+++ b/sidecar_balancer/admin/views.py
@@ -1,4 +1,4 @@
-"""What operators see of a balancer, as JSON-ready objects under the names of the admin API."""
+"""Views of a balancer for operators: JSON-ready objects with the field names of the admin API."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def zones_view(zones: Zones, now_us: int) -> dict[str, Any]:
-    """Return each zone's state and the part of the requests that leaves the own one (docs/zones.md)."""
+    """Return the state of each zone and the share of requests that leave this one (docs/zones.md)."""
     view = {"on": zones.enabled, "here": zones.own_zone, "probing": zones.is_health_checker}
     if not zones.enabled:
         return view
@@ -37,7 +37,7 @@
 
 
 def state_summary(balancer: Balancer) -> str:
-    """Return the state that explains rejected requests, in one line."""
+    """Return a one-line summary of the state that explains rejected requests."""
     ready = balancer.ready_servers
     warming_up = sum(balancer.is_warming_up(server) for server in ready)
     return (
@@ -50,7 +50,7 @@
 
 
 def servers_view(balancer: Balancer, now_us: int) -> dict[str, dict[str, Any]]:
-    """Return the state of each listed server by its name; times in ms."""
+    """Return the state of each listed server by name; times in ms."""
     return {server.name: _server_view(balancer, server, now_us) for server in balancer.servers.values()}
 
 
--- a/sidecar_balancer/admin/zone_overrides.py
+++ b/sidecar_balancer/admin/zone_overrides.py
@@ -1,4 +1,4 @@
-"""Operators' overrides of zones: drain one, or keep it from being evacuated for its failures."""
+"""Operator overrides of zones: drain a zone, or prevent its evacuation because of failures."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 
 
 class ZoneOverrides:
-    """Brings the balancer in line with the stored overrides of zones."""
+    """Applies the stored zone overrides to the balancer."""
 
     def __init__(self, engine: Engine) -> None:
         self._engine = engine
-        self._in_force: dict[str, ZoneOverride] = {}
+        self._applied: dict[str, ZoneOverride] = {}
 
     @property
     def zones(self) -> Zones:
         """The zones of the balancer."""
         return self._engine.balancer.zones
 
-    def follow(self, stored: Mapping[str, str]) -> None:
-        """Apply the overrides, names as they are stored; names of no known override are ignored."""
+    def apply_stored(self, stored: Mapping[str, str]) -> None:
+        """Apply the stored override names by zone; unknown names are ignored."""
         overrides = {zone: _OVERRIDES[name] for zone, name in stored.items() if name in _OVERRIDES}
-        if overrides == self._in_force:
+        if overrides == self._applied:
             return
-        self._in_force = overrides
+        self._applied = overrides
         text = ", ".join(f"{zone} {name}" for zone, name in sorted(stored.items()))
         log.info("zone overrides: %s", text or "none", extra={"event": "zone_overrides_changed"})
         self._engine.handle(ZoneOverridesChanged(overrides))
