--- a/tests/admin/test_disabled_servers.py
+++ b/tests/admin/test_disabled_servers.py
@@ -1,4 +1,4 @@
-"""Operators disable servers: nothing new is sent there, in this process and in the next."""
+"""Disabled servers get no new requests, from this process and from the next one."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 REQUESTS = 20
 
 
-async def serve(sidecar_world: World) -> None:
+async def send_requests(sidecar_world: World) -> None:
     for _ in range(REQUESTS):
         assert (await sidecar_world.ask())[0] == 200
 
 
-async def serve_until_used(sidecar_world: World, number: int) -> None:
+async def send_requests_until_used(sidecar_world: World, number: int) -> None:
     while not sidecar_world.servers[number].requests:
         assert (await sidecar_world.ask())[0] == 200
 
 
-def test_a_disabled_server_gets_nothing_and_its_idle_connections_are_closed(tmp_path: Path) -> None:
+def test_a_disabled_server_gets_no_requests_and_its_idle_connections_are_closed(tmp_path: Path) -> None:
     async def scene() -> None:
         async with world(served, served, orders=tmp_path) as sidecar_world:
             disabled, other = sidecar_world.servers
-            await serve_until_used(sidecar_world, 0)
+            await send_requests_until_used(sidecar_world, 0)
             assert len(disabled.writers) - disabled.closed >= 1
             assert await call(sidecar_world, "PUT", "/api/exclude/s-0") == 200
             await until(lambda: disabled.closed == len(disabled.writers))
             before, others_before = len(disabled.requests), len(other.requests)
-            await serve(sidecar_world)
+            await send_requests(sidecar_world)
             assert len(disabled.requests) == before
             assert len(other.requests) == others_before + REQUESTS
 
@@ -42,7 +42,7 @@
         async with world(served, served, orders=tmp_path) as first:
             assert await call(first, "PUT", "/api/exclude/s-0") == 200
         async with world(served, served, orders=tmp_path) as second:  # the first ended without a shutdown
-            await serve(second)
+            await send_requests(second)
             assert not second.servers[0].requests
             assert await call(second, "PUT", "/api/include/s-0") == 200
             assert OperatorOverrides(tmp_path).load().disabled_servers == frozenset()
@@ -50,7 +50,7 @@
     play(scene())
 
 
-def test_of_two_processes_each_follows_the_calls_to_the_other(tmp_path: Path) -> None:
+def test_two_processes_apply_the_overrides_stored_by_each_other(tmp_path: Path) -> None:
     async def scene() -> None:
         async with world(served, orders=tmp_path) as one, world(served, orders=tmp_path) as two:
             assert await call(one, "PUT", "/api/exclude/s-0") == 200
@@ -63,7 +63,7 @@
     play(scene())
 
 
-def test_an_override_that_cannot_be_stored_is_rejected_and_not_in_force(tmp_path: Path) -> None:
+def test_an_override_that_cannot_be_stored_is_rejected_and_not_applied(tmp_path: Path) -> None:
     async def scene() -> None:
         (tmp_path / "excluded").write_text("junk")
         async with world(served, orders=tmp_path) as sidecar_world:
--- a/tests/admin/test_drain.py
+++ b/tests/admin/test_drain.py
@@ -1,4 +1,4 @@
-"""Operators drain a sidecar: clients are sent elsewhere while it serves what still arrives."""
+"""An operator drains a sidecar: clients are sent elsewhere while it still serves arriving requests."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
             for _ in range(2):
                 assert await call(sidecar_world, "PUT", "/api/evacuate") == 200
             assert await readiness(sidecar_world) == 503
-            used_writer.write(request())  # a late request is served, and its connection closed
+            used_writer.write(request())  # a late request is served, then its connection is closed
             status, headers, _ = await read_answer(used)
             assert (status, headers["connection"]) == (200, "close")
             assert await is_closed(used)
@@ -47,7 +47,7 @@
 def test_a_response_that_ends_its_connection_closes_it_without_lingering(
     data: bytes, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards descriptors and drains: only a request that was not read completely is lingered for.
+    # Protects descriptors and drains: a connection lingers only if its request was not read completely.
     lingered: list[object] = []
 
     def linger(connection: ClientConnection) -> None:
@@ -87,7 +87,7 @@
     play(scene())
 
 
-def test_a_drain_is_in_force_in_the_next_process_and_does_not_end_during_a_shutdown(tmp_path: Path) -> None:
+def test_a_drain_applies_in_the_next_process_and_does_not_end_during_a_shutdown(tmp_path: Path) -> None:
     async def scene() -> None:
         async with world(served, orders=tmp_path) as sidecar_world:
             assert await call(sidecar_world, "PUT", "/api/evacuate") == 200
--- a/tests/admin/test_operator_overrides.py
+++ b/tests/admin/test_operator_overrides.py
@@ -1,4 +1,4 @@
-"""The operators' overrides on disk."""
+"""Operator overrides on disk."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("server", NAMES)
-def test_a_server_of_any_name_is_disabled_and_enabled_any_number_of_times(
+def test_a_server_of_any_name_can_be_disabled_and_enabled_repeatedly(
     overrides: OperatorOverrides, server: str, tmp_path: Path
 ) -> None:
     for _ in range(2):
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize("zone", NAMES)
-def test_a_zone_has_its_last_override(overrides: OperatorOverrides, zone: str) -> None:
+def test_the_last_override_of_a_zone_replaces_earlier_ones(overrides: OperatorOverrides, zone: str) -> None:
     overrides.set_zone_override(zone, "drain")
     overrides.set_zone_override(zone, "pin")
     assert overrides.zone_overrides() == {zone: "pin"}
@@ -43,7 +43,7 @@
     assert overrides.zone_overrides() == {}
 
 
-def test_a_drain_is_started_and_ended_any_number_of_times(overrides: OperatorOverrides) -> None:
+def test_a_drain_can_be_started_and_ended_repeatedly(overrides: OperatorOverrides) -> None:
     for _ in range(2):
         overrides.start_drain()
     assert overrides.load() == (frozenset(), True)
--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -1,4 +1,4 @@
-"""The admin server over loopback: its routes, and connections that misbehave."""
+"""The admin server over loopback: its routes, and misbehaving connections."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
         ("nonsense", "", "", 400),
     ],
 )
-def test_each_call_has_its_status(method: str, path: str, head: str, status: int, tmp_path: Path) -> None:
+def test_each_call_returns_its_status(method: str, path: str, head: str, status: int, tmp_path: Path) -> None:
     async def scene() -> None:
         async with world(served, served, orders=tmp_path) as sidecar_world:
             assert await call(sidecar_world, method, path, head) == status
@@ -64,7 +64,7 @@
     play(scene())
 
 
-def test_callers_that_hold_connections_open_keep_no_other_call_out(tmp_path: Path) -> None:
+def test_callers_that_hold_connections_open_do_not_block_other_calls(tmp_path: Path) -> None:
     async def scene() -> None:
         async with world(served, orders=tmp_path) as sidecar_world:
             address = admin_server(sidecar_world).address
--- a/tests/admin/test_views.py
+++ b/tests/admin/test_views.py
@@ -1,4 +1,4 @@
-"""The views of a balancer in the admin API."""
+"""The admin API's views of a balancer."""
 
 from __future__ import annotations
 
--- a/tests/persistence/test_persister.py
+++ b/tests/persistence/test_persister.py
@@ -1,4 +1,4 @@
-"""The state persister on a disk that fails."""
+"""The state persister with a failing disk."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @pytest.fixture
 def driver() -> BalancerDriver:
-    """A balancer that has served requests with two servers."""
+    """A driver whose balancer has served requests with two servers."""
     driver = BalancerDriver()
     driver.receive_list(["s-1", "s-2"])
     driver.serve_traffic(10)
@@ -31,14 +31,14 @@
     return persister
 
 
-def fill_disk(patch: pytest.MonkeyPatch) -> None:
-    def full(_: int) -> None:
+def simulate_full_disk(patch: pytest.MonkeyPatch) -> None:
+    def raise_no_space(_: int) -> None:
         raise OSError(errno.ENOSPC, "no space left")
 
-    patch.setattr(os, "fsync", full)
+    patch.setattr(os, "fsync", raise_no_space)
 
 
-def test_a_full_disk_is_logged_once_and_the_state_written_once_it_has_space(
+def test_a_full_disk_is_logged_once_and_the_state_is_written_after_space_is_freed(
     driver: BalancerDriver,
     persister: StatePersister,
     tmp_path: Path,
@@ -46,7 +46,7 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     with monkeypatch.context() as patch:
-        fill_disk(patch)
+        simulate_full_disk(patch)
         for _ in range(5):
             persister.persist(driver.balancer, driver.now, None, None)
     assert [record.levelname for record in caplog.records].count("ERROR") == 1
--- a/tests/persistence/test_snapshot.py
+++ b/tests/persistence/test_snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshot files: complete ones are read, truncated ones up to the cut, foreign or damaged ones rejected."""
+"""Snapshot files: complete files are read, truncated ones in part, foreign or damaged ones are rejected."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
     assert not (tmp_path / "s.new").exists()
 
 
-def test_a_missing_file_is_a_complete_snapshot_without_records(tmp_path: Path) -> None:
+def test_a_missing_file_reads_as_a_complete_snapshot_without_records(tmp_path: Path) -> None:
     assert snapshot.load(tmp_path / "none", 10) == snapshot.SnapshotContent([], True, 0)
 
 
-def test_a_file_truncated_at_any_byte_gives_its_first_records() -> None:
+def test_a_file_truncated_at_any_byte_yields_its_first_records() -> None:
     for length in range(len(PACKED)):
         content = snapshot.unpack(PACKED[:length])
         assert not content.is_complete
@@ -74,7 +74,7 @@
 
 
 @given(st.lists(st.binary(max_size=40), max_size=6), st.integers(0, 400), st.binary(max_size=8))
-def test_any_cut_with_any_tail_gives_the_first_records_or_is_rejected(
+def test_a_file_truncated_and_extended_by_any_bytes_yields_its_first_records_or_is_rejected(
     records: list[bytes], length: int, tail: bytes
 ) -> None:
     data = snapshot.pack(records)[:length] + tail
@@ -85,9 +85,9 @@
     assert content.records == records[: len(content.records)]
 
 
-def test_a_failed_write_raises_and_leaves_the_old_snapshot(tmp_path: Path) -> None:
+def test_a_failed_write_raises_and_keeps_the_old_snapshot(tmp_path: Path) -> None:
     snapshot.write(tmp_path / "s", RECORDS)
-    (tmp_path / "s.new").mkdir()  # the temporary file can't be made
+    (tmp_path / "s.new").mkdir()  # the temporary file cannot be created
     with pytest.raises(IsADirectoryError):
         snapshot.write(tmp_path / "s", [b"new"])
     assert snapshot.load(tmp_path / "s", MAX_BYTES).records == RECORDS
--- a/tests/persistence/test_store.py
+++ b/tests/persistence/test_store.py
@@ -1,4 +1,4 @@
-"""The store: whatever happened to its files, the records read are a state that was once written, or none."""
+"""The store: whatever happened to its files, it loads records that were once written, or none."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 Records = dict[str, bytes]
 
 
-def opened(folder: Path, max_bytes: int = MAX_BYTES) -> Store:
+def open_store(folder: Path, max_bytes: int = MAX_BYTES) -> Store:
     store = Store(folder, max_bytes)
     store.open()
     return store
 
 
-def load(folder: Path) -> LoadedRecords:
+def load_records(folder: Path) -> LoadedRecords:
     return Store(folder, MAX_BYTES).open()
 
 
@@ -36,7 +36,7 @@
 
     folder: Path
     store: Store
-    states: list[Records]  # that were on disk, one after another
+    states: list[Records]  # the records after each flush
 
     def path(self, suffix: str) -> Path:
         return self.folder / f"state-{self.store.incarnation}.{suffix}"
@@ -44,7 +44,7 @@
 
 @pytest.fixture
 def written(tmp_path: Path) -> WrittenStore:
-    store = opened(tmp_path)
+    store = open_store(tmp_path)
     states: list[Records] = []
     for number in range(4):
         store.put(f"server/{number}", bytes([number]) * (number + 1))
@@ -56,7 +56,7 @@
 
 
 def states_between(states: list[Records]) -> list[Records]:
-    """The states that any prefix of the log stands for: each change applied in turn."""
+    """Return the states after each change of the log, applied in order."""
     seen, current = [dict(states[0])], dict(states[0])
     for before, after in pairwise(states):
         for key in [key for key in [*after, *before] if before.get(key) != after.get(key)]:
@@ -67,23 +67,23 @@
     return seen
 
 
-def full_disk(_: int) -> None:
+def raise_no_space(_: int) -> None:
     raise OSError(errno.ENOSPC, "no space left")
 
 
-def test_a_log_truncated_at_any_byte_gives_a_state_on_the_way(tmp_path: Path, written: WrittenStore) -> None:
+def test_a_log_truncated_anywhere_yields_an_intermediate_state(tmp_path: Path, written: WrittenStore) -> None:
     states = written.states
     log = written.path("log")
     content = log.read_bytes()
-    assert load(tmp_path).records == states[-1]
+    assert load_records(tmp_path).records == states[-1]
     for length in range(len(content)):
         log.write_bytes(content[:length])
-        found = load(tmp_path)
-        assert set(found.records.items()) <= set().union(*(state.items() for state in states))
-        assert found.records in [*states, *states_between(states)] or len(found.notes) == 1
+        loaded = load_records(tmp_path)
+        assert set(loaded.records.items()) <= set().union(*(state.items() for state in states))
+        assert loaded.records in [*states, *states_between(states)] or len(loaded.notes) == 1
 
 
-def test_a_snapshot_truncated_at_any_byte_gives_its_first_records(
+def test_a_snapshot_truncated_at_any_byte_yields_its_first_records(
     tmp_path: Path, written: WrittenStore
 ) -> None:
     path = written.path("snap")
@@ -91,9 +91,9 @@
     written.path("log").unlink()
     for length in range(len(content)):
         path.write_bytes(content[:length])
-        found = load(tmp_path)
-        assert list(found.records.items()) == list(written.states[0].items())[: len(found.records)]
-        assert len(found.notes) == 1
+        loaded = load_records(tmp_path)
+        assert list(loaded.records.items()) == list(written.states[0].items())[: len(loaded.records)]
+        assert len(loaded.notes) == 1
 
 
 @pytest.mark.parametrize("suffix", ["snap", "log"])
@@ -107,9 +107,9 @@
         damaged = bytearray(content)
         damaged[offset] ^= 1 << offset % 8
         path.write_bytes(damaged)
-        found = load(tmp_path)
-        assert set(found.records.items()) <= known
-        assert found.notes
+        loaded = load_records(tmp_path)
+        assert set(loaded.records.items()) <= known
+        assert loaded.notes
 
 
 @given(st.binary(max_size=300), st.binary(max_size=300))
@@ -119,56 +119,56 @@
     folder = tmp_path_factory.mktemp("any")
     (folder / "state-3.snap").write_bytes(snapshot_content)
     (folder / "state-3.log").write_bytes(log_content)
-    assert load(folder).records == {}
+    assert load_records(folder).records == {}
     shutil.rmtree(folder)
 
 
-def test_a_snapshot_of_another_version_is_rejected_for_an_older_incarnation(
+def test_a_snapshot_of_another_version_is_rejected_and_an_older_incarnation_loaded(
     tmp_path: Path, written: WrittenStore
 ) -> None:
     newer = snapshot.pack([msgpack.packb([9, 1])])
     (tmp_path / "state-9.snap").write_bytes(newer[:9] + b"\x63" + newer[10:])
-    found = load(tmp_path)
-    assert found.records == written.states[-1]
-    assert "version" in found.notes[0]
+    loaded = load_records(tmp_path)
+    assert loaded.records == written.states[-1]
+    assert "version" in loaded.notes[0]
 
 
-def test_a_snapshot_of_another_layout_is_rejected_for_an_older_incarnation(
+def test_a_snapshot_of_another_layout_is_rejected_and_an_older_incarnation_loaded(
     tmp_path: Path, written: WrittenStore
 ) -> None:
     (tmp_path / "state-9.snap").write_bytes(snapshot.pack([b"junk"]))
-    assert load(tmp_path).records == written.states[-1]
+    assert load_records(tmp_path).records == written.states[-1]
     assert written.store.incarnation == 1
 
 
-def test_of_two_processes_the_older_stops_writing_once_the_newer_has_written(tmp_path: Path) -> None:
-    older = opened(tmp_path)
+def test_the_older_of_two_processes_stops_writing_once_the_newer_has_written(tmp_path: Path) -> None:
+    older = open_store(tmp_path)
     older.put("usual", b"old")
     older.flush()
-    newer = opened(tmp_path)
+    newer = open_store(tmp_path)
     assert newer.records() == {"usual": b"old"}
     newer.put("usual", b"new")
     newer.flush()
     older.put("usual", b"late")
     older.flush()
     assert older.is_superseded
-    assert load(tmp_path).records == {"usual": b"new"}
+    assert load_records(tmp_path).records == {"usual": b"new"}
 
 
 def test_after_a_full_disk_the_next_flush_writes_all_changes(
     tmp_path: Path, written: WrittenStore, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     with monkeypatch.context() as patch:
-        patch.setattr(os, "fsync", full_disk)
+        patch.setattr(os, "fsync", raise_no_space)
         written.store.put("usual", b"later")
         with pytest.raises(OSError, match="no space left"):
             written.store.flush()
     written.store.flush()
-    assert load(tmp_path).records == written.states[-1] | {"usual": b"later"}
+    assert load_records(tmp_path).records == written.states[-1] | {"usual": b"later"}
 
 
 def test_the_size_on_disk_is_bounded(tmp_path: Path) -> None:
-    store = opened(tmp_path, 64 * 1024)
+    store = open_store(tmp_path, 64 * 1024)
     for number in range(3000):
         store.put(f"server/{number % 700}", bytes([number % 251]) * 64)
         if number % 10 == 0:
