--- a/sidecar_balancer/persistence/persister.py
+++ b/sidecar_balancer/persistence/persister.py
@@ -44,7 +44,7 @@
         state = state_records.decode(loaded.records)
         self._restore_tier_snapshot(state)
         log.info(
-            "state: incarnation %d, %d records, %d servers and %d verdicts recalled",
+            "state: incarnation %d, %d records, %d servers and %d verdicts restored",
             self.store.incarnation,
             len(loaded.records),
             len(state.learned.servers),
--- a/sidecar_balancer/persistence/tier_snapshot.py
+++ b/sidecar_balancer/persistence/tier_snapshot.py
@@ -27,7 +27,7 @@
 
 
 def write(folder: Path, token: int, records: dict[str, bytes]) -> bool:
-    """Write a snapshot under `token` and return True; if a newer token was used, write nothing, return False.
+    """Write a snapshot under `token`; if a newer token was used, write nothing and return False.
 
     Raise OSError on failure.
     """
--- a/tests/cluster/test_recovery.py
+++ b/tests/cluster/test_recovery.py
@@ -58,7 +58,7 @@
         await cluster.tier.wait_until(lambda: is_logged(tmp_path, 0, "ejected a-0"))
         await cluster.tier.wait_until(lambda: is_ejection_on_disk(tmp_path, "a-0"))
         await kill_and_start(cluster, 0)
-        assert "servers and 0 verdicts recalled" in log_of(tmp_path, 0)
+        assert "servers and 0 verdicts restored" in log_of(tmp_path, 0)
         assert "ejected a-0: recalled" in log_of(tmp_path, 0)
         restarted_at = asyncio.get_running_loop().time()
         await cluster.load.wait_for_responses(100)
