--- a/sidecar_balancer/admin/views.py
+++ b/sidecar_balancer/admin/views.py
@@ -12,7 +12,7 @@
 
 
 def zones_view(zones: Zones, now_us: int) -> dict[str, Any]:
-    """Return the state of each zone and the share of requests that leave this one (docs/zones.md)."""
+    """Return the state of each zone and the share of requests that leave the own zone (docs/zones.md)."""
     view = {"on": zones.enabled, "here": zones.own_zone, "probing": zones.is_health_checker}
     if not zones.enabled:
         return view
