--- a/sidecar_balancer/admin/disabled_servers.py
+++ b/sidecar_balancer/admin/disabled_servers.py
@@ -31,7 +31,7 @@
         engine.executors[ApplyDisabledServers] = self._apply
 
     @property
-    def by_own_overrides(self) -> frozenset[str]:
+    def locally_disabled(self) -> frozenset[str]:
         """The servers disabled by this sidecar's own overrides."""
         return self._locally_disabled
 
--- a/sidecar_balancer/discovery/endpoint_list.py
+++ b/sidecar_balancer/discovery/endpoint_list.py
@@ -53,7 +53,7 @@
     first_fault = ""
 
 
-def read_list(body: bytes) -> ListUpdate:
+def decode_list(body: bytes) -> ListUpdate:
     """Decode a body and read it as `parse_list` does.
 
     Each entry is read as it is decoded, so that only the list itself takes memory.
@@ -89,7 +89,7 @@
 
 
 def parse_list(decoded: object) -> ListUpdate:
-    """Read a list from decoded JSON, or from the entries that `read_list` has read already.
+    """Read a list from decoded JSON, or from the entries that `decode_list` has read already.
 
     Malformed entries are skipped with one log line.  A full list with such entries is read as a delta: an
     absent server may be one that could not be read.
--- a/tests/persistence/test_store.py
+++ b/tests/persistence/test_store.py
@@ -80,7 +80,7 @@
         log.write_bytes(content[:length])
         loaded = load_records(tmp_path)
         assert set(loaded.records.items()) <= set().union(*(state.items() for state in states))
-        assert loaded.records in [*states, *states_between(states)] or len(loaded.notes) == 1
+        assert loaded.records in [*states, *states_between(states)] or len(loaded.warnings) == 1
 
 
 def test_a_snapshot_truncated_at_any_byte_yields_its_first_records(
@@ -93,7 +93,7 @@
         path.write_bytes(content[:length])
         loaded = load_records(tmp_path)
         assert list(loaded.records.items()) == list(written.states[0].items())[: len(loaded.records)]
-        assert len(loaded.notes) == 1
+        assert len(loaded.warnings) == 1
 
 
 @pytest.mark.parametrize("suffix", ["snap", "log"])
@@ -109,7 +109,7 @@
         path.write_bytes(damaged)
         loaded = load_records(tmp_path)
         assert set(loaded.records.items()) <= known
-        assert loaded.notes
+        assert loaded.warnings
 
 
 @given(st.binary(max_size=300), st.binary(max_size=300))
@@ -130,7 +130,7 @@
     (tmp_path / "state-9.snap").write_bytes(newer[:9] + b"\x63" + newer[10:])
     loaded = load_records(tmp_path)
     assert loaded.records == written.states[-1]
-    assert "version" in loaded.notes[0]
+    assert "version" in loaded.warnings[0]
 
 
 def test_a_snapshot_of_another_layout_is_rejected_and_an_older_incarnation_loaded(
--- a/tests/persistence/test_tier_snapshot.py
+++ b/tests/persistence/test_tier_snapshot.py
@@ -24,4 +24,4 @@
     assert tier_snapshot.write(tmp_path, 6, {"usual": b"b"})
     (tmp_path / "tier-9.snap").write_bytes(b"junk that is long enough")
     content = tier_snapshot.read(tmp_path, MAX_BYTES)
-    assert (content.token, content.records, len(content.notes)) == (6, {"usual": b"b"}, 1)
+    assert (content.token, content.records, len(content.warnings)) == (6, {"usual": b"b"}, 1)
