--- a/sidecar_balancer/persistence/persister.py
+++ b/sidecar_balancer/persistence/persister.py
@@ -159,5 +159,5 @@
 
 
 def _log_rejected_files(warnings: list[str] | tuple[str, ...]) -> None:
-    for note in warnings:
-        log.warning("state: %s", note, extra={"event": "state_file_rejected"})
+    for warning in warnings:
+        log.warning("state: %s", warning, extra={"event": "state_file_rejected"})
