--- a/sidecar_balancer/discovery/client.py
+++ b/sidecar_balancer/discovery/client.py
@@ -1,7 +1,7 @@
-"""The discovery client: keeps a watch on the endpoint list and fetches the full list on request.
+"""The discovery client: watches the endpoint list for changes and fetches the full list on request.
 
-A poll goes to the registry or, where relays are configured, to one of them (docs/relay.md).  When a watch is
-wanted is not decided here.
+Polls go to the registry or, if relays are configured, to one of them (docs/relay.md).  The client's owner
+decides when to watch.
 """
 
 from __future__ import annotations
@@ -25,16 +25,16 @@
 
 log = logging.getLogger(__name__)
 
-EMPTY_POLL_PAUSE_S = 0.1  # after a poll that returned early and empty; past 200 ms it would be a new watch
+EMPTY_POLL_PAUSE_S = 0.1  # after an early, empty response; a poll over 200 ms later counts as a new watch
 
 
 @dataclass(frozen=True, slots=True)
 class SourceStatus:
-    """Where the list comes from, in the form of the admin API."""
+    """The source and the age of the endpoint list, as the admin API reports them."""
 
     address: str
-    index: int | None  # version of the list held
-    age_s: float | None  # how old the list is at most; None: no source has answered yet
+    index: int | None  # version of the current list
+    age_s: float | None  # upper bound of the list's age; None: no source has answered yet
     sources: int
 
 
@@ -46,10 +46,11 @@
 
 
 class DiscoveryClient:
-    """Watches the list while that is wanted; each poll has a connection of its own.
+    """Polls sources for the endpoint list and notifies its owner of updates.
 
-    A watch that is wanted always runs or has a restart planned: its owner, notified that it ended, begins
-    another, and should the owner not do so, it restarts by itself after `restart_after_s`.
+    Each poll uses a connection of its own.  While the client is to watch, its watch either runs or has a
+    restart scheduled: the owner is notified when a watch has failed and starts another one; otherwise the
+    watch restarts by itself after `restart_after_s`.
     """
 
     def __init__(
@@ -62,63 +63,63 @@
         poll_times: PollTimes | None = None,
         min_wait_ms: int | None = None,
     ) -> None:
-        """Watch from `version` on (None: no list is held) at the first of `sources` that answers.
+        """Create a client that polls the first of `sources` that responds; `set_watching` starts it.
 
         Args:
             sources: Addresses in order of preference.
-            version: Version of the list held; None: no list is held.
-            notify: Called with each update, and with `PollFailed` once all sources failed.
-            restart_after_s: When a watch that ended restarts without its owner.
-            random_fraction: Draws from 0 to 1.
+            version: Version of the current list; None: there is none.
+            notify: Called with each update, and with `PollFailed` once all sources have failed.
+            restart_after_s: Delay after which an ended watch restarts if its owner has not restarted it.
+            random_fraction: Returns a random number from 0 to 1.
             poll_times: Bounds how long input may have waited unread.
-            min_wait_ms: The shortest wait of a poll; None: as the protocol's timing has it.
+            min_wait_ms: Shortest time for which a poll asks the source to wait; None: the default.
         """
         self._sources = SourceSelector(sources, random_fraction)
         self._state = WatchState(version, random_fraction, min_wait_ms)
         self._notify = notify
         self._random_fraction = random_fraction
         self._poll_times = poll_times or PollTimes(math.inf)
-        self._generation = 0  # of the sources; responses to polls of an earlier one are dropped
+        self._generation = 0  # counts replacements of the sources; responses to earlier polls are dropped
         self._is_closed = False
         self._watch = RestartingTask(self._run_watch, restart_after_s)
         self._fetches: set[asyncio.Task[bool]] = set()
 
     @property
     def is_watching(self) -> bool:
-        """Whether a watch is under way."""
+        """Whether a watch is running."""
         return self._watch.is_running
 
     @property
     def is_fetching(self) -> bool:
-        """Whether a fetch of the full list is under way."""
+        """Whether a fetch of the full list is in progress."""
         return bool(self._fetches)
 
     @property
     def source_generation(self) -> int:
-        """How often the sources have been replaced."""
+        """Number of times that the sources have been replaced."""
         return self._generation
 
     def source_key(self) -> str:
-        """Return the addresses of all sources, by which a list is recognized after a restart."""
+        """Return the sorted addresses of all sources; they identify the source of a persisted list."""
         return ",".join("{}:{}".format(*address) for address in sorted(self._sources.addresses))
 
     def as_of(self) -> float:
-        """Return when the list held was current, on the event loop's clock; -inf before any response."""
+        """Return when the list was last up to date, on the event loop's clock; -inf before any response."""
         return self._state.as_of
 
     def status(self) -> SourceStatus:
-        """Return where the list comes from and how old it is."""
+        """Return the source and the age of the list."""
         age_s = asyncio.get_running_loop().time() - self._state.as_of
         address = "{}:{}".format(*self._sources.current)
         known_age_s = round(age_s, 3) if math.isfinite(age_s) else None
         return SourceStatus(address, self._state.version, known_age_s, len(self._sources.addresses))
 
     def resume_from(self, version: int) -> None:
-        """Poll for the changes since a version that was persisted; call it before the first poll."""
+        """Continue from a persisted version; call this before the first poll."""
         self._state.version = version
 
     def set_watching(self, wanted: bool) -> None:
-        """Begin a watch or end it; one that is under way goes on."""
+        """Start a watch unless one is running, or stop it."""
         if not wanted:
             self.stop()
         elif not self._is_closed:
@@ -131,10 +132,10 @@
         task.add_done_callback(self._fetches.discard)
 
     def replace_sources(self, sources: Sequence[Address]) -> bool:
-        """Watch other sources from now on, beginning with the full list.
+        """Switch to other sources and request the full list from them.
 
         Returns:
-            Whether the sources differ and the client is not closed.
+            Whether the client has switched: the sources differ and the client is not closed.
         """
         if list(sources) == self._sources.addresses or self._is_closed:
             return False
@@ -146,11 +147,11 @@
         return True
 
     def stop(self) -> None:
-        """End the watch; no restart is planned any more."""
+        """Stop the watch and cancel its scheduled restart."""
         self._watch.stop()
 
     async def close(self) -> None:
-        """End all polls for good."""
+        """Cancel all polls; no new watch starts afterwards."""
         self._is_closed = True
         tasks = [task for task in (self._watch.stop(), *self._fetches) if task is not None]
         for task in tasks:
@@ -160,23 +161,21 @@
     # Watches
 
     async def _run_watch(self) -> None:
-        """Poll again as soon as a poll is answered."""
+        """Poll repeatedly, each time as soon as the previous poll is answered."""
         loop = asyncio.get_running_loop()
         while True:
             if self._sources.return_to_preferred(loop.time()):
-                self._record_source_switch("it is preferred")
+                self._record_source_switch("returning to the preferred source")
             started_at, version = loop.time(), self._state.version
             if not await self._poll(self._state.next_poll(has_relays=len(self._sources.addresses) > 1)):
                 return
             if self._state.version == version and loop.time() < started_at + EMPTY_POLL_PAUSE_S:
-                await asyncio.sleep(
-                    EMPTY_POLL_PAUSE_S
-                )  # guards against spinning on a service that does not wait
+                await asyncio.sleep(EMPTY_POLL_PAUSE_S)  # avoids a busy loop on a source that does not wait
 
     # One poll
 
     async def _poll(self, poll: Poll) -> bool:
-        """Poll the current source and process the result; return whether the watch may go on."""
+        """Poll the current source and process the result; return whether the watch continues."""
         loop = asyncio.get_running_loop()
         generation, tag, started_at = self._generation, self._state.tag, loop.time()
         result = await self._attempt(poll)
@@ -187,8 +186,8 @@
             return self._process_failure(result)
         self._state.record_poll(timed_out=False)
         if result.age_s is not None:
-            is_since_tag = tag is not None and poll.after is not None and not result.update.complete
-            return self._process_relay_response(result, result.age_s, is_since_tag)
+            is_delta_from_tag = tag is not None and poll.after is not None and not result.update.complete
+            return self._process_relay_response(result, result.age_s, is_delta_from_tag)
         return await self._process_registry_response(poll, result)
 
     async def _attempt(self, poll: Poll) -> ListResponse | _Failure:
@@ -198,8 +197,8 @@
         except (OSError, ValueError) as error:
             return _Failure(str(error) or type(error).__name__, isinstance(error, TimeoutError))
         except Exception:
-            log.exception("a poll of discovery failed", extra={"event": "discovery_poll_defect"})
-            return _Failure("a defect", timed_out=False)
+            log.exception("unexpected error in a poll of discovery", extra={"event": "discovery_poll_defect"})
+            return _Failure("unexpected error", timed_out=False)
 
     async def _request(self, poll: Poll) -> ListResponse:
         async with connect_to_source(self._sources.current) as connection:
@@ -213,7 +212,7 @@
             summary = result.reason
         else:
             update = result.update
-            kind = ", the full list" if update.complete else ""
+            kind = ", full list" if update.complete else ""
             summary = f"version {update.version}, {len(update.entries)} entries{kind}"
         log.info("discovery: %.100s after %.1f s", summary, elapsed_s, extra={"event": "discovery_polled"})
 
@@ -229,54 +228,54 @@
         update = response.update
         if poll.after is not None and update.version < poll.after:
             log.warning(
-                "discovery went back from version %d: the full list is requested",
+                "discovery returned a version lower than %d; requesting the full list",
                 poll.after,
                 extra={"event": "discovery_version_decreased"},
             )
             self._state.discard_version()
-            await asyncio.sleep(EMPTY_POLL_PAUSE_S)  # guards against spinning on a service that always does
+            await asyncio.sleep(EMPTY_POLL_PAUSE_S)  # avoids a busy loop if every response is like this
             return True
-        self._state.confirm(self._arrived_at())
+        self._state.record_as_of(self._earliest_arrival())
         now = asyncio.get_running_loop().time()
         self._sources.record_response(now, self._state.as_of, is_fresh=True)
         return self._apply(update, tag=None)
 
-    def _process_relay_response(self, response: ListResponse, age_s: float, is_since_tag: bool) -> bool:
-        """Apply a relay's response unless the list held is newer; leave the relay if its list is stale.
+    def _process_relay_response(self, response: ListResponse, age_s: float, is_delta_from_tag: bool) -> bool:
+        """Apply a relay's response unless the current list is newer; leave the relay if its list is stale.
 
-        `is_since_tag`: the response holds the changes since the list held, which the relay knew by its tag.
+        `is_delta_from_tag`: the response holds the changes since the current list, whose tag the relay knew.
         """
-        now, as_of = asyncio.get_running_loop().time(), self._arrived_at() - age_s
-        if not is_since_tag and self._state.is_outdated(response.update.version, as_of):
+        now, as_of = asyncio.get_running_loop().time(), self._earliest_arrival() - age_s
+        if not is_delta_from_tag and self._state.is_outdated(response.update.version, as_of):
             if self._sources.record_response(now, as_of, is_fresh=False):
-                self._record_source_switch(f"its list is of {now - as_of:.1f} s ago, older than the one held")
+                self._record_source_switch(f"the previous source's list is outdated, {now - as_of:.1f} s old")
             return True
-        self._state.confirm(as_of)
+        self._state.record_as_of(as_of)
         if not self._apply(response.update, response.tag):
             return False
         if self._sources.record_response(now, as_of, is_fresh=age_s <= STALE_AFTER_S):
-            self._record_source_switch(f"it last heard from the registry {age_s:.1f} s ago")
+            self._record_source_switch(f"the previous source last heard from the registry {age_s:.1f} s ago")
         return True
 
-    def _arrived_at(self) -> float:
-        """Return the earliest time at which the input of this loop turn can have arrived."""
+    def _earliest_arrival(self) -> float:
+        """Return the earliest time at which the input of this event loop iteration can have arrived."""
         return min(asyncio.get_running_loop().time(), self._poll_times.unread_since)
 
     def _record_source_switch(self, reason: str) -> None:
         self._state.record_source_switch()
         extra = {"event": "discovery_source"}
-        log.warning("discovery: now at %s:%d: %.100s", *self._sources.current, reason, extra=extra)
+        log.warning("discovery: switched to %s:%d (%.100s)", *self._sources.current, reason, extra=extra)
 
     # Notifications
 
     def _apply(self, update: ListUpdate, tag: str | None) -> bool:
-        """Notify the owner of an update; return whether it was applied."""
+        """Notify the owner of an update; return whether the owner applied it."""
         self._state.record_list(update.version, tag)
         try:
             self._notify(update)
         except Exception:
             log.exception(
-                "the list could not be applied: the full list is requested",
+                "failed to apply an update of the endpoint list; requesting the full list",
                 extra={"event": "discovery_update_failed"},
             )
             self._state.record_list(None, None)
@@ -285,7 +284,7 @@
         return True
 
     def _notify_failure_soon(self, timed_out: bool) -> None:
-        """Notify the owner once this watch is over, so that another may begin."""
+        """Notify the owner after this watch has ended, so that the owner can start another one."""
         asyncio.get_running_loop().call_soon(self._notify_failure, self._generation, timed_out)
 
     def _notify_failure(self, generation: int, timed_out: bool) -> None:
--- a/sidecar_balancer/discovery/endpoint_list.py
+++ b/sidecar_balancer/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: reading and writing discovery's published form, and applying updates."""
+"""The endpoint list: reading and writing discovery's published JSON format, and applying updates."""
 
 from __future__ import annotations
 
@@ -16,8 +16,9 @@
 
 log = logging.getLogger(__name__)
 
-MAX_LIST_BYTES = 8 * 1024 * 1024  # of a body: some 50,000 servers
-# A list has one array, and few members to an object; other bodies would take many times their size in memory.
+MAX_LIST_BYTES = 8 * 1024 * 1024  # of a response body; enough for some 50,000 servers
+# Limits that are checked before decoding: a valid list has one array and few members per object, while other
+# bodies could take many times their size in memory when decoded.
 _MAX_OTHER_ARRAYS = 16
 _MAX_MEMBERS_PER_OBJECT = 32
 
@@ -27,12 +28,12 @@
     "left": ServerState.REMOVED,
 }
 _STATUS_BY_STATE = {state: status for status, state in _STATE_BY_STATUS.items()}
-_ENTRY_ERRORS = (ValueError, TypeError, KeyError, AttributeError)  # of reading an entry
+_ENTRY_ERRORS = (ValueError, TypeError, KeyError, AttributeError)  # raised on malformed entries
 
 
 @dataclass(slots=True)
 class ListEntry:
-    """A server of the list, with the address that it has for this sidecar."""
+    """A listed server and the address at which this sidecar reaches it."""
 
     server: ListedServer
     address: Address | None
@@ -40,7 +41,7 @@
 
 @dataclass(slots=True)
 class ListUpdate:
-    """A response of discovery: the full list (a snapshot) or what changed (a delta)."""
+    """A response of discovery: the full list (a snapshot) or the changed entries (a delta)."""
 
     version: int
     complete: bool
@@ -48,18 +49,18 @@
 
 
 class _UnreadableEntry:
-    """Stands for all entries of a body that could not be read; `first_fault` describes the first."""
+    """Placeholder for all malformed entries of a body; `first_fault` describes the first one."""
 
     first_fault = ""
 
 
 def read_list(body: bytes) -> ListUpdate:
-    """Decode a body and read it as `parse_list` does.
+    """Decode a JSON body and convert it to a list update, as `parse_list` does.
 
-    Each entry is read as it is decoded, so that only the list itself takes memory.
+    Each entry is converted as soon as it is decoded, so that the decoded JSON is never in memory as a whole.
 
     Raises:
-        MalformedListError: The body is no JSON, nested too deep, or no endpoint list.
+        MalformedListError: The body is not JSON, is nested too deeply or is not an endpoint list.
     """
     _check_structure(body)
     unreadable = _UnreadableEntry()
@@ -85,29 +86,29 @@
     max_objects = body.count(b"{") + 1
     too_many_arrays = body.count(b"[") > max_objects + _MAX_OTHER_ARRAYS
     if too_many_arrays or body.count(b",") > max_objects * _MAX_MEMBERS_PER_OBJECT:
-        raise MalformedListError("a list of servers has one array of objects")
+        raise MalformedListError("expected one array of objects, got too many arrays or members")
 
 
 def parse_list(decoded: object) -> ListUpdate:
-    """Read a list from decoded JSON, or from the entries that `read_list` has read already.
+    """Convert decoded JSON to a list update; `read_list` may have converted its entries already.
 
-    Malformed entries are skipped with one log line.  A full list with such entries is read as a delta: an
-    absent server may be one that could not be read.
+    Malformed entries are skipped, with one log line for all of them.  A full list with malformed entries is
+    treated as a delta, because a server that seems absent may be one of them.
 
     Raises:
-        MalformedListError: It is no endpoint list at all.
+        MalformedListError: The value is not an endpoint list at all.
     """
     if not isinstance(decoded, Mapping) or not isinstance(decoded.get("endpoints"), list):
-        raise MalformedListError("a list of servers is an object with endpoints")
+        raise MalformedListError("expected an object with an array of endpoints")
     version = decoded.get("index")
     if type(version) is not int:
-        raise MalformedListError("index: a whole number is needed")
+        raise MalformedListError("index: expected an integer")
     listed = decoded["endpoints"]
     entries, first_fault = _read_entries(listed)
     skipped = len(listed) - len(entries)
     if skipped:
         log.warning(
-            "%d of %d list entries skipped, first %s",
+            "skipped %d of %d list entries as malformed; the first: %s",
             skipped,
             len(listed),
             first_fault,
@@ -117,7 +118,7 @@
 
 
 def _read_entries(listed: list[Any]) -> tuple[list[ListEntry], str]:
-    """Return the entries that could be read, and a description of the first that could not."""
+    """Return the well-formed entries, and a description of the first malformed one."""
     entries: list[ListEntry] = []
     first_fault = ""
     for entry in listed:
@@ -141,12 +142,12 @@
     name, zone, kind = members["name"], members.get("zone", ""), members.get("type", "")
     cell, weight, since_ms = members.get("group", 0), members.get("weight", 1.0), members.get("since_ms", 0)
     if not all(isinstance(text, str) for text in (name, zone, kind)) or not name:
-        raise MalformedEntryError("name, zone and type must be texts")
+        raise MalformedEntryError("name, zone and type must be strings, and name must not be empty")
     if type(cell) is not int or type(since_ms) is not int or since_ms < 0:
-        raise MalformedEntryError("group and since_ms must be whole numbers")
+        raise MalformedEntryError("group and since_ms must be integers, and since_ms must not be negative")
     if isinstance(weight, bool) or not isinstance(weight, int | float) or not math.isfinite(weight):
-        raise MalformedEntryError("weight must be a number")
-    # A server of an unknown status gets no new requests.
+        raise MalformedEntryError("weight must be a finite number")
+    # A server with an unknown status gets no new requests.
     state = _STATE_BY_STATUS.get(members["status"], ServerState.DRAINING)
     started_at_us = since_ms * 1000 or None
     server = ListedServer(name, zone, kind, cell, state, float(weight), started_at_us)
@@ -154,7 +155,10 @@
 
 
 def _read_address(value: object, state: ServerState) -> Address | None:
-    """Read a server's address; one that gets no new requests needs none, and its removal must not be lost."""
+    """Parse a server's address; return None if it is malformed and the server gets no new requests.
+
+    Such a server needs no address, and skipping its entry would lose its draining or removal.
+    """
     try:
         return parse_address(str(value))
     except ValueError:
@@ -164,7 +168,7 @@
 
 
 def entry_to_json(entry: ListEntry) -> dict[str, Any]:
-    """Return an entry in the published form, its keys always in the same order."""
+    """Return an entry in the published format; its keys are always in the same order."""
     server = entry.server
     members = {"name": server.server, "zone": server.zone, "type": server.kind, "group": server.cell}
     if entry.address is not None:
@@ -178,7 +182,7 @@
 
 
 class EndpointList:
-    """The current list, for writing it in the published form."""
+    """The current list, which can be written in the published format."""
 
     def __init__(self) -> None:
         self.version = 0
@@ -186,7 +190,7 @@
         self._json: str | None = None  # cached until the list changes
 
     def apply(self, update: ListUpdate) -> None:
-        """Bring the list up to date with a response of discovery."""
+        """Apply a response of discovery to the list."""
         if update.complete:
             self._entries = {}
         for entry in update.entries:
@@ -196,13 +200,13 @@
         self.version, self._json = update.version, None
 
     def to_json(self) -> str:
-        """Return the list as JSON, encoded once a change: it is persisted every second."""
+        """Return the list as JSON; cached until the list changes, because it is persisted every second."""
         if self._json is None:
             self._json = json.dumps(self.snapshot())
         return self._json
 
     def snapshot(self) -> dict[str, Any]:
-        """Return the full list in the published form."""
+        """Return the full list in the published format."""
         return {
             "index": self.version,
             "snapshot": True,
--- a/sidecar_balancer/discovery/errors.py
+++ b/sidecar_balancer/discovery/errors.py
@@ -1,22 +1,22 @@
-"""Errors of discovery: what a source answers, and the lists it sends."""
+"""Errors of discovery: failed requests to a source and malformed responses."""
 
 from __future__ import annotations
 
 
 class DiscoveryError(Exception):
-    """Base of the errors of this package."""
+    """Base class of the errors of this package."""
 
 
 class MalformedListError(DiscoveryError, ValueError):
-    """A body that is no endpoint list; the message names the part that is wrong."""
+    """A body that is not an endpoint list; the message says what is wrong."""
 
 
 class MalformedEntryError(DiscoveryError, ValueError):
-    """An entry of a list with a member of the wrong type or range."""
+    """A list entry with a member of the wrong type or out of range."""
 
 
 class MalformedAgeError(DiscoveryError, ValueError):
-    """A source's age header that is no number of milliseconds."""
+    """An age header that is not a number of milliseconds."""
 
 
 class SourceDisconnectedError(DiscoveryError, ConnectionResetError):
--- a/sidecar_balancer/discovery/protocol.py
+++ b/sidecar_balancer/discovery/protocol.py
@@ -1,4 +1,4 @@
-"""The names of the published discovery protocol that clients and relays share."""
+"""Names of the published discovery protocol, which clients and relays share."""
 
 from __future__ import annotations
 
@@ -6,4 +6,4 @@
 
 LIST_PATH = "/registry/instances"
 AGE_HEADER = "X-Source-Age-Ms"  # milliseconds since the sender last heard from the registry
-TAG_HEADER = "ETag"  # of the list that a response leads to; sent back as If-None-Match
+TAG_HEADER = "ETag"  # identifies the list after the response is applied; sent back as If-None-Match
--- a/sidecar_balancer/discovery/restarting_task.py
+++ b/sidecar_balancer/discovery/restarting_task.py
@@ -1,4 +1,4 @@
-"""A task that is started on demand, and that restarts by itself some time after it ended."""
+"""A task that is started on demand and restarts by itself some time after it has ended."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 class RestartingTask:
-    """Runs one coroutine at a time."""
+    """Runs at most one instance of a coroutine at a time."""
 
     def __init__(self, run: Callable[[], Coroutine[Any, Any, None]], restart_after_s: float) -> None:
         self._run = run
         self._restart_after_s = restart_after_s
         self._task: asyncio.Task[None] | None = None
-        self._restart: asyncio.TimerHandle | None = None
+        self._restart_timer: asyncio.TimerHandle | None = None
 
     @property
     def is_running(self) -> bool:
-        """Whether the coroutine is under way."""
+        """Whether the coroutine is running."""
         return self._task is not None and not self._task.done()
 
     def start(self) -> None:
@@ -37,11 +37,11 @@
         return task
 
     def _cancel_restart(self) -> None:
-        if self._restart is not None:
-            self._restart.cancel()
-            self._restart = None
+        if self._restart_timer is not None:
+            self._restart_timer.cancel()
+            self._restart_timer = None
 
     def _on_done(self, task: asyncio.Task[None]) -> None:
-        """Plan a restart, whatever ended the task, unless it was stopped."""
+        """Schedule a restart, however the task has ended, unless it was stopped."""
         if task is self._task:
-            self._restart = asyncio.get_running_loop().call_later(self._restart_after_s, self.start)
+            self._restart_timer = asyncio.get_running_loop().call_later(self._restart_after_s, self.start)
--- a/sidecar_balancer/discovery/source_connection.py
+++ b/sidecar_balancer/discovery/source_connection.py
@@ -21,11 +21,11 @@
 
 
 class ListResponse(NamedTuple):
-    """A source's response, and what a relay adds to it."""
+    """A source's response, with the values of the headers that a relay adds."""
 
     update: ListUpdate
-    age_s: float | None  # of what the relay knows; None: the registry itself answered
-    tag: str | None  # entity tag of the list that the update leads to
+    age_s: float | None  # age of the relay's list; None: the registry itself responded
+    tag: str | None  # entity tag of the list after the update is applied
 
 
 class SourceConnection:
@@ -40,8 +40,8 @@
         Raises:
             SourceDisconnectedError: The connection broke.
             SourceStatusError: The status is not 200.
-            MalformedListError: The body is no endpoint list.
-            MalformedAgeError: The age header is no number.
+            MalformedListError: The body is not an endpoint list.
+            MalformedAgeError: The age header is not a number.
         """
         return parse_response(await self._exchange(target, headers))
 
@@ -59,7 +59,7 @@
 
 @contextlib.asynccontextmanager
 async def connect_to_source(address: Address) -> AsyncIterator[SourceConnection]:
-    """Connect to a source for the time of a block; raises OSError where that fails."""
+    """Connect to a source for the duration of a `with` block; raise OSError if that fails."""
     connection = await connect(address, MAX_LIST_BYTES)
     try:
         yield SourceConnection(connection)
@@ -68,9 +68,9 @@
 
 
 def parse_response(response: Response | None) -> ListResponse:
-    """Parse a response (None: the connection broke); raises what `SourceConnection.get` does."""
+    """Parse a response (None: the connection broke); raise the errors of `SourceConnection.get`."""
     if response is None:
-        raise SourceDisconnectedError("the connection broke")
+        raise SourceDisconnectedError("connection lost before the response was complete")
     if response.status != 200:
         raise SourceStatusError(response.status)
     age = response.header(AGE_HEADER.lower().encode())
@@ -82,5 +82,5 @@
     if header is None:
         return None
     if not header.isdecimal() or len(header) > _MAX_AGE_DIGITS:
-        raise MalformedAgeError(f"{AGE_HEADER}: whole milliseconds are needed")
+        raise MalformedAgeError(f"{AGE_HEADER}: expected whole milliseconds, got {header!r:.60}")
     return int(header) / 1000
--- a/sidecar_balancer/discovery/watch_events.py
+++ b/sidecar_balancer/discovery/watch_events.py
@@ -1,4 +1,4 @@
-"""What the discovery client reports to its owner."""
+"""Events that the discovery client reports to its owner."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 class PollFailed(NamedTuple):
-    """No source answered; the owner decides when the watch begins again."""
+    """All sources failed, or an update could not be applied; the owner decides when to watch again."""
 
-    timed_out: bool  # the last poll took its whole time-out; else it failed earlier
+    timed_out: bool  # whether the last poll reached its timeout; if not, it failed earlier
 
 
 WatchEvent = ListUpdate | PollFailed
--- a/tests/discovery/test_watch_state.py
+++ b/tests/discovery/test_watch_state.py
@@ -77,7 +77,7 @@
 
 def test_a_relay_is_sent_the_tag_and_the_age_of_the_list_held() -> None:
     state = state_of(41)
-    state.confirm(as_of=100.0)
+    state.record_as_of(as_of=100.0)
     state.record_list(42, '"tag"')
     headers = state.conditional_headers(state.next_poll(has_relays=True), now=100.75)
     assert headers == [("If-None-Match", '"tag"'), ("X-Source-Age-Ms", "750")]
@@ -85,7 +85,7 @@
 
 def test_a_request_for_the_full_list_is_unconditional() -> None:
     state = state_of(41)
-    state.confirm(as_of=100.0)
+    state.record_as_of(as_of=100.0)
     state.record_list(42, '"tag"')
     assert state.conditional_headers(full_list_poll(), now=100.75) == []
 
@@ -104,20 +104,20 @@
     version: int, as_of: float, is_outdated: bool
 ) -> None:
     state = state_of(42)
-    state.confirm(as_of=100.0)
+    state.record_as_of(as_of=100.0)
     assert state.is_outdated(version, as_of) is is_outdated
 
 
 def test_a_list_is_never_confirmed_for_an_earlier_time() -> None:
     state = state_of(42)
-    state.confirm(as_of=100.0)
-    state.confirm(as_of=99.0)
+    state.record_as_of(as_of=100.0)
+    state.record_as_of(as_of=99.0)
     assert state.as_of == 100.0
 
 
 def test_other_sources_are_polled_for_the_full_list_without_a_trace_of_the_old_one() -> None:
     state = state_of(42)
-    state.confirm(as_of=100.0)
+    state.record_as_of(as_of=100.0)
     state.record_list(43, '"tag"')
     state.reset()
     assert state.next_poll(has_relays=True) == full_list_poll()
