--- a/sidecar_balancer/relay/__init__.py
+++ b/sidecar_balancer/relay/__init__.py
@@ -1,1 +1,1 @@
-"""The relay: serves the endpoint list to many sidecars, in the published form (docs/relay.md)."""
+"""The relay: serves the endpoint list to many sidecars, in the published format (docs/relay.md)."""
--- a/sidecar_balancer/relay/app.py
+++ b/sidecar_balancer/relay/app.py
@@ -1,4 +1,4 @@
-"""The relay process: one watch on the registry or on another relay, served to many sidecars."""
+"""The relay process: watches the registry or another relay and serves the list to many sidecars."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 
 log = logging.getLogger(__name__)
 
-UPSTREAM_WAIT_MS = 600  # of the relay's own watch; with the poll's time it bounds the age of its list
-RETRY_RANGE_S = (0.2, 1.0)  # a wait after a failed poll is drawn from it
+UPSTREAM_WAIT_MS = 600  # shortest wait of the relay's polls; with a poll's duration it bounds the list's age
+RETRY_RANGE_S = (0.2, 1.0)  # range of the random delay after a failed poll
 _LISTEN_BACKLOG = 1024
 _STATUS_LOG_INTERVAL_S = 10.0
 
@@ -54,18 +54,18 @@
 
     @property
     def is_serving(self) -> bool:
-        """Whether callers can connect, or could until the relay ended."""
+        """Whether the relay has started to listen; this stays true after it has stopped."""
         return self._server is not None
 
     def address(self) -> Address:
-        """Return where callers connect; raises NotServingError before the relay listens."""
+        """Return the address that callers connect to; raise NotServingError before the relay listens."""
         if self._server is None:
-            raise NotServingError("the relay does not listen yet")
+            raise NotServingError("the relay is not listening yet")
         host, port = self._server.sockets[0].getsockname()[:2]
         return host, port
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Serve until `stop`, then end all connections: callers turn to another relay."""
+        """Serve until `stop` is set, then close all connections, so that callers turn to another relay."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: CallerConnection(self.service), *self._listen, backlog=_LISTEN_BACKLOG
@@ -97,7 +97,7 @@
             return
         if self._retry is not None:
             self._retry.cancel()
-        wait_s = 0.0 if event.timed_out else random.uniform(*RETRY_RANGE_S)  # a time-out was a wait already
+        wait_s = 0.0 if event.timed_out else random.uniform(*RETRY_RANGE_S)  # a timed-out poll has waited
         loop = asyncio.get_running_loop()
         self._retry = loop.call_later(wait_s, self.discovery.set_watching, True)
 
@@ -123,8 +123,8 @@
     """Run a relay with the configuration file at `path`.
 
     Returns:
-        The exit code: 2 for a bad configuration, 1 where the relay can't serve, each with one line on
-        standard error.
+        The exit code: 2 for a bad configuration, 1 if the relay can't serve, each with one line on standard
+        error.
     """
     try:
         config = read_relay_config(path)
--- a/sidecar_balancer/relay/change_log.py
+++ b/sidecar_balancer/relay/change_log.py
@@ -1,7 +1,7 @@
-"""The list that a relay serves and the changes that led to it, in a bounded ring.  Sans-IO.
+"""The list that a relay serves, and its recent changes in a bounded ring buffer.  Sans-IO.
 
 Each state of the list has a tag, a digest of its content that does not depend on the order of changes.  Two
-relays with the same list have the same tag, whatever their indexes: a caller's tag identifies what it holds.
+relays with the same list have the same tag, whatever their indexes, so a caller's tag identifies its list.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from sidecar_balancer.discovery.endpoint_list import ListEntry, ListUpdate, entry_to_json
 from sidecar_balancer.policy.types import ServerState
 
-MAX_RING_ENTRIES = 50_000  # beyond twice the full list, a delta is no smaller than a snapshot
-MAX_KNOWN_STATES = 4096  # tags and indexes
-MAX_CACHED_DELTAS = 64  # encoded; most callers lack the same changes
+MAX_RING_ENTRIES = 50_000  # with more than twice the full list, a delta is no smaller than a snapshot
+MAX_KNOWN_STATES = 4096  # limit of remembered tags and indexes
+MAX_CACHED_DELTAS = 64  # encoded deltas; most callers need the same ones
 
 
 @dataclass(frozen=True, slots=True)
 class EncodedEntry:
-    """An entry of the list in its encoded form."""
+    """A list entry, encoded as JSON."""
 
     data: bytes
     is_removal: bool
@@ -41,14 +41,14 @@
     """The current list and its recent changes.  A revision counts the changes that this process has seen."""
 
     def __init__(self, max_ring_entries: int = MAX_RING_ENTRIES) -> None:
-        self.index: int | None = None  # of the registry; None: no list was received yet
+        self.index: int | None = None  # the registry's index; None: no list received yet
         self.revision = 0
         self._entries: dict[str, bytes] = {}
         self._digest = 0
         self._ring: deque[Change] = deque()
         self._ring_entries = 0
         self._max_ring_entries = max_ring_entries
-        self._oldest_revision = 0  # from which the ring leads to the current one
+        self._oldest_revision = 0  # the ring holds all changes after this revision
         self._revisions: OrderedDict[str | int, int] = OrderedDict()  # by tag and by index
         self._deltas: OrderedDict[int, bytes] = OrderedDict()
         self._snapshot: bytes | None = None
@@ -63,7 +63,7 @@
 
     @property
     def tag(self) -> str:
-        """The entity tag of the current list, in quotes as HTTP has it."""
+        """The entity tag of the current list, in quotes as HTTP requires."""
         return f'"{self._digest:032x}"'
 
     def apply(self, update: ListUpdate) -> bool:
@@ -74,7 +74,7 @@
         if changed:
             self._append(changed)
         if is_first:
-            self._oldest_revision = self.revision  # what led to the first list is not known
+            self._oldest_revision = self.revision  # the changes before the first list are unknown
         self._remember(self.tag)
         self._remember(update.version)
         if changed or is_new_index:
@@ -83,7 +83,7 @@
         return bool(changed)
 
     def _changed_entries(self, update: ListUpdate) -> dict[str, EncodedEntry]:
-        """Return the entries that differ from the list; removed servers by their removal."""
+        """Return the entries that differ from the list, with a removal for each server that is gone."""
         changed: dict[str, EncodedEntry] = {}
         for entry in update.entries:
             self._collect_change(entry, changed)
@@ -127,9 +127,9 @@
             self._revisions.popitem(last=False)
 
     def revision_of(self, tag: str | None, index: int | None) -> int | None:
-        """Return the revision that a caller holds, by its tag or else by its index.
+        """Return the revision of a caller's list, found by its tag or, without a tag, by its index.
 
-        None: the ring does not lead from there to the current list, and the caller needs the full list.
+        None: the ring does not hold all changes since that list, and the caller needs the full list.
         """
         revision = self._revisions.get(tag) if tag is not None else None
         if tag is None and index is not None:
@@ -137,7 +137,7 @@
         return revision if revision is not None and revision >= self._oldest_revision else None
 
     def delta(self, revision: int) -> bytes:
-        """Return the body with what changed since that revision, in discovery's form."""
+        """Return a response body with the changes since a revision, in discovery's published format."""
         if (cached := self._deltas.get(revision)) is not None:
             return cached
         merged: dict[str, EncodedEntry] = {}
@@ -153,7 +153,7 @@
         return body
 
     def snapshot(self) -> bytes:
-        """Return the body with the full list."""
+        """Return a response body with the full list."""
         if self._snapshot is None:
             self._snapshot = self._body(self._entries.values(), snapshot=True)
         return self._snapshot
--- a/sidecar_balancer/relay/config.py
+++ b/sidecar_balancer/relay/config.py
@@ -1,4 +1,4 @@
-"""The configuration of a relay: a TOML file of the operators (docs/relay.md)."""
+"""The configuration of a relay, a TOML file (docs/relay.md)."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayLimits:
-    """Bounds of a relay's work."""
+    """Limits on the load of a relay."""
 
     connections: int = 2048
-    snapshots: int = 8  # full lists under way at a time
+    snapshots: int = 8  # full lists being sent at a time
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,8 +40,8 @@
     """Read the file.
 
     Raises:
-        ConfigurationError: A key is unknown, absent or has a value that can't be used.
-        ValueError: The file is no TOML.
+        ConfigurationError: A key is unknown or missing, or its value is invalid.
+        ValueError: The file is not valid TOML.
         OSError: The file can't be read.
     """
     with Path(path).open("rb") as file:
@@ -59,10 +59,10 @@
 
 def _read_upstreams(value: object) -> tuple[Address, ...]:
     if not isinstance(value, list) or not 1 <= len(value) <= MAX_UPSTREAMS:
-        raise ConfigurationError(f"upstreams: a list of 1 to {MAX_UPSTREAMS} addresses is needed")
+        raise ConfigurationError(f"upstreams: expected a list of 1 to {MAX_UPSTREAMS} addresses")
     addresses = tuple(read_address(text, "upstreams") for text in value)
     if len(set(addresses)) < len(addresses):
-        raise ConfigurationError("upstreams: an address is there twice")
+        raise ConfigurationError("upstreams: duplicate address")
     return addresses
 
 
--- a/sidecar_balancer/relay/connection.py
+++ b/sidecar_balancer/relay/connection.py
@@ -1,4 +1,4 @@
-"""One caller's connection: a bounded request, and a response in pieces; slow readers are dropped."""
+"""One caller's connection: a bounded request and a response in chunks; slow readers are dropped."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 from sidecar_balancer.relay.errors import RelayRequestError
 from sidecar_balancer.relay.requests import RelayRequest, parse_request
 
-REQUEST_TIMEOUT_S = 2.0  # within which a request is complete
-RESPONSE_TIMEOUT_S = 5.0  # within which a caller has read its response
+REQUEST_TIMEOUT_S = 2.0  # time limit for a request to be complete
+RESPONSE_TIMEOUT_S = 5.0  # time limit for a caller to read its response
 _MAX_HEAD_BYTES = 8 * 1024
-_SEND_BUFFER_BYTES = 256 * 1024  # of the kernel, for one caller
-_PIECE_BYTES = 64 * 1024  # written at a time, so that a slow caller's response is not buffered whole
+_SEND_BUFFER_BYTES = 256 * 1024  # size of the kernel's send buffer for one caller
+_CHUNK_BYTES = 64 * 1024  # written at a time, so that a slow caller's response is not buffered as a whole
 _MAX_ERROR_CHARACTERS = 100
 
 
 class ConnectionHandler(Protocol):
-    """What a caller's connection needs of the relay."""
+    """Callbacks of a caller's connection, which the relay implements."""
 
     def connection_opened(self, connection: CallerConnection) -> bool:
-        """Register a new connection; False: there are too many, it is closed."""
+        """Register a new connection; return False if there are too many, and it is closed."""
 
     def request_received(self, connection: CallerConnection, request: RelayRequest) -> None:
         """Respond to a request, now or later."""
@@ -49,15 +49,15 @@
         self._h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=_MAX_HEAD_BYTES)
         self._transport: asyncio.Transport | None = None
         self._head: h11.Request | None = None
-        self._is_request_over = False  # a request has come, or was rejected
+        self._is_request_over = False  # a request was received or rejected
         self._unwritten = memoryview(b"")  # rest of the response's body
-        self._deadline: asyncio.TimerHandle | None = None
-        self._wait: asyncio.TimerHandle | None = None
+        self._deadline_timer: asyncio.TimerHandle | None = None
+        self._wait_timer: asyncio.TimerHandle | None = None
 
-    # What asyncio calls
+    # Callbacks of asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register with the handler, and bound the buffers and the request's time."""
+        """Register with the handler, limit the buffers and start the timeout of the request."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         transport.set_write_buffer_limits(high=0)
@@ -70,18 +70,18 @@
         self._set_deadline(REQUEST_TIMEOUT_S, self._reject_late_request)
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Free what the connection holds."""
+        """Release the timers and the buffer, and notify the handler."""
         self._cancel_timers()
         self._transport = None
         self._unwritten = memoryview(b"")
         self._handler.connection_closed(self)
 
     def eof_received(self) -> bool:
-        """Close: a caller that ends its side reads no response."""
+        """Close the connection: a caller that closes its side does not read the response."""
         return False
 
     def data_received(self, data: bytes) -> None:
-        """Parse the request; what follows it is dropped."""
+        """Parse the request; discard any data after it."""
         if self._is_request_over:
             return
         try:
@@ -98,9 +98,9 @@
                 self._handler.request_received(self, request)
 
     def resume_writing(self) -> None:
-        """Write on, in the next loop turn: the transport may not be closed from within this call."""
+        """Continue in the next event loop iteration: the transport must not be closed within this call."""
         if self._is_request_over:
-            asyncio.get_running_loop().call_soon(self._write_on)
+            asyncio.get_running_loop().call_soon(self._write_pending)
 
     # Requests
 
@@ -128,7 +128,7 @@
     # Responses
 
     def respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """Write the response and end the connection; nothing is done where it is closed already."""
+        """Write the response and close the connection; do nothing if it is closed already."""
         transport = self._transport
         if transport is None or transport.is_closing():
             return
@@ -138,50 +138,50 @@
         head += [f"{name}: {value}" for name, value in headers]
         head += [f"Content-Length: {len(body)}", "Connection: close", "", ""]
         self._unwritten = memoryview(body)
-        transport.write("\r\n".join(head).encode() + self._next_piece())
-        self._write_on()
+        transport.write("\r\n".join(head).encode() + self._next_chunk())
+        self._write_pending()
 
-    def _next_piece(self) -> bytes:
-        piece, self._unwritten = self._unwritten[:_PIECE_BYTES], self._unwritten[_PIECE_BYTES:]
-        return bytes(piece)
+    def _next_chunk(self) -> bytes:
+        chunk, self._unwritten = self._unwritten[:_CHUNK_BYTES], self._unwritten[_CHUNK_BYTES:]
+        return bytes(chunk)
 
-    def _write_on(self) -> None:
-        """Write until the kernel accepts no more; close after the last piece."""
+    def _write_pending(self) -> None:
+        """Write until the kernel accepts no more; close after the last chunk."""
         transport = self._transport
         while transport is not None and not transport.is_closing():
             if transport.get_write_buffer_size():
-                return  # until resume_writing
+                return  # resume_writing continues
             if not self._unwritten:
                 transport.close()
                 return
-            transport.write(self._next_piece())
+            transport.write(self._next_chunk())
 
     def _drop_slow_reader(self) -> None:
         self._handler.response_timed_out()
         self.abort()
 
     def abort(self) -> None:
-        """End the connection at once."""
+        """Close the connection at once and discard unsent data."""
         if self._transport is not None:
             self._transport.abort()
 
     # Timers
 
     def start_wait(self, wait_s: float, on_timeout: Callable[[CallerConnection], None]) -> None:
-        """Call `on_timeout` after `wait_s`, unless there is a response before."""
-        self._wait = asyncio.get_running_loop().call_later(wait_s, on_timeout, self)
+        """Call `on_timeout` after `wait_s`, unless a response or `cancel_wait` comes first."""
+        self._wait_timer = asyncio.get_running_loop().call_later(wait_s, on_timeout, self)
 
     def cancel_wait(self) -> None:
-        """Cancel what `start_wait` planned."""
-        if self._wait is not None:
-            self._wait.cancel()
-            self._wait = None
+        """Cancel the timer of `start_wait`."""
+        if self._wait_timer is not None:
+            self._wait_timer.cancel()
+            self._wait_timer = None
 
     def _set_deadline(self, timeout_s: float, on_timeout: Callable[[], None]) -> None:
-        self._deadline = asyncio.get_running_loop().call_later(timeout_s, on_timeout)
+        self._deadline_timer = asyncio.get_running_loop().call_later(timeout_s, on_timeout)
 
     def _cancel_timers(self) -> None:
-        if self._deadline is not None:
-            self._deadline.cancel()
-            self._deadline = None
+        if self._deadline_timer is not None:
+            self._deadline_timer.cancel()
+            self._deadline_timer = None
         self.cancel_wait()
--- a/sidecar_balancer/relay/errors.py
+++ b/sidecar_balancer/relay/errors.py
@@ -6,11 +6,11 @@
 
 
 class RelayError(Exception):
-    """Base of the errors of this package."""
+    """Base class of the errors of this package."""
 
 
 class RelayRequestError(RelayError, RequestRejectedError):
-    """A request that is malformed or late; its status and message go to the caller."""
+    """A request that is malformed or late; its status and message are sent to the caller."""
 
 
 class NotServingError(RelayError):
--- a/sidecar_balancer/relay/requests.py
+++ b/sidecar_balancer/relay/requests.py
@@ -1,4 +1,4 @@
-"""Parses the requests that a relay serves, in discovery's published form."""
+"""Parsing of the requests that a relay serves, in discovery's published format."""
 
 from __future__ import annotations
 
@@ -11,30 +11,30 @@
 from sidecar_balancer.relay.errors import RelayRequestError
 
 READY_PATH = "/health/ready"
-MAX_WAIT_MS = 60_000  # of a watch, as published
-_MAX_DIGITS = 18  # of a number
+MAX_WAIT_MS = 60_000  # longest wait of a watch in the published protocol
+_MAX_DIGITS = 18  # in a number
 _MAX_TAG_CHARACTERS = 64  # a relay's own tags are shorter
 
 
 class ReadinessRequest:
-    """Whether the relay has a list."""
+    """A request for the relay's readiness: whether it has a list."""
 
 
 @dataclass(frozen=True, slots=True)
 class ListRequest:
-    """The full list, or a watch for its changes."""
+    """A request for the full list, or a watch for its changes."""
 
-    after: int | None  # the version that the caller holds; None: the full list is requested
+    after: int | None  # version of the caller's list; None: the full list is requested
     wait_ms: int
-    tag: str | None  # of the list that the caller holds, where a relay sent it
-    age_s: float | None  # how old that list is
+    tag: str | None  # entity tag of the caller's list, if a relay sent it
+    age_s: float | None  # age of the caller's list
 
 
 RelayRequest = ListRequest | ReadinessRequest
 
 
 def parse_request(head: h11.Request) -> RelayRequest:
-    """Parse the head of a request; raises RelayRequestError."""
+    """Parse the head of a request; raise RelayRequestError if it is invalid."""
     path, _, query = head.target.decode("latin-1").partition("?")
     if path not in (LIST_PATH, READY_PATH):
         raise RelayRequestError(404, "no such path")
@@ -48,7 +48,7 @@
     headers = {name: value.decode("latin-1") for name, value in head.headers}
     tag = headers.get(b"if-none-match")
     if tag is not None and len(tag) > _MAX_TAG_CHARACTERS:
-        tag = None  # no relay's
+        tag = None  # not a relay's tag
     age = headers.get(AGE_HEADER.lower().encode())
     age_s = _parse_number(age, AGE_HEADER) / 1000 if age is not None else None
     return ListRequest(after, wait_ms, tag, age_s)
--- a/sidecar_balancer/relay/service.py
+++ b/sidecar_balancer/relay/service.py
@@ -1,4 +1,4 @@
-"""The relay's responses: which callers wait for changes or for a full list, and the age of the list."""
+"""The relay's responses to its callers, which may wait for changes or for a full list."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
 log = logging.getLogger(__name__)
 
 CATCH_UP_TIMEOUT_S = 1.0  # how long a caller with a newer list waits for this relay to catch up
-BROADCAST_INTERVAL_S = 0.2  # changes that come faster go out together
-_STALENESS_MARGIN_S = 0.001  # when the timer fires, the age is over the bound
-_RESPONSES_PER_TURN = 64  # of a broadcast, so that other callers have their turn in the event loop
+BROADCAST_INTERVAL_S = 0.2  # changes at shorter intervals are sent together
+_STALENESS_MARGIN_S = 0.001  # ensures that the age exceeds the bound when the timer fires
+_RESPONSES_PER_ITERATION = 64  # of a broadcast, so that other callers are served in between
 
 
 @dataclass(slots=True)
 class Counters:
-    """What the relay did since its start; the names are those of the admin API."""
+    """Counters since the relay's start; the names are those of the admin API."""
 
     calls: int = 0
     unchanged: int = 0
     deltas: int = 0
     snapshots: int = 0
-    not_ready: int = 0  # 503: no list yet, or older than its caller's
+    not_ready: int = 0  # 503: no list yet, or one older than the caller's
     busy: int = 0  # 503: too many full lists were requested at once
     rejected: int = 0  # malformed or late requests
-    over_capacity: int = 0  # connections closed unread
+    over_capacity: int = 0  # connections closed before a request was read
     too_slow: int = 0  # callers that did not read their response in time
     bytes_out: int = 0
 
@@ -51,18 +51,18 @@
 
 
 class RelayService:
-    """Responds to callers from a change log.  It implements `ConnectionHandler`."""
+    """Responds to callers from a change log; implements `ConnectionHandler`."""
 
     def __init__(self, change_log: ChangeLog, limits: RelayLimits, as_of: Callable[[], float]) -> None:
-        """`as_of` returns when the list was last current, on the event loop's clock."""
+        """`as_of` returns when the list was last up to date, on the event loop's clock."""
         self._change_log = change_log
         self._max_connections = limits.connections
         self._as_of = as_of
         self.counters = Counters()
         self._connections: set[CallerConnection] = set()
-        self._without_request: dict[CallerConnection, None] = {}  # the oldest first
+        self._without_request: dict[CallerConnection, None] = {}  # oldest first
         self._watchers: dict[CallerConnection, ListRequest] = {}
-        self._ahead: dict[CallerConnection, _AheadCaller] = {}
+        self._ahead_callers: dict[CallerConnection, _AheadCaller] = {}
         self._snapshots = SnapshotQueue(limits.snapshots, self._send_snapshot, self._reject_busy)
         self._broadcast_timer: asyncio.TimerHandle | None = None
         self._last_broadcast_at = 0.0
@@ -72,13 +72,13 @@
     # Updates from discovery
 
     def apply_update(self, update: ListUpdate) -> None:
-        """Apply a response of discovery; watchers are sent what changed, now or with the next changes."""
+        """Apply a response of discovery and schedule the broadcasts to watchers."""
         if self._change_log.apply(update):
-            self._plan_broadcast()
+            self._schedule_broadcast()
         self._recheck_ahead_callers()
-        self._plan_staleness_broadcast()
+        self._schedule_staleness_broadcast()
 
-    def _plan_broadcast(self) -> None:
+    def _schedule_broadcast(self) -> None:
         if self._broadcast_timer is None and not self._is_closed:
             loop = asyncio.get_running_loop()
             due_at = max(self._last_broadcast_at + BROADCAST_INTERVAL_S, loop.time())
@@ -89,8 +89,8 @@
         self._last_broadcast_at = asyncio.get_running_loop().time()
         self._respond_to_watchers()
 
-    def _plan_staleness_broadcast(self) -> None:
-        """Respond to watchers when the list becomes stale: they may know a fresher relay."""
+    def _schedule_staleness_broadcast(self) -> None:
+        """Schedule a response to watchers when the list becomes stale: they may know a fresher relay."""
         if self._staleness_timer is not None:
             self._staleness_timer.cancel()
         if not self._is_closed:
@@ -98,19 +98,19 @@
             self._staleness_timer = asyncio.get_running_loop().call_at(due_at, self._respond_to_watchers)
 
     def _respond_to_watchers(self) -> None:
-        self._respond_in_turns(deque(self._watchers))
+        self._respond_in_batches(deque(self._watchers))
 
-    def _respond_in_turns(self, connections: deque[CallerConnection]) -> None:
-        """Respond to those that still wait, a bounded number in each turn of the event loop."""
-        for _ in range(min(_RESPONSES_PER_TURN, len(connections))):
+    def _respond_in_batches(self, connections: deque[CallerConnection]) -> None:
+        """Respond to those that still wait, a bounded number in each event loop iteration."""
+        for _ in range(min(_RESPONSES_PER_ITERATION, len(connections))):
             self._end_watch(connections.popleft())
         if connections and not self._is_closed:
-            asyncio.get_running_loop().call_soon(self._respond_in_turns, connections)
+            asyncio.get_running_loop().call_soon(self._respond_in_batches, connections)
 
     # Connections
 
     def connection_opened(self, connection: CallerConnection) -> bool:
-        """Accept a connection; beyond the bound it replaces the oldest without a request, if there is one."""
+        """Accept a connection; at the limit, only in place of the oldest one without a request, if any."""
         if len(self._connections) >= self._max_connections:
             self.counters.over_capacity += 1
             if not self._without_request:
@@ -125,7 +125,7 @@
         self._without_request.pop(connection, None)
         self.counters.rejected += 1
         extra = {"event": "relay_rejected", "status": error.status}
-        log.info("a request was rejected: %d %.80s", error.status, error, extra=extra)
+        log.info("rejected a request: %d %.80s", error.status, error, extra=extra)
 
     def response_timed_out(self) -> None:
         """Count a caller that did not read its response in time."""
@@ -133,11 +133,11 @@
         log.info("a caller did not read its response in time", extra={"event": "relay_slow_caller"})
 
     def connection_closed(self, connection: CallerConnection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that has ended."""
         self._connections.discard(connection)
         self._without_request.pop(connection, None)
         self._watchers.pop(connection, None)
-        self._ahead.pop(connection, None)
+        self._ahead_callers.pop(connection, None)
         self._snapshots.remove(connection)
 
     # Requests
@@ -160,19 +160,19 @@
         if request.after is not None:
             revision = change_log.revision_of(request.tag, request.after)
         if revision is None:
-            self._serve_unknown(connection, request)
+            self._serve_unknown_list(connection, request)
         elif not request.wait_ms or (revision < change_log.revision and self._broadcast_timer is None):
             self._respond(connection, request)
         else:
             self._watchers[connection] = request
             connection.start_wait(request.wait_ms / 1000, self._end_watch)
 
-    def _serve_unknown(self, connection: CallerConnection, request: ListRequest) -> None:
-        """Serve a caller whose list is not known here: it may be newer than this relay's."""
+    def _serve_unknown_list(self, connection: CallerConnection, request: ListRequest) -> None:
+        """Serve a caller whose list is not in the change log: it may be newer than this relay's."""
         now = asyncio.get_running_loop().time()
         caller_as_of = now - request.age_s if request.age_s is not None else None
         if caller_as_of is not None and caller_as_of > self._as_of():
-            self._ahead[connection] = _AheadCaller(request, caller_as_of)
+            self._ahead_callers[connection] = _AheadCaller(request, caller_as_of)
             connection.start_wait(CATCH_UP_TIMEOUT_S, self._end_catch_up)
         else:
             self._snapshots.add(connection)
@@ -183,22 +183,22 @@
 
     def _recheck_ahead_callers(self) -> None:
         as_of = self._as_of()
-        for connection, caller in list(self._ahead.items()):
+        for connection, caller in list(self._ahead_callers.items()):
             if as_of >= caller.as_of:
-                del self._ahead[connection]
+                del self._ahead_callers[connection]
                 connection.cancel_wait()
                 self._serve(connection, caller.request)
 
     def _end_catch_up(self, connection: CallerConnection) -> None:
-        if self._ahead.pop(connection, None) is not None:
+        if self._ahead_callers.pop(connection, None) is not None:
             self._reject_not_ready(connection, "this relay is behind")
 
     # Responses
 
     def _respond(self, connection: CallerConnection, request: ListRequest) -> None:
-        """Respond with what changed, if anything did."""
+        """Respond with the changes since the caller's list, if there are any."""
         revision = self._change_log.revision_of(request.tag, request.after)
-        if revision is None:  # the changes were dropped meanwhile
+        if revision is None:  # the ring has dropped the changes meanwhile
             self._snapshots.add(connection)
             return
         if revision == self._change_log.revision:
@@ -230,17 +230,17 @@
 
     @property
     def connection_count(self) -> int:
-        """Open connections of callers."""
+        """Number of open connections."""
         return len(self._connections)
 
     def age_ms(self) -> int:
-        """Return how long ago the list was last current, in whole milliseconds, rounded up."""
+        """Return how long ago the list was last up to date, in whole milliseconds, rounded up."""
         return max(int(1000 * (asyncio.get_running_loop().time() - self._as_of())) + 1, 0)
 
     # State
 
     def close(self) -> None:
-        """End all connections and timers."""
+        """Close all connections and cancel all timers."""
         self._is_closed = True
         for timer in (self._broadcast_timer, self._staleness_timer):
             if timer is not None:
--- a/sidecar_balancer/relay/snapshot_queue.py
+++ b/sidecar_balancer/relay/snapshot_queue.py
@@ -1,4 +1,4 @@
-"""Bounds how many full lists a relay sends at a time; the other callers wait their turn."""
+"""A bound on how many full lists a relay sends at a time; other callers wait in a queue."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 from sidecar_balancer.relay.connection import CallerConnection
 
-MAX_QUEUED_S = 1.5  # how long a caller waits for a full list; then it is sent elsewhere
+MAX_QUEUED_S = 1.5  # a caller that has waited this long for a full list is rejected, to try another relay
 
 
 class SnapshotQueue:
-    """First come, first served."""
+    """Sends the full list to callers, first come, first served."""
 
     def __init__(
         self,
@@ -28,24 +28,24 @@
 
     @property
     def sending_count(self) -> int:
-        """Full lists under way."""
+        """Number of full lists being sent."""
         return len(self._sending)
 
     @property
     def waiting_count(self) -> int:
-        """Callers that wait their turn."""
+        """Number of callers in the queue."""
         return len(self._waiting)
 
     def add(self, connection: CallerConnection) -> None:
-        """Send to a caller, now or in its turn."""
+        """Send the full list to a caller, at once or when its turn comes."""
         if len(self._sending) < self._max_sending:
-            self._begin(connection)
+            self._start_sending(connection)
             return
         self._waiting.append(connection)
         connection.start_wait(MAX_QUEUED_S, self._on_timeout)
 
     def remove(self, connection: CallerConnection) -> None:
-        """Forget a connection that has ended, and send to those whose turn that makes it."""
+        """Remove a connection that has ended, and send to the callers that are next."""
         if connection in self._waiting:
             self._waiting.remove(connection)
         if connection in self._sending:
@@ -53,9 +53,9 @@
             while self._waiting and len(self._sending) < self._max_sending:
                 next_connection = self._waiting.popleft()
                 next_connection.cancel_wait()
-                self._begin(next_connection)
+                self._start_sending(next_connection)
 
-    def _begin(self, connection: CallerConnection) -> None:
+    def _start_sending(self, connection: CallerConnection) -> None:
         self._sending.add(connection)
         self._send(connection)
 
