--- a/sidecar_balancer/discovery/client.py
+++ b/sidecar_balancer/discovery/client.py
@@ -79,7 +79,7 @@
         self._notify = notify
         self._random_fraction = random_fraction
         self._poll_times = poll_times or PollTimes(math.inf)
-        self._generation = 0  # counts replacements of the sources; responses to earlier polls are dropped
+        self._generation = 0  # generation of the sources; responses to polls of an earlier one are dropped
         self._is_closed = False
         self._watch = RestartingTask(self._run_watch, restart_after_s)
         self._fetches: set[asyncio.Task[bool]] = set()
--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -40,7 +40,7 @@
             for _ in range(10):
                 assert (await w.ask())[0] == 200
             assert not first.requests
-            w.discovery.say(43, [first.entry()], snapshot=True)  # an absent server is renew_source
+            w.discovery.say(43, [first.entry()], snapshot=True)  # removes a server that it does not list
             await until(lambda: "s-1" not in listed)
             requests_before = len(second.requests)
             for _ in range(10):
@@ -50,7 +50,7 @@
     play(scenario())
 
 
-def test_renew_source_servers_are_forgotten() -> None:
+def test_removed_servers_are_forgotten() -> None:
     async def scenario() -> None:
         async with world(served, served) as w:
             first, second = w.servers
@@ -120,7 +120,7 @@
     play(scenario())
 
 
-def test_a_watch_runs_once_and_can_be_ended() -> None:
+def test_a_watch_runs_once_and_can_be_stopped() -> None:
     async def scenario() -> None:
         service = FakeDiscovery()
         await service.start()
@@ -170,8 +170,8 @@
 
 
 @pytest.mark.parametrize("status", ["leaving", "left"])
-def test_a_draining_or_renew_source_server_needs_no_address(status: str) -> None:
-    # Skipped as malformed, the entry would leave the server in use.
+def test_a_draining_or_removed_server_needs_no_address(status: str) -> None:
+    # If the entry were skipped as malformed, the server would stay in use.
     async def scenario() -> None:
         async with world(served) as w:
             w.discovery.say(42, [w.servers[0].entry(status=status, address=None)])
@@ -199,7 +199,7 @@
     monkeypatch.setattr(watch_state, "WATCH_SLACK_S", 0.01)
 
     async def scenario() -> None:
-        # A failed poll is repeated after 250 s here: nothing but the time-out brings the second one.
+        # A failed poll is repeated after 250 s here, so only the timeout can cause the second one.
         async with world(served, rules={"poll_interval_us": 1_000_000_000}) as w:
             await until(lambda: len(w.discovery.targets) == 2)
             first, second = (target.split("&wait_ms=") for target in w.discovery.targets)
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Reading the published form of the list: malformed input is skipped or rejected, within bounds of memory."""
+"""Reading the published format of the list: malformed input is skipped or rejected, in bounded memory."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
 
 
 def test_a_snapshot_with_malformed_entries_is_read_as_a_delta() -> None:
-    # An absent server may be among the malformed entries; the rest of the list is still of use.
+    # An absent server may be among the malformed entries; the rest of the list is still useful.
     assert not snapshot(*MALFORMED_ENTRIES, entry()).complete
 
 
@@ -104,7 +104,8 @@
 
 @pytest.mark.parametrize("kind", MALFORMED_BODIES)
 def test_a_malformed_body_takes_no_more_memory_than_a_few_times_its_size(kind: str) -> None:
-    # An answer of 8 MiB may hold 2.8 million empty objects: decoded first they took twenty times that.
+    # A response of 8 MiB may hold 2.8 million empty objects, which took twenty times its size in memory when
+    # they were decoded before any check.
     body = MALFORMED_BODIES[kind]
     tracemalloc.start()
     with contextlib.suppress(MalformedListError):
@@ -129,4 +130,4 @@
 def test_a_body_that_is_no_list_is_rejected(body: bytes) -> None:
     with pytest.raises(MalformedListError) as raised:
         read_list(body)
-    assert isinstance(raised.value, ValueError)  # as callers expect of configuration too
+    assert isinstance(raised.value, ValueError)  # callers expect that, as of other errors in a configuration
--- a/tests/discovery/test_poll_timing.py
+++ b/tests/discovery/test_poll_timing.py
@@ -1,6 +1,6 @@
-"""How late a sidecar receives changes: after failed polls, at its start, and in a large fleet.
+"""The delay until a sidecar receives changes: after failed polls, at its start and in a large fleet.
 
-The operators hold a change to be in force 6 s after discovery had it and could be reached.
+The operators require that a change takes effect within 6 s from when discovery has it and is reachable.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 from sidecar_balancer.policy.types import ListKind, ServerState
 from virtual import RunScenario
 
-IN_FORCE_S = 6.0  # after discovery had a change and could be reached
-RESPONSE_S = 2.0  # discovery responds to a request or fails it within this
+MAX_CHANGE_DELAY_S = 6.0  # from when discovery has a change and is reachable
+RESPONSE_S = 2.0  # discovery responds to a request or fails it within this time
 MARGIN_S = 0.5  # for the sidecar's own work, and a busy machine
 FLEET_SIZES = [5, 60, 200, 22_000]
 FAILED_POLLS = 12
@@ -29,7 +29,7 @@
 
 
 def seconds_to_next_poll(driver: BalancerDriver) -> float:
-    """Let time pass until discovery is polled once more; return how long that took."""
+    """Advance the clock until the next poll of discovery; return how long that took."""
     started_at, polls = driver.now, len(driver.actions_of(WatchEndpoints))
     while len(driver.actions_of(WatchEndpoints)) == polls:
         driver.advance(S // 100)
@@ -38,7 +38,7 @@
 
 @pytest.mark.parametrize("poll_interval_us", [1 * S, 10 * S, 60 * S])
 @pytest.mark.parametrize("fleet_size", FLEET_SIZES)
-def test_a_change_is_in_force_in_time_once_discovery_is_reachable_again(
+def test_a_change_takes_effect_in_time_once_discovery_is_reachable_again(
     fleet_size: int, poll_interval_us: int
 ) -> None:
     longest_s = 0.0
@@ -51,8 +51,9 @@
         for _ in range(FAILED_POLLS):
             driver.feed(EndpointListReceived(ListKind.FAILED))
             longest_s = max(longest_s, seconds_to_next_poll(driver))
-    # Discovery comes back just after a poll failed: the wait, the next poll and its response follow.
-    assert longest_s + RESPONSE_S + MARGIN_S <= IN_FORCE_S
+    # In the worst case, discovery comes back just after a poll failed; the next poll and its response follow
+    # after the wait.
+    assert longest_s + RESPONSE_S + MARGIN_S <= MAX_CHANGE_DELAY_S
 
 
 @pytest.mark.parametrize("fleet_size", FLEET_SIZES[1:])
@@ -69,7 +70,7 @@
 
 @pytest.mark.parametrize("failures", [1, 3, 7])
 @pytest.mark.parametrize("fleet_size", FLEET_SIZES)
-def test_a_drain_is_in_force_in_time_when_discovery_comes_back(
+def test_a_drain_takes_effect_in_time_when_discovery_comes_back(
     fleet_size: int, failures: int, on_virtual_clock: RunScenario
 ) -> None:
     async def scenario() -> None:
@@ -77,19 +78,19 @@
         async with world(served, drained=True, fleet_size=fleet_size) as w:
             for polls in range(1, failures + 1):
                 await until(lambda polls=polls: len(w.discovery.targets) == polls)  # type: ignore[misc]
-                await asyncio.sleep(RESPONSE_S)  # a service that is down fails a request after so long
+                await asyncio.sleep(RESPONSE_S)  # a service that is down fails a request after this time
                 w.discovery.answers.put_nowait(answer(503, b""))
             back_at = loop.time()
             await until(lambda: len(w.discovery.targets) == failures + 1)
-            await asyncio.sleep(RESPONSE_S)  # and one that is back may take as long to respond
+            await asyncio.sleep(RESPONSE_S)  # a service that is back may take as long to respond
             w.discovery.say(42, [w.servers[0].entry(status="leaving")])
             await until(lambda: balancer_of(w).servers["s-0"].state is ServerState.DRAINING)
-            assert loop.time() - back_at <= IN_FORCE_S - MARGIN_S
+            assert loop.time() - back_at <= MAX_CHANGE_DELAY_S - MARGIN_S
 
     on_virtual_clock(scenario())
 
 
-def test_idle_clients_that_use_up_the_descriptors_keep_no_poll_out(
+def test_idle_clients_that_use_up_the_descriptors_do_not_prevent_polls(
     on_virtual_clock: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(watch_state, "MIN_WAIT_MS", 100)
@@ -128,9 +129,9 @@
             readiness, _, _ = await ask(w.sidecar.frontend.address, READINESS_REQUEST)
             assert readiness == 200
             elapsed_s = asyncio.get_running_loop().time() - started_at
-            assert elapsed_s < 1.0  # of the 10 s that nine in ten starts may take
+            assert elapsed_s < 1.0  # nine in ten starts may take up to 10 s
             status, _, _ = await ask(w.sidecar.frontend.address, request())
-            assert status == 200  # by the configured list
+            assert status == 200  # served from the configured list
 
     on_virtual_clock(scenario())
 
@@ -142,4 +143,4 @@
         driver.receive_list(server_names(2), ListKind.CACHED)
         if not driver.actions_of(WatchEndpoints):
             seconds_to_next_poll(driver)
-        assert (driver.now - START) / S + RESPONSE_S + MARGIN_S <= IN_FORCE_S
+        assert (driver.now - START) / S + RESPONSE_S + MARGIN_S <= MAX_CHANGE_DELAY_S
--- a/tests/discovery/test_restarting_task.py
+++ b/tests/discovery/test_restarting_task.py
@@ -1,4 +1,4 @@
-"""A restarting task runs once at a time, restarts after its end and never after it was stopped."""
+"""A restarting task runs once at a time, and restarts after it has ended but not after it was stopped."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Runs:
-    """Counts runs of a coroutine that takes a second."""
+    """Records when a coroutine that takes a second is started."""
 
     def __init__(self) -> None:
         self.started_at: list[float] = []
--- a/tests/discovery/test_watch_recovery.py
+++ b/tests/discovery/test_watch_recovery.py
@@ -1,4 +1,4 @@
-"""Watches that fall silent, fail or die, and reloads: the next call comes in time."""
+"""Watches that get no response, fail or end by an exception, and reloads: the next poll comes in time."""
 
 from __future__ import annotations
 
@@ -19,30 +19,31 @@
 from timed_scenes import fail_discovery_calls, hung, served
 from virtual import RunScenario
 
-DRAIN_GRACE_S = 0.55  # of a drain, with the slack of the rules
+DRAIN_GRACE_S = 0.55  # grace period of a drain, with the slack of the rules
 
 
-SILENT_WATCH_GRACE_S = 6.0  # what a watch that fell silent misses counts as told so long after
+UNANSWERED_WATCH_GRACE_S = 6.0  # changes that an unanswered watch missed count as known after this time
 
 
-RELOAD_GRACE_S = 4.0  # and after SIGHUP what there is to tell
+RELOAD_GRACE_S = 4.0  # after SIGHUP, changes at the new address count as known after this time
 
 
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
-@pytest.mark.parametrize("chance", [0.0, 0.999])
-@pytest.mark.parametrize("first", [True, False])
-def test_silent_watch_is_restarted_before_its_missed_events_count_as_known(
-    on_virtual_clock: RunScenario, mode: str, chance: float, first: bool
+@pytest.mark.parametrize("random_fraction", [0.0, 0.999])
+@pytest.mark.parametrize("is_first_poll", [True, False])
+def test_unanswered_watch_is_restarted_before_its_missed_changes_count_as_known(
+    on_virtual_clock: RunScenario, mode: str, random_fraction: float, is_first_poll: bool
 ) -> None:
     async def scenario() -> None:
         async with world(served, drained=True, discovery=mode) as w:
-            w.sidecar.discovery._state.random_fraction = lambda: chance
-            if not first:  # else the first call after the start falls silent
+            w.sidecar.discovery._state.random_fraction = lambda: random_fraction
+            if not is_first_poll:  # otherwise the first poll after the start is not answered
                 w.discovery.say(42, [])
-            await until(lambda: len(w.discovery.targets) == 4 - first)
-            fell_silent, again, third = w.discovery.called_at[-3:]
-            assert again - fell_silent <= SILENT_WATCH_GRACE_S - 2.0  # time for the service's queue
-            assert third - fell_silent <= SILENT_WATCH_GRACE_S
+            await until(lambda: len(w.discovery.targets) == 4 - is_first_poll)
+            unanswered_at, second_at, third_at = w.discovery.called_at[-3:]
+            # The 2 s leave time for the service's queue.
+            assert second_at - unanswered_at <= UNANSWERED_WATCH_GRACE_S - 2.0
+            assert third_at - unanswered_at <= UNANSWERED_WATCH_GRACE_S
             w.discovery.say(43, [w.servers[0].entry(status="leaving")])
             await until(lambda: not w.sidecar.engine.balancer.ready_servers)
 
@@ -51,38 +52,39 @@
 
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
 @pytest.mark.parametrize("failures", [1, 4])
-def test_watch_silent_after_failures_is_restarted_as_early(
+def test_watch_unanswered_after_failures_is_restarted_as_early(
     on_virtual_clock: RunScenario, mode: str, failures: int
 ) -> None:
     async def scenario() -> None:
         async with world(served, drained=True, discovery=mode) as w:
             w.sidecar.discovery._state.random_fraction = lambda: 0.999
             await fail_discovery_calls(w, failures)
-            fell_silent = w.discovery.called_at[-1]
+            unanswered_at = w.discovery.called_at[-1]
             await until(lambda: len(w.discovery.targets) == failures + 3)
-            again, third = w.discovery.called_at[-2:]
-            assert again - fell_silent <= SILENT_WATCH_GRACE_S - 2.0
-            assert third - fell_silent <= SILENT_WATCH_GRACE_S
+            second_at, third_at = w.discovery.called_at[-2:]
+            assert second_at - unanswered_at <= UNANSWERED_WATCH_GRACE_S - 2.0
+            assert third_at - unanswered_at <= UNANSWERED_WATCH_GRACE_S
             w.discovery.say(43, [w.servers[0].entry(status="leaving")])
             await until(lambda: not w.sidecar.engine.balancer.ready_servers)
 
     on_virtual_clock(scenario())
 
 
-@pytest.mark.parametrize("silent_calls", [1, 2])
+@pytest.mark.parametrize("unanswered_polls", [1, 2])
 @pytest.mark.parametrize("failures", [0, 4])
-def test_silence_after_a_reload_leaves_time_to_receive_the_list(
-    on_virtual_clock: RunScenario, silent_calls: int, failures: int
+def test_unanswered_polls_after_a_reload_leave_time_to_receive_the_list(
+    on_virtual_clock: RunScenario, unanswered_polls: int, failures: int
 ) -> None:
     async def scenario() -> None:
         async with world(served, served, drained=True) as w:
-            await fail_discovery_calls(w, failures)  # at the old place: they say nothing of the new one
+            await fail_discovery_calls(w, failures)  # at the old address: they do not count for the new one
             new_discovery = FakeDiscovery()
             await new_discovery.start()
             started_at = asyncio.get_running_loop().time()
             w.move_discovery(new_discovery.address)
-            await until(lambda: len(new_discovery.targets) == silent_calls + 1)
-            assert set(new_discovery.targets) == {"/registry/instances"}  # nothing is known there yet
+            await until(lambda: len(new_discovery.targets) == unanswered_polls + 1)
+            # No version of the new list is known yet, so each poll requests the full list.
+            assert set(new_discovery.targets) == {"/registry/instances"}
             assert new_discovery.called_at[-1] - started_at <= RELOAD_GRACE_S + DRAIN_GRACE_S - 0.3
             new_discovery.say(7, [w.servers[1].entry()], snapshot=True)
             await until(lambda: "s-0" not in w.sidecar.engine.balancer.servers)
@@ -92,9 +94,9 @@
 
 
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
-@pytest.mark.parametrize("where", ["reading", "hearing"])
+@pytest.mark.parametrize("stage", ["parsing", "applying"])
 def test_watch_ended_by_an_exception_is_restarted(
-    on_virtual_clock: RunScenario, mode: str, where: str, monkeypatch: pytest.MonkeyPatch
+    on_virtual_clock: RunScenario, mode: str, stage: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
         failed: list[bool] = []
@@ -105,41 +107,41 @@
 
         async with world(served, drained=True, discovery=mode) as w:
             await until(lambda: w.discovery.targets)
-            whose: object = source_connection if where == "reading" else w.sidecar.endpoint_updates
-            what = "parse_response" if where == "reading" else "apply"
-            real = getattr(whose, what)
-            monkeypatch.setattr(whose, what, raise_error)
-            for _ in range(1 + (where == "reading")):  # the call under way reads as it was begun
+            patched: object = source_connection if stage == "parsing" else w.sidecar.endpoint_updates
+            function_name = "parse_response" if stage == "parsing" else "apply"
+            original = getattr(patched, function_name)
+            monkeypatch.setattr(patched, function_name, raise_error)
+            for _ in range(1 + (stage == "parsing")):  # the poll in progress has looked up the original
                 w.discovery.say(42, [])
             await until(lambda: failed)
-            monkeypatch.setattr(whose, what, real)
-            seen = len(w.discovery.targets)
+            monkeypatch.setattr(patched, function_name, original)
+            polls_before = len(w.discovery.targets)
             w.discovery.say(43, [w.servers[0].entry(status="leaving")], snapshot=True)
             await until(lambda: not w.sidecar.engine.balancer.ready_servers)
-            if where == "hearing":  # half of it may have been taken
-                assert w.discovery.targets[seen] == "/registry/instances"
+            if stage == "applying":  # a part of the update may have been applied
+                assert w.discovery.targets[polls_before] == "/registry/instances"
 
     on_virtual_clock(scenario())
 
 
-def test_watch_restarts_by_itself_where_its_end_is_not_handled(on_virtual_clock: RunScenario) -> None:
+def test_watch_restarts_by_itself_if_its_end_is_not_handled(on_virtual_clock: RunScenario) -> None:
     async def scenario() -> None:
         service = FakeDiscovery()
         await service.start()
-        watching = DiscoveryClient([service.address], 1, lambda _: None, restart_after_s=7.0)
-        watching.set_watching(True)
+        client = DiscoveryClient([service.address], 1, lambda _: None, restart_after_s=7.0)
+        client.set_watching(True)
         service.answers.put_nowait(answer(503, b""))
         await until(lambda: len(service.targets) == 2)
         assert service.called_at[1] - service.called_at[0] == pytest.approx(7.0, abs=0.1)
-        await watching.close()
-        watching.set_watching(True)  # after the end nothing is begun
-        assert not watching.is_watching
+        await client.close()
+        client.set_watching(True)  # a closed client starts no watch
+        assert not client.is_watching
         await service.end()
 
     on_virtual_clock(scenario())
 
 
-def test_responses_to_calls_before_a_move_there_and_back_are_ignored(on_virtual_clock: RunScenario) -> None:
+def test_responses_to_polls_before_a_switch_and_back_are_ignored(on_virtual_clock: RunScenario) -> None:
     async def scenario() -> None:
         old, other = FakeDiscovery(), FakeDiscovery()
         await old.start()
@@ -158,7 +160,7 @@
         assert events == []
         assert discovery.status().index is None
         old.say(8, [], snapshot=True)
-        await until(lambda: [each.version for each in events if isinstance(each, ListUpdate)] == [8])
+        await until(lambda: [event.version for event in events if isinstance(event, ListUpdate)] == [8])
         await discovery.close()
         await old.end()
         await other.end()
@@ -181,10 +183,10 @@
             await until(lambda: len(new_discovery.targets) == 3)
             assert (
                 new_discovery.called_at[-1] - started_at <= 1.5
-            )  # 0.5 s and 1 s at most, as at the first failures
+            )  # at most 0.5 s and 1 s, as after the first failures
             new_discovery.say(7, [w.servers[1].entry()], snapshot=True)
             await until(lambda: "s-0" not in w.sidecar.engine.balancer.servers)
-            w.move_discovery(new_discovery.address)  # where it is already: nothing begins anew
+            w.move_discovery(new_discovery.address)  # the address is unchanged: the watch is not restarted
             assert w.sidecar.discovery.source_generation == 1
             await new_discovery.end()
 
@@ -199,7 +201,8 @@
             await until(lambda: w.discovery.targets)
             new_discovery = FakeDiscovery()
             await new_discovery.start()
-            w.sidecar.discovery._notify_failure_soon(timed_out=True)  # it is told in the next turn
+            # The owner is notified in the next event loop iteration.
+            w.sidecar.discovery._notify_failure_soon(timed_out=True)
             w.move_discovery(new_discovery.address)
             await until(lambda: new_discovery.targets)
             schedule = w.sidecar.engine.balancer.components.discovery
@@ -212,15 +215,15 @@
 def test_endpoint_list_older_than_the_requested_version_is_ignored(on_virtual_clock: RunScenario) -> None:
     async def scenario() -> None:
         async with world(served, served, drained=True) as w:
-            gone, stays = w.servers
-            w.discovery.say(43, [gone.entry(status="leaving")])
+            draining, remaining = w.servers
+            w.discovery.say(43, [draining.entry(status="leaving")])
             await until(lambda: len(w.sidecar.engine.balancer.ready_servers) == 1)
-            w.discovery.say(42, [gone.entry()])  # an older version of the service's list, late
+            w.discovery.say(42, [draining.entry()])  # a late response with an older version of the list
             await until(lambda: w.discovery.targets[-1] == "/registry/instances")
             assert len(w.sidecar.engine.balancer.ready_servers) == 1
-            w.discovery.say(3, [stays.entry()], snapshot=True)  # it counts anew: the whole list is right
+            w.discovery.say(3, [remaining.entry()], snapshot=True)  # versions restarted: the full list counts
             await until(lambda: w.discovery.targets[-1].startswith("/registry/instances?after=3&"))
-            assert [each.name for each in w.sidecar.engine.balancer.ready_servers] == [stays.name]
+            assert [server.name for server in w.sidecar.engine.balancer.ready_servers] == [remaining.name]
 
     on_virtual_clock(scenario())
 
--- a/tests/discovery/test_watch_state.py
+++ b/tests/discovery/test_watch_state.py
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize(("has_relays", "timeout_s"), [(False, 2.1), (True, 1.1)])
-def test_after_a_time_out_polls_hardly_wait_until_one_is_answered(has_relays: bool, timeout_s: float) -> None:
+def test_after_a_timeout_polls_wait_briefly_until_one_is_answered(has_relays: bool, timeout_s: float) -> None:
     state = state_of(41)
     state.record_poll(timed_out=True)
     for _ in range(2):
@@ -50,7 +50,7 @@
     assert state.next_poll(has_relays).wait_ms >= 1000
 
 
-def test_the_first_poll_at_another_source_hardly_waits() -> None:
+def test_the_first_poll_at_another_source_waits_briefly() -> None:
     state = state_of(41)
     state.record_source_switch()
     assert state.next_poll(has_relays=True).wait_ms == 100
@@ -75,7 +75,7 @@
     assert draws == [0.5]
 
 
-def test_a_relay_is_sent_the_tag_and_the_age_of_the_list_held() -> None:
+def test_a_relay_is_sent_the_tag_and_the_age_of_the_current_list() -> None:
     state = state_of(41)
     state.record_as_of(as_of=100.0)
     state.record_list(42, '"tag"')
@@ -95,7 +95,7 @@
     [
         (50, 99.0, True),  # clearly older
         (50, 99.9, False),  # older within the tolerance, with a higher version
-        (41, 99.9, True),  # and with a lower one
+        (41, 99.9, True),  # older within the tolerance, with a lower version
         (41, 100.1, True),  # newer within the tolerance, with a lower version
         (41, 101.0, False),  # clearly newer: the registry's versions restarted
     ],
@@ -108,14 +108,14 @@
     assert state.is_outdated(version, as_of) is is_outdated
 
 
-def test_a_list_is_never_confirmed_for_an_earlier_time() -> None:
+def test_the_time_of_the_list_never_goes_back() -> None:
     state = state_of(42)
     state.record_as_of(as_of=100.0)
     state.record_as_of(as_of=99.0)
     assert state.as_of == 100.0
 
 
-def test_other_sources_are_polled_for_the_full_list_without_a_trace_of_the_old_one() -> None:
+def test_a_reset_forgets_the_old_list_and_polls_for_the_full_list() -> None:
     state = state_of(42)
     state.record_as_of(as_of=100.0)
     state.record_list(43, '"tag"')
--- a/tests/relay/test_bounds.py
+++ b/tests/relay/test_bounds.py
@@ -1,4 +1,4 @@
-"""What a relay accepts: malformed requests, many connections and slow readers keep no sidecar out."""
+"""Limits of a relay: malformed requests, many connections and slow readers do not lock sidecars out."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
     sock.sendall(list_request())
 
 
-def test_full_lists_are_bounded_in_number_and_slow_readers_make_room(on_virtual_clock: RunScenario) -> None:
+def test_concurrent_full_lists_are_bounded_and_slow_readers_dropped(on_virtual_clock: RunScenario) -> None:
     async def scenario() -> None:
         async with relay_tier(relays=1, sidecars=1) as tier:
             service = tier.relays[0].service
@@ -103,7 +103,7 @@
     on_virtual_clock(scenario())
 
 
-def test_a_flood_of_connections_keeps_no_sidecar_out(on_virtual_clock: RunScenario) -> None:
+def test_a_flood_of_connections_does_not_lock_sidecars_out(on_virtual_clock: RunScenario) -> None:
     async def scenario() -> None:
         limits = RelayLimits(connections=20, snapshots=2)
         async with relay_tier(relays=1, sidecars=3, limits=limits) as tier:
--- a/tests/relay/test_change_log.py
+++ b/tests/relay/test_change_log.py
@@ -18,14 +18,14 @@
 
 
 def list_of(body: bytes) -> EndpointList:
-    """Return the list that a snapshot holds."""
+    """Return the list that a snapshot contains."""
     endpoints = EndpointList()
     endpoints.apply(parse_list(json.loads(body)))
     return endpoints
 
 
 def entries_after(body: bytes, base: EndpointList | None = None) -> dict[str, Any]:
-    """Return the entries by name that a body leads to from a base."""
+    """Return the entries, by name, after a body is applied to a base list."""
     endpoints = base or EndpointList()
     endpoints.apply(parse_list(json.loads(body)))
     return {member["name"]: member for member in endpoints.snapshot()["endpoints"]}
@@ -96,18 +96,18 @@
     assert log.ring_entries == 10
 
 
-def test_a_caller_is_known_by_its_tag_while_the_ring_leads_from_there() -> None:
+def test_a_caller_is_known_by_its_tag_while_the_ring_holds_the_changes_since() -> None:
     log, tags = log_with_30_changes()
     assert [tag for tag in tags if log.revision_of(tag, None) is not None] == tags[-11:]
 
 
-def test_a_caller_without_a_tag_is_known_by_its_index_while_the_ring_leads_from_there() -> None:
+def test_a_caller_without_a_tag_is_known_by_its_index_while_the_ring_holds_the_changes_since() -> None:
     log, _ = log_with_30_changes()
     assert log.revision_of(None, 31) is not None
     assert log.revision_of(None, 12) is None
 
 
-def test_an_unknown_tag_outweighs_a_known_index() -> None:
+def test_an_unknown_tag_takes_precedence_over_a_known_index() -> None:
     log, _ = log_with_30_changes()
     assert log.revision_of('"junk"', 31) is None
 
--- a/tests/relay/test_config.py
+++ b/tests/relay/test_config.py
@@ -19,7 +19,7 @@
     return read_relay_config(str(path))
 
 
-def test_all_but_the_addresses_has_defaults(tmp_path: Path) -> None:
+def test_all_keys_but_the_addresses_have_defaults(tmp_path: Path) -> None:
     assert read(tmp_path, REQUIRED) == RelayConfig(
         ("127.0.0.1", 9), (("127.0.0.1", 1),), None, RelayLimits(2048, 8), LogConfig()
     )
--- a/tests/relay/test_failover.py
+++ b/tests/relay/test_failover.py
@@ -1,4 +1,4 @@
-"""Relays, a registry and sidecars' discovery clients: changes are in force within 6 s, whatever fails."""
+"""Relays, a registry and sidecars' discovery clients: changes take effect within 6 s despite failures."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     return asyncio.get_running_loop().time()
 
 
-def test_a_change_reaches_every_sidecar_at_the_cost_of_one_watch_a_relay(
+def test_a_change_reaches_every_sidecar_at_the_cost_of_one_watch_per_relay(
     on_virtual_clock: RunScenario,
 ) -> None:
     async def scenario() -> None:
@@ -30,7 +30,7 @@
             tier.registry.change(entry("s-1", status="leaving"))
             await tier.in_force("s-1", "leaving", within_s=0.5)
             elapsed_s = now() - started_at
-            # Of each relay a request each 0.6 s at least, and one after each change.
+            # Each relay sends a request at intervals of at least 0.6 s, and one after each change.
             assert tier.registry.request_count - request_count <= 2 * (elapsed_s / 0.6 + 6 + 2)
             assert not any(sidecar.failure_count for sidecar in tier.sidecars)
             assert all(relay.service.counters.snapshots <= 20 for relay in tier.relays)
@@ -38,7 +38,7 @@
     on_virtual_clock(scenario())
 
 
-def test_changes_in_quick_succession_go_out_together(on_virtual_clock: RunScenario) -> None:
+def test_changes_in_quick_succession_are_sent_together(on_virtual_clock: RunScenario) -> None:
     async def scenario() -> None:
         async with relay_tier(relays=1, sidecars=4) as tier:
             await asyncio.sleep(1.0)
@@ -69,7 +69,7 @@
 ) -> None:
     async def scenario() -> None:
         async with relay_tier(relays=3) as tier:
-            for relay in tier.relays[:2]:  # as if stopped: they accept requests and respond to none
+            for relay in tier.relays[:2]:  # as if stopped: they accept requests but do not respond
                 monkeypatch.setattr(relay.service, "_send", lambda *_: None)
             tier.registry.change(entry("s-0", status="leaving"))
             await tier.in_force("s-0", "leaving")
@@ -77,11 +77,11 @@
     on_virtual_clock(scenario())
 
 
-def test_a_partitioned_relay_reports_its_age_and_is_left(on_virtual_clock: RunScenario) -> None:
+def test_a_partitioned_relay_reports_its_age_and_sidecars_leave_it(on_virtual_clock: RunScenario) -> None:
     async def scenario() -> None:
         async with relay_tier(relays=2) as tier:
             partitioned, connected = tier.relays
-            await partitioned.discovery.close()  # it hears no more, and its sidecars still reach it
+            await partitioned.discovery.close()  # it gets no more updates, but its sidecars still reach it
             tier.registry.change(entry("s-0", status="leaving"))
             await tier.in_force("s-0", "leaving")
             used = {sidecar.client.status().address for sidecar in tier.sidecars}
@@ -102,7 +102,7 @@
             assert not any(sidecar.failure_count for sidecar in tier.sidecars)
             requests_before = tier.requests_served()
             await asyncio.sleep(30.0)
-            # All are stale: each sidecar polls all of them each 2 s and the freshest between.
+            # All relays are stale: each sidecar polls all of them every 2 s and the freshest one in between.
             assert tier.requests_served() - requests_before <= 6 * 30 * 2.5
             await tier.registry.start()
             tier.registry.change(entry("s-0", status="leaving"))
@@ -124,7 +124,7 @@
             assert all(sidecar.versions[-1] == 5 for sidecar in tier.sidecars)
             tier.registry.change(entry("s-1", status="leaving"))
             await tier.in_force("s-1", "leaving", within_s=1.0)
-            # The callers' tags are known: they receive what changed, not the full list.
+            # The relays know the callers' tags and send them the changes, not the full list.
             assert tier.snapshots_sent() == snapshots_before
 
     on_virtual_clock(scenario())
@@ -141,7 +141,7 @@
             preferred = "{}:{}".format(*address)
             used = [sidecar.client.status().address for sidecar in tier.sidecars]
             assert used.count(preferred) == 3
-            # They hold the list that it has: by its tag none is sent in full.
+            # The relay recognizes their list by its tag, so that it sends no full list.
             assert restarted.service.counters.snapshots == 0
             tier.registry.change(entry("s-1", status="leaving"))
             await tier.in_force("s-1", "leaving", within_s=1.0)
@@ -165,7 +165,7 @@
     on_virtual_clock(scenario())
 
 
-def test_a_relay_behind_a_relay_reports_the_age_from_the_registry_on(on_virtual_clock: RunScenario) -> None:
+def test_a_relay_behind_a_relay_reports_the_age_since_the_registry(on_virtual_clock: RunScenario) -> None:
     async def scenario() -> None:
         async with relay_tier(relays=1, sidecars=1) as tier:
             leaf = await tier.add_relay([tier.relays[0].address()])
@@ -203,7 +203,7 @@
         answer(200, b"[" * 50_000, X_Source_Age_Ms="1"),
         answer(503, b""),
     ],
-    ids=["age no number", "age too long", "nested too deep", "status 503"],
+    ids=["age not a number", "age too long", "nested too deep", "status 503"],
 )
 def test_a_malformed_response_of_a_relay_is_a_failed_poll(
     on_virtual_clock: RunScenario, malformed: bytes
