--- a/bench/scale_edge.py
+++ b/bench/scale_edge.py
@@ -20,7 +20,7 @@
 
 from helpers import settings
 from sidecar_balancer.config.sidecar import SidecarConfig
-from sidecar_balancer.discovery.endpoint_list import ListUpdate, parse_list, read_list
+from sidecar_balancer.discovery.endpoint_list import ListUpdate, decode_list, parse_list
 from sidecar_balancer.policy.types import ListKind
 from sidecar_balancer.sidecar.sidecar import Sidecar
 
@@ -82,7 +82,7 @@
     snapshot_us = []
     for _ in range(TRIALS):
         started_at = time.process_time()
-        sidecar.endpoint_updates.apply(ListKind.SNAPSHOT, read_list(body))
+        sidecar.endpoint_updates.apply(ListKind.SNAPSHOT, decode_list(body))
         snapshot_us.append(1e6 * (time.process_time() - started_at))
     memory = resident_bytes() - before
     change_us = [_microseconds_per_change(sidecar, size, trial) for trial in range(TRIALS)]
--- a/sidecar_balancer/admin/disabled_servers.py
+++ b/sidecar_balancer/admin/disabled_servers.py
@@ -25,15 +25,15 @@
         self._engine = engine
         self._endpoint_pool = endpoint_pool
         self._bridge = bridge
-        self._by_own_overrides: frozenset[str] = frozenset()
+        self._locally_disabled: frozenset[str] = frozenset()
         self._in_force: frozenset[str] = frozenset()
         self._was_accepted = False  # whether the balancer knew the server of the last request
         engine.executors[ApplyDisabledServers] = self._apply
 
     @property
-    def by_own_overrides(self) -> frozenset[str]:
+    def locally_disabled(self) -> frozenset[str]:
         """The servers that this sidecar's own overrides disable."""
-        return self._by_own_overrides
+        return self._locally_disabled
 
     @property
     def in_force(self) -> frozenset[str]:
@@ -48,15 +48,15 @@
 
     def follow(self, stored: frozenset[str]) -> None:
         """Apply the servers that the stored overrides disable, and publish them to the tier."""
-        has_changed = stored != self._by_own_overrides
-        self._by_own_overrides = stored
+        has_changed = stored != self._locally_disabled
+        self._locally_disabled = stored
         if has_changed and self._bridge is not None:
             self._bridge.set_disabled_servers(stored)
         self.refresh()
 
     def refresh(self) -> None:
         """Apply this sidecar's overrides together with those that its peers have published."""
-        wanted = self._by_own_overrides
+        wanted = self._locally_disabled
         if self._bridge is not None:
             wanted |= self._bridge.disabled_servers()
         if wanted != self._in_force:
--- a/sidecar_balancer/admin/tables.py
+++ b/sidecar_balancer/admin/tables.py
@@ -8,7 +8,7 @@
 Rows = dict[str, dict[str, Any]]
 
 
-def show_response(command: str, body: str) -> str:
+def format_response(command: str, body: str) -> str:
     """Return the text to print for a response to `command`; a body that is no JSON stays as it is."""
     try:
         content = json.loads(body)
--- a/sidecar_balancer/admin/views.py
+++ b/sidecar_balancer/admin/views.py
@@ -42,7 +42,7 @@
     warming_up = sum(balancer.is_warming_up(server) for server in ready)
     return (
         f"load {balancer.load} of window {balancer.window:.1f}, "
-        f"aim spent {balancer.typical_latency_ratio:.2f}, "
+        f"aim spent {balancer.median_latency_ratio:.2f}, "
         f"late {balancer.late_ratio:.2f}; of {len(ready)} ready {len(balancer.ejected_servers)} ejected, "
         f"{warming_up} cold, "
         f"{len(balancer.disabled_servers)} excluded"
--- a/sidecar_balancer/cli.py
+++ b/sidecar_balancer/cli.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 
 from sidecar_balancer.admin.client import CALLS, AdminCall, AdminCallError
-from sidecar_balancer.admin.tables import show_response
+from sidecar_balancer.admin.tables import format_response
 
 EXIT_OK = 0
 EXIT_CALL_FAILED = 1
@@ -106,7 +106,7 @@
     if response.status != _HTTP_OK:
         print(f"no ({response.status}): {response.body}")
         return EXIT_CALL_FAILED
-    print(response.body if arguments.json else show_response(arguments.command, response.body))
+    print(response.body if arguments.json else format_response(arguments.command, response.body))
     return EXIT_OK
 
 
--- a/sidecar_balancer/discovery/endpoint_list.py
+++ b/sidecar_balancer/discovery/endpoint_list.py
@@ -54,7 +54,7 @@
     first_fault = ""
 
 
-def read_list(body: bytes) -> ListUpdate:
+def decode_list(body: bytes) -> ListUpdate:
     """Decode a JSON body and convert it to a list update, as `parse_list` does.
 
     Each entry is converted as soon as it is decoded, so that the decoded JSON is never in memory as a whole.
@@ -90,7 +90,7 @@
 
 
 def parse_list(decoded: object) -> ListUpdate:
-    """Convert decoded JSON to a list update; `read_list` may have converted its entries already.
+    """Convert decoded JSON to a list update; `decode_list` may have converted its entries already.
 
     Malformed entries are skipped, with one log line for all of them.  A full list with malformed entries is
     treated as a delta, because a server that seems absent may be one of them.
--- a/sidecar_balancer/discovery/source_connection.py
+++ b/sidecar_balancer/discovery/source_connection.py
@@ -10,7 +10,7 @@
 import h11
 
 from sidecar_balancer.addresses import Address
-from sidecar_balancer.discovery.endpoint_list import MAX_LIST_BYTES, ListUpdate, read_list
+from sidecar_balancer.discovery.endpoint_list import MAX_LIST_BYTES, ListUpdate, decode_list
 from sidecar_balancer.discovery.errors import MalformedAgeError, SourceDisconnectedError, SourceStatusError
 from sidecar_balancer.discovery.protocol import AGE_HEADER, TAG_HEADER, Headers
 from sidecar_balancer.upstream.dialing import connect
@@ -75,7 +75,7 @@
         raise SourceStatusError(response.status)
     age = response.header(AGE_HEADER.lower().encode())
     tag = response.header(TAG_HEADER.lower().encode())
-    return ListResponse(read_list(response.body), _parse_age_s(age), tag)
+    return ListResponse(decode_list(response.body), _parse_age_s(age), tag)
 
 
 def _parse_age_s(header: str | None) -> float | None:
--- a/sidecar_balancer/membership/bridge.py
+++ b/sidecar_balancer/membership/bridge.py
@@ -26,9 +26,9 @@
 from sidecar_balancer.policy.actions import PublishServerVerdict, PublishZoneVerdict
 from sidecar_balancer.policy.events import (
     Event,
-    LearnedServer,
     PeerServerVerdict,
     PeerVerdictsReceived,
+    RestoredServer,
     StateRestored,
     TierDemandReceived,
     ZoneHealthCheckerChanged,
@@ -146,10 +146,10 @@
         latencies = {
             server: 1.0 + (percent / 100 - 1.0) / 2 for server, percent in transfer.received_latencies.items()
         }
-        ejected = self.transport.swim.tier.ejected_servers(self.transport.now_us())
+        ejected = self.transport.swim.tier_view.ejected_servers(self.transport.now_us())
         return StateRestored(
             {
-                server: LearnedServer(latencies.get(server, 1.0), int(server in ejected))
+                server: RestoredServer(latencies.get(server, 1.0), int(server in ejected))
                 for server in sorted({*latencies, *ejected})
             }
         )
@@ -175,7 +175,7 @@
             server: max(1, min(int(ratio * 100), RELATIVE_LATENCY_MAX_PERCENT)) for server, ratio in latencies
         }
         self.transport.swim.transfer.report_latencies(percentages)
-        tier_demand = self.transport.swim.tier.demand_rps(self.transport.now_us())
+        tier_demand = self.transport.swim.tier_view.demand_rps(self.transport.now_us())
         if tier_demand != self._tier_demand:
             self._tier_demand = tier_demand
             self._handle_event(TierDemandReceived(tier_demand))
@@ -184,7 +184,7 @@
 
     def disabled_servers(self) -> frozenset[str]:
         """The servers that operators at other sidecars of the tier have disabled."""
-        return self.transport.swim.tier.disabled_servers(self.transport.now_us())
+        return self.transport.swim.tier_view.disabled_servers(self.transport.now_us())
 
     def _step(self) -> None:
         self._steps += 1
@@ -197,7 +197,7 @@
         self._timer = asyncio.get_running_loop().call_later(_STEP_S, self._step)
 
     def _forward_verdicts(self) -> None:
-        verdicts = self.transport.swim.tier.verdicts(self.transport.now_us(), len(self._classes))
+        verdicts = self.transport.swim.tier_view.verdicts(self.transport.now_us(), len(self._classes))
         if verdicts != self._tier_verdicts:
             self._tier_verdicts = verdicts
             self._handle_event(self._verdicts_event(verdicts))
--- a/sidecar_balancer/membership/swim.py
+++ b/sidecar_balancer/membership/swim.py
@@ -80,7 +80,7 @@
         self.members = MemberTable(member, size, now_us)
         self.health = LocalHealth(self._settings.health_most)
         self.verdicts = VerdictTable(self._settings.verdicts_most)
-        self.tier = TierView(self.verdicts, self.members, self._settings)
+        self.tier_view = TierView(self.verdicts, self.members, self._settings)
         self.transfer = StateTransfer(self.verdicts, self._settings.verdicts_most)
         self.counters = TrafficCounters()
         self.lease_handler: LeaseHandler | None = None
--- a/sidecar_balancer/persistence/persister.py
+++ b/sidecar_balancer/persistence/persister.py
@@ -40,7 +40,7 @@
                 "the state can't be read, starting cold: %s", error, extra={"event": "state_read_failed"}
             )
             return RestoredState()
-        _log_rejected_files(loaded.notes)
+        _log_rejected_files(loaded.warnings)
         state = state_records.decode(loaded.records)
         self._restore_tier_snapshot(state)
         log.info(
@@ -64,7 +64,7 @@
                 "the tier's snapshot can't be read: %s", error, extra={"event": "tier_snapshot_read_failed"}
             )
             return
-        _log_rejected_files(snapshot.notes)
+        _log_rejected_files(snapshot.warnings)
         known_epoch = state.lease_epochs.get(TierLease.SNAPSHOT, 0)
         state.lease_epochs[TierLease.SNAPSHOT] = max(known_epoch, snapshot.token)
         if not state.learned.servers:
@@ -158,6 +158,6 @@
             transport.leases.restore_epoch(number, epoch)
 
 
-def _log_rejected_files(notes: list[str] | tuple[str, ...]) -> None:
-    for note in notes:
+def _log_rejected_files(warnings: list[str] | tuple[str, ...]) -> None:
+    for note in warnings:
         log.warning("state: %s", note, extra={"event": "state_file_rejected"})
--- a/sidecar_balancer/persistence/state_records.py
+++ b/sidecar_balancer/persistence/state_records.py
@@ -29,7 +29,7 @@
 from sidecar_balancer.membership.transport import MembershipTransport
 from sidecar_balancer.policy.balancer import Balancer
 from sidecar_balancer.policy.endpoint import Server
-from sidecar_balancer.policy.events import LearnedServer, StateRestored
+from sidecar_balancer.policy.events import RestoredServer, StateRestored
 
 log = logging.getLogger(__name__)
 
@@ -161,7 +161,7 @@
 
     def __init__(self) -> None:
         self._state = RestoredState()
-        self._servers: dict[str, LearnedServer] = {}
+        self._servers: dict[str, RestoredServer] = {}
         self._baselines_us: dict[tuple[str, int], float] = {}
         self._capacity_per_us = 0.0
 
@@ -196,13 +196,15 @@
         return self._state
 
 
-def _decode_server(value: Any) -> LearnedServer:
+def _decode_server(value: Any) -> RestoredServer:
     relative_latency, ejected_us, started_at = value
     if not 0.0 < float(relative_latency) < _MAX_RELATIVE_LATENCY:
         raise ValueError(f"a relative latency is needed, not {relative_latency!r:.60}")
     if type(ejected_us) is not int or ejected_us < 0:
         raise ValueError(f"microseconds are needed, not {ejected_us!r:.60}")
-    return LearnedServer(float(relative_latency), ejected_us, None if started_at is None else int(started_at))
+    return RestoredServer(
+        float(relative_latency), ejected_us, None if started_at is None else int(started_at)
+    )
 
 
 def _decode_pair(value: Any) -> tuple[int, int]:
--- a/sidecar_balancer/persistence/store.py
+++ b/sidecar_balancer/persistence/store.py
@@ -34,7 +34,7 @@
     """What was on disk."""
 
     records: dict[str, bytes] = field(default_factory=dict)
-    notes: tuple[str, ...] = ()  # a line for each file that was rejected or truncated
+    warnings: tuple[str, ...] = ()  # a line for each file that was rejected or truncated
 
 
 class Store:
@@ -59,14 +59,14 @@
         self._folder.mkdir(parents=True, exist_ok=True)
         incarnations = self._incarnations_on_disk()
         self.incarnation = max(incarnations, default=0) + 1
-        notes: list[str] = []
+        warnings: list[str] = []
         for incarnation in sorted(incarnations, reverse=True):
-            records = self._load(incarnation, notes)
+            records = self._load(incarnation, warnings)
             if records is not None:
                 for key, value in records.items():
                     self.put(key, value)
-                return LoadedRecords(records, tuple(notes))
-        return LoadedRecords({}, tuple(notes))
+                return LoadedRecords(records, tuple(warnings))
+        return LoadedRecords({}, tuple(warnings))
 
     def _incarnations_on_disk(self) -> set[int]:
         matches = (_FILE_NAME.fullmatch(path.name) for path in self._folder.iterdir())
@@ -75,43 +75,45 @@
     def _path(self, incarnation: int, suffix: str) -> Path:
         return self._folder / f"state-{incarnation}.{suffix}"
 
-    def _load(self, incarnation: int, notes: list[str]) -> dict[str, bytes] | None:
+    def _load(self, incarnation: int, warnings: list[str]) -> dict[str, bytes] | None:
         """Return the records of an incarnation; None where its snapshot is missing or rejected."""
         path = self._path(incarnation, "snap")
         try:
             content = snapshot.load(path, self._max_bytes)
             if not content.records:
-                notes.append(f"{path.name} holds no records")
+                warnings.append(f"{path.name} holds no records")
                 return None
             generation, records = _decode_snapshot(content.records)
         except (SnapshotError, OSError) as error:
-            notes.append(f"{path.name} is rejected: {error}")
+            warnings.append(f"{path.name} is rejected: {error}")
             return None
         if not content.is_complete:
-            notes.append(f"{path.name} was truncated, read up to {content.valid_bytes} bytes")
+            warnings.append(f"{path.name} was truncated, read up to {content.valid_bytes} bytes")
             return records  # the log may build on the records that were lost
-        self._replay_log(LogVersion(incarnation, generation), records, notes)
+        self._replay_log(LogVersion(incarnation, generation), records, warnings)
         return records
 
-    def _replay_log(self, version: LogVersion, records: dict[str, bytes], notes: list[str]) -> None:
+    def _replay_log(self, version: LogVersion, records: dict[str, bytes], warnings: list[str]) -> None:
         path = self._path(version.incarnation, "log")
         try:
             data = self._read_log(path)
         except FileNotFoundError:
             return
         except (SnapshotError, OSError) as error:
-            notes.append(f"{path.name} is rejected: {error}")
+            warnings.append(f"{path.name} is rejected: {error}")
             return
         content = change_log.unpack(data, version)
         if content is None:
-            notes.append(f"{path.name} does not belong to its snapshot")
+            warnings.append(f"{path.name} does not belong to its snapshot")
             return
         for key, value in content.changes:
             records.pop(key, None)
             if value is not None:
                 records[key] = value
         if content.valid_bytes < len(data):
-            notes.append(f"{path.name} was truncated, read up to {content.valid_bytes} of {len(data)} bytes")
+            warnings.append(
+                f"{path.name} was truncated, read up to {content.valid_bytes} of {len(data)} bytes"
+            )
 
     def _read_log(self, path: Path) -> bytes:
         size = path.stat().st_size
--- a/sidecar_balancer/persistence/tier_snapshot.py
+++ b/sidecar_balancer/persistence/tier_snapshot.py
@@ -23,7 +23,7 @@
 
     token: int
     records: dict[str, bytes]
-    notes: list[str]  # a line for each file that was rejected or truncated
+    warnings: list[str]  # a line for each file that was rejected or truncated
 
 
 def write(folder: Path, token: int, records: dict[str, bytes]) -> bool:
@@ -44,7 +44,7 @@
 
 def read(folder: Path, max_bytes: int) -> TierSnapshot:
     """Read the newest snapshot that is valid; raises OSError where the folder can't be listed."""
-    notes: list[str] = []
+    warnings: list[str] = []
     tokens = _tokens(folder) if folder.is_dir() else []
     for token in sorted(tokens, reverse=True):
         path = _path(folder, token)
@@ -52,12 +52,12 @@
             content = snapshot.load(path, max_bytes)
             records = keyed_records.decode(content.records)
         except (SnapshotError, OSError) as error:
-            notes.append(f"{path.name} is rejected: {error}")
+            warnings.append(f"{path.name} is rejected: {error}")
             continue
         if not content.is_complete:
-            notes.append(f"{path.name} was truncated")
-        return TierSnapshot(token, records, notes)
-    return TierSnapshot(0, {}, notes)
+            warnings.append(f"{path.name} was truncated")
+        return TierSnapshot(token, records, warnings)
+    return TierSnapshot(0, {}, warnings)
 
 
 def _tokens(folder: Path) -> list[int]:
--- a/sidecar_balancer/policy/actions.py
+++ b/sidecar_balancer/policy/actions.py
@@ -43,7 +43,7 @@
 class SetTimer:
     """Request a TimerFired."""
 
-    in_us: int
+    delay_us: int
     token: str
 
 
--- a/sidecar_balancer/policy/admission.py
+++ b/sidecar_balancer/policy/admission.py
@@ -103,7 +103,7 @@
             self._longest_remaining_us.get(name, 0), remaining_us
         )
         return (
-            now == self._stalls.recovered_at
+            now == self._stalls.stall_ended_at
             and service_class.late_priority_weight <= 0.0
             and longest_us - remaining_us >= service_class.latency_objective_us
         )
--- a/sidecar_balancer/policy/attempts.py
+++ b/sidecar_balancer/policy/attempts.py
@@ -95,7 +95,7 @@
         if outcome is not Outcome.INVALID_REQUEST and self._placement.retry(now, request):
             return
         if not request.has_pending_attempt():
-            self._table.finish(request)
+            self._table.reject_or_fail(request)
 
     def _record_health(self, now: int, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
         server = attempt.server
--- a/sidecar_balancer/policy/balancer.py
+++ b/sidecar_balancer/policy/balancer.py
@@ -134,7 +134,7 @@
         return self._window.size
 
     @property
-    def typical_latency_ratio(self) -> float:
+    def median_latency_ratio(self) -> float:
         """Running median of latency over latency objective."""
         return self._window.typical_ratio
 
@@ -230,7 +230,7 @@
         if request is None or request.answered or request.has_response():
             return
         if entry.attempt_index is None:
-            self.components.requests.finish(request)
+            self.components.requests.reject_or_fail(request)
             return
         attempt = request.attempts[entry.attempt_index]
         if attempt.pending:
--- a/sidecar_balancer/policy/class_rejections.py
+++ b/sidecar_balancer/policy/class_rejections.py
@@ -7,7 +7,7 @@
 from sidecar_balancer.policy.endpoint import RejectionBackoff, Server
 from sidecar_balancer.policy.request import Request
 from sidecar_balancer.policy.types import ServerVerdict
-from sidecar_balancer.policy.verdicts import VerdictExchange, peers_against
+from sidecar_balancer.policy.verdicts import VerdictExchange, peer_verdict_count
 
 BACKOFF_OBJECTIVES = 2.0  # first backoff, in longest objectives; it doubles with each rejection in a row
 BACKOFF_MAX_OBJECTIVES = 16.0
@@ -31,7 +31,7 @@
         """The server has answered the request with an application error."""
         service_class = request.service_class.name
         is_repeated = request.flow in server.rejections  # without a response to this flow in between
-        if is_repeated or peers_against(server, service_class):
+        if is_repeated or peer_verdict_count(server, service_class):
             self._back_off(now, request, server)
             self._verdicts.publish(server, service_class, ServerVerdict.FAILING, 1 + is_repeated)
         else:
--- a/sidecar_balancer/policy/events.py
+++ b/sidecar_balancer/policy/events.py
@@ -175,7 +175,7 @@
 
 
 @dataclass(slots=True)
-class LearnedServer:
+class RestoredServer:
     """What an earlier process, or a peer, learned of a server."""
 
     relative_latency: float  # its latency by the baseline of all servers
@@ -187,7 +187,7 @@
 class StateRestored:
     """What an earlier process of this balancer, or its peers, had learned."""
 
-    servers: Mapping[str, LearnedServer] = field(default_factory=dict)
+    servers: Mapping[str, RestoredServer] = field(default_factory=dict)
     baseline_us: Mapping[tuple[str, int], float] = field(default_factory=dict)  # by class and size of request
     capacity_per_us: float = 0.0  # of a server, seen from this balancer, in requests of mean cost
 
--- a/sidecar_balancer/policy/intake.py
+++ b/sidecar_balancer/policy/intake.py
@@ -68,7 +68,7 @@
         if not event.body_open:
             self._start_deadline(now, request, event.remaining_us)
         if self._admission.should_reject(now, request, event.remaining_us):
-            self._table.finish(request)
+            self._table.reject_or_fail(request)
         else:
             self._placement.place(now, request)
 
--- a/sidecar_balancer/policy/locality.py
+++ b/sidecar_balancer/policy/locality.py
@@ -156,7 +156,7 @@
             return None
         return zone
 
-    def trial_due(self, now: int) -> Zone | None:
+    def claim_due_trial(self, now: int) -> Zone | None:
         """An evacuated zone that one request may try now; its next trial is put off."""
         if self.is_health_checker is not None and now < self._own_trials_at:
             return None
@@ -225,7 +225,7 @@
                 self.recover(now, zone)
         self.invalidate_shares()
 
-    def is_open(self, name: str) -> bool:
+    def is_selectable(self, name: str) -> bool:
         """Whether servers of this zone may be selected; in a panic those of evacuated zones may."""
         zone = self.by_name.get(name)
         if zone is None or zone.is_in_use():
--- a/sidecar_balancer/policy/outcomes.py
+++ b/sidecar_balancer/policy/outcomes.py
@@ -52,7 +52,7 @@
     def _delivered(self, now: int, request: Request, attempt: Attempt, elapsed_us: int) -> None:
         objective_us = request.service_class.latency_objective_us
         self._window.response_delivered(now, objective_us)
-        if now == self._stalls.recovered_at:
+        if now == self._stalls.stall_ended_at:
             return  # it came at a time that is not known
         self._latency.response_received(attempt.server, request, elapsed_us)
         if not attempt.counted_late:
@@ -64,5 +64,5 @@
             self._admission.attempt_abandoned(now)
         server = attempt.server
         self._load.attempt_abandoned(server, now + int(ABANDONED_COUNT_RATIO * event.elapsed_us))
-        if now != self._stalls.recovered_at:
+        if now != self._stalls.stall_ended_at:
             self._latency.attempt_abandoned(server, request, event.elapsed_us)
--- a/sidecar_balancer/policy/outliers.py
+++ b/sidecar_balancer/policy/outliers.py
@@ -12,7 +12,7 @@
 from sidecar_balancer.policy.locality import Zones
 from sidecar_balancer.policy.request import Attempt, Request
 from sidecar_balancer.policy.types import Outcome, ServerVerdict
-from sidecar_balancer.policy.verdicts import VerdictExchange, peers_against
+from sidecar_balancer.policy.verdicts import VerdictExchange, peer_verdict_count
 
 CONSECUTIVE_FAILURES = 2  # without a response between, that eject a server
 EJECTION_OBJECTIVES = 2.0  # first ejection, in longest objectives; it doubles with each failed trial
@@ -69,7 +69,7 @@
         if outcome is Outcome.TIMED_OUT and server.last_response_at > attempt.sent_at:
             return None  # slow, not failed: it answered others meanwhile
         server.consecutive_failures += 1
-        from_peers = min(peers_against(server, request.service_class.name), CONSECUTIVE_FAILURES - 1)
+        from_peers = min(peer_verdict_count(server, request.service_class.name), CONSECUTIVE_FAILURES - 1)
         is_outlier = server.consecutive_failures + from_peers >= CONSECUTIVE_FAILURES
         if was_trial or (is_outlier and server.ejected_until is None):
             self.eject(now, server, outcome.value)
--- a/sidecar_balancer/policy/overdue.py
+++ b/sidecar_balancer/policy/overdue.py
@@ -50,7 +50,7 @@
 
     def check(self, now: int, request: Request, attempt: Attempt) -> OverdueFinding:
         """Examine an overdue attempt; schedules the next look at it."""
-        if now == self._stalls.recovered_at:  # its response may be among what waited
+        if now == self._stalls.stall_ended_at:  # its response may be among what waited
             self._check_again(now + self._clock_tick_us, request, attempt)
             return OverdueFinding.NOTHING
         server = attempt.server
--- a/sidecar_balancer/policy/placement.py
+++ b/sidecar_balancer/policy/placement.py
@@ -36,7 +36,7 @@
         server = self._selector.select(now, request)
         is_sent = server is not None and self._gate.send(now, request, server)
         if not is_sent and not request.has_pending_attempt():
-            self._table.finish(request)
+            self._table.reject_or_fail(request)
 
     def retry(self, now: int, request: Request) -> bool:
         """Send another attempt after a failed one; return whether class, body and budget permit it."""
--- a/sidecar_balancer/policy/request_table.py
+++ b/sidecar_balancer/policy/request_table.py
@@ -24,7 +24,7 @@
         """Keep a new request."""
         self.requests[request.request_id] = request
 
-    def finish(self, request: Request) -> None:
+    def reject_or_fail(self, request: Request) -> None:
         """Give the final answer where no server's response can be it: the only way out for these.
 
         The request is rejected where a retry is harmless, else it fails.
--- a/sidecar_balancer/policy/selection.py
+++ b/sidecar_balancer/policy/selection.py
@@ -18,7 +18,7 @@
 from sidecar_balancer.policy.request import Request
 from sidecar_balancer.policy.settings import Idempotency, Prices
 from sidecar_balancer.policy.slow_start import SlowStart
-from sidecar_balancer.policy.verdicts import VerdictExchange, peers_against
+from sidecar_balancer.policy.verdicts import VerdictExchange, peer_verdict_count
 from sidecar_balancer.policy.window import LATE_MAX_RATIO, UNRESTRICTED_RATIO, ConcurrencyWindow
 
 CANDIDATES = 4  # k: loads are mostly small here, where two candidates find too little
@@ -101,13 +101,13 @@
         if not self._outliers.ejected:
             return None
         for server in self._outliers.trials_due(now):
-            is_open = not self._zones.enabled or self._zones.is_open(server.zone)
-            if is_open and self._slow_start.has_capacity(now, server, request.cost):
+            is_selectable = not self._zones.enabled or self._zones.is_selectable(server.zone)
+            if is_selectable and self._slow_start.has_capacity(now, server, request.cost):
                 return server
         return None
 
     def _zone_trial_due(self, now: int, request: Request) -> Server | None:
-        zone = self._zones.trial_due(now)
+        zone = self._zones.claim_due_trial(now)
         if zone is None:
             return None
         fit = [
@@ -149,7 +149,7 @@
     def _is_eligible(self, now: int, server: Server, request: Request) -> bool:
         if server.ejected_until is not None:
             return False
-        if self._zones.enabled and not self._zones.is_open(server.zone):
+        if self._zones.enabled and not self._zones.is_selectable(server.zone):
             return False
         if request.attempts and not _is_fresh(server, request):
             return False
@@ -166,7 +166,7 @@
         if self._verdicts.has_peer_verdicts:
             name = request.service_class.name
             odds = [
-                odd * PEER_VERDICT_FACTOR ** peers_against(server, name)
+                odd * PEER_VERDICT_FACTOR ** peer_verdict_count(server, name)
                 for odd, server in zip(odds, pool, strict=True)
             ]
         return odds
--- a/sidecar_balancer/policy/stalls.py
+++ b/sidecar_balancer/policy/stalls.py
@@ -18,7 +18,7 @@
         self._timers = timers
         self._interval_us = max(int(TICK_OBJECTIVE_RATIO * shortest_objective_us), clock_tick_us)
         self.next_tick_at = 0  # 0: not ticking
-        self.recovered_at = -1  # when the latest stall ended
+        self.stall_ended_at = -1  # when the latest stall ended
         self.stalled_us = 0  # sum over all stalls
 
     def observe(self, now: int) -> None:
@@ -26,7 +26,7 @@
         late_us = now - self.next_tick_at
         if self.next_tick_at and late_us > STALL_TICKS * self._interval_us:
             self.stalled_us += late_us
-            self.recovered_at = now
+            self.stall_ended_at = now
         if late_us >= 0:
             self.next_tick_at = 0
 
--- a/sidecar_balancer/policy/verdicts.py
+++ b/sidecar_balancer/policy/verdicts.py
@@ -58,7 +58,7 @@
             self.publish(server, service_class, ServerVerdict.CLEARED)
 
 
-def peers_against(server: Server, service_class: str) -> int:
+def peer_verdict_count(server: Server, service_class: str) -> int:
     """How many peers have a verdict against a server for a class, as far as they count."""
     verdicts = server.peer_verdicts
     return min(max(verdicts.get(None, 0), verdicts.get(service_class, 0)), PEERS_MAX)
--- a/sidecar_balancer/runtime/engine.py
+++ b/sidecar_balancer/runtime/engine.py
@@ -95,4 +95,4 @@
             self.on_defect(getattr(subject, "request", None))
 
     def _set_timer(self, action: SetTimer) -> None:
-        self._timers.call_later(action.in_us / 1e6, self.handle, TimerFired(action.token))
+        self._timers.call_later(action.delay_us / 1e6, self.handle, TimerFired(action.token))
--- a/sidecar_balancer/sidecar/sidecar.py
+++ b/sidecar_balancer/sidecar/sidecar.py
@@ -192,7 +192,7 @@
         assert self._membership is not None
         if self._state_persistence is not None:
             self._state_persistence.resume_membership(self._membership)
-        self._membership.set_disabled_servers(self.admin_handlers.disabled_servers.by_own_overrides)
+        self._membership.set_disabled_servers(self.admin_handlers.disabled_servers.locally_disabled)
         self._timers.call_every(_OVERRIDES_POLL_INTERVAL_S, self.admin_handlers.disabled_servers.refresh)
 
     async def _apply_restored_state(self, stop: asyncio.Event) -> None:
--- a/sidecar_balancer/simulator/messages.py
+++ b/sidecar_balancer/simulator/messages.py
@@ -165,7 +165,7 @@
     Reject: ActionForm(OutputMessage.REJECT, ("request", "retry_after_us")),
     Fail: ActionForm(OutputMessage.FAIL, ("request",)),
     CancelAttempt: ActionForm(OutputMessage.CANCEL_ATTEMPT, ("request", "attempt")),
-    SetTimer: ActionForm(OutputMessage.SET_TIMER, ("in_us", "token")),
+    SetTimer: ActionForm(OutputMessage.SET_TIMER, ("delay_us", "token")),
     HealthCheck: ActionForm(OutputMessage.HEALTH_CHECK, ("server",)),
     CloseIdleConnections: ActionForm(OutputMessage.CLOSE_IDLE_CONNECTIONS, ("server",)),
     SendPeerMessage: ActionForm(OutputMessage.SEND_PEER_MESSAGE, ("receiver", "payload")),
--- a/tests/admin/test_drain.py
+++ b/tests/admin/test_drain.py
@@ -8,39 +8,39 @@
 import pytest
 
 from admin_calls import call, readiness, served
-from loopback import is_closed, play, read_answer, request, until, world
+from loopback import is_closed, read_response, request, run_scenario, running_sidecar, wait_until
 from sidecar_balancer.admin.overrides import OperatorOverrides
 from sidecar_balancer.downstream import frontend
 from sidecar_balancer.downstream.client_connection import ClientConnection
 
 
 def test_a_drain_fails_readiness_and_closes_connections_until_it_is_ended(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with world(served, orders=tmp_path) as sidecar_world:
-            idle, idle_writer = await asyncio.open_connection(*sidecar_world.sidecar.frontend.address)
-            used, used_writer = await asyncio.open_connection(*sidecar_world.sidecar.frontend.address)
+    async def scenario() -> None:
+        async with running_sidecar(served, overrides_folder=tmp_path) as environment:
+            idle, idle_writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
+            used, used_writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             for reader, writer in ((idle, idle_writer), (used, used_writer)):
                 writer.write(request())
-                assert "connection" not in (await read_answer(reader))[1]
+                assert "connection" not in (await read_response(reader))[1]
             for _ in range(2):
-                assert await call(sidecar_world, "PUT", "/api/evacuate") == 200
-            assert await readiness(sidecar_world) == 503
+                assert await call(environment, "PUT", "/api/evacuate") == 200
+            assert await readiness(environment) == 503
             used_writer.write(request())  # a late request is served, and its connection closed
-            status, headers, _ = await read_answer(used)
+            status, headers, _ = await read_response(used)
             assert (status, headers["connection"]) == (200, "close")
             assert await is_closed(used)
             assert await is_closed(idle)
-            assert await call(sidecar_world, "GET", "/api/ready") == 200
+            assert await call(environment, "GET", "/api/ready") == 200
             for _ in range(2):
-                assert await call(sidecar_world, "PUT", "/api/rejoin") == 200
-            assert await readiness(sidecar_world) == 200
-            status, headers, _ = await sidecar_world.ask()
+                assert await call(environment, "PUT", "/api/rejoin") == 200
+            assert await readiness(environment) == 200
+            status, headers, _ = await environment.send_request()
             assert status == 200
             assert "connection" not in headers
             for writer in (idle_writer, used_writer):
                 writer.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("data", [request(), request(Connection="close")], ids=["drain", "client"])
@@ -56,18 +56,18 @@
 
     monkeypatch.setattr(ClientConnection, "_linger", linger)
 
-    async def scene() -> None:
-        async with world(served, orders=tmp_path) as sidecar_world:
+    async def scenario() -> None:
+        async with running_sidecar(served, overrides_folder=tmp_path) as environment:
             if data == request():
-                assert await call(sidecar_world, "PUT", "/api/evacuate") == 200
-            reader, writer = await asyncio.open_connection(*sidecar_world.sidecar.frontend.address)
+                assert await call(environment, "PUT", "/api/evacuate") == 200
+            reader, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             writer.write(data)
-            assert (await read_answer(reader))[1]["connection"] == "close"
-            await until(lambda: not sidecar_world.sidecar.frontend.connections)
+            assert (await read_response(reader))[1]["connection"] == "close"
+            await wait_until(lambda: not environment.sidecar.frontend.connections)
             assert not lingered
             writer.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_a_connection_that_becomes_idle_during_a_drain_is_closed(
@@ -75,30 +75,30 @@
 ) -> None:
     monkeypatch.setattr(frontend, "_IDLE_CLOSE_INTERVAL_S", 0.001)
 
-    async def scene() -> None:
-        async with world(served, orders=tmp_path) as sidecar_world:
-            assert await call(sidecar_world, "PUT", "/api/evacuate") == 200
-            reader, writer = await asyncio.open_connection(*sidecar_world.sidecar.frontend.address)
+    async def scenario() -> None:
+        async with running_sidecar(served, overrides_folder=tmp_path) as environment:
+            assert await call(environment, "PUT", "/api/evacuate") == 200
+            reader, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             writer.write(request(path="/nowhere"))
-            assert (await read_answer(reader))[0] == 404
+            assert (await read_response(reader))[0] == 404
             assert await is_closed(reader)
             writer.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_a_drain_is_in_force_in_the_next_process_and_does_not_end_during_a_shutdown(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with world(served, orders=tmp_path) as sidecar_world:
-            assert await call(sidecar_world, "PUT", "/api/evacuate") == 200
-        async with world(served, orders=tmp_path) as sidecar_world:
-            assert await readiness(sidecar_world) == 503
+    async def scenario() -> None:
+        async with running_sidecar(served, overrides_folder=tmp_path) as environment:
+            assert await call(environment, "PUT", "/api/evacuate") == 200
+        async with running_sidecar(served, overrides_folder=tmp_path) as environment:
+            assert await readiness(environment) == 503
             # Servers can be disabled during a drain.
-            assert await call(sidecar_world, "PUT", "/api/exclude/s-0") == 200
-            sidecar_world.stop.set()
-            await until(lambda: sidecar_world.sidecar.admin_handlers.lifecycle.is_shutting_down)
+            assert await call(environment, "PUT", "/api/exclude/s-0") == 200
+            environment.stop.set()
+            await wait_until(lambda: environment.sidecar.admin_handlers.lifecycle.is_shutting_down)
             OperatorOverrides(tmp_path).end_drain()
-            sidecar_world.sidecar.admin_handlers.apply_stored_overrides()
-            assert sidecar_world.sidecar.frontend.draining
+            environment.sidecar.admin_handlers.apply_stored_overrides()
+            assert environment.sidecar.frontend.draining
 
-    play(scene())
+    run_scenario(scenario())
--- a/tests/cluster/test_relays.py
+++ b/tests/cluster/test_relays.py
@@ -19,7 +19,7 @@
 import pytest
 
 from harness import ROOT, WAIT_TIMEOUT_S, format_address, free_ports, new_host
-from loopback import ask, play
+from loopback import run_scenario, send_request
 from registry import FakeRegistry, entry
 from sidecar_balancer.addresses import Address
 
@@ -28,7 +28,7 @@
 ADMIN_TIMEOUT_S = 2.0
 
 
-async def until(condition: Callable[[], Awaitable[object]]) -> None:
+async def wait_until(condition: Callable[[], Awaitable[object]]) -> None:
     """Wait until an asynchronous condition holds."""
     async with asyncio.timeout(2 * WAIT_TIMEOUT_S):
         while True:
@@ -69,7 +69,7 @@
         """Request a path of the admin API; None where no object comes back."""
         request = f"GET /api/{path} HTTP/1.1\r\nHost: x\r\n\r\n".encode()
         try:
-            status, _, body = await asyncio.wait_for(ask(self.admin, request), ADMIN_TIMEOUT_S)
+            status, _, body = await asyncio.wait_for(send_request(self.admin, request), ADMIN_TIMEOUT_S)
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             return None
         return json.loads(body) if status == 200 and body.startswith(b"{") else None
@@ -90,7 +90,7 @@
         for number in range(relays):
             self.relays.append(Process(f"relay-{number}", ports.pop(), ports.pop()))
             await self.start_relay(number)
-        await until(self.relays_have_a_list)
+        await wait_until(self.relays_have_a_list)
         for number in range(sidecars):
             sidecar = Process(f"sidecar-{number}", ports.pop(), ports.pop())
             self.sidecars.append(sidecar)
@@ -141,7 +141,7 @@
             views = [await sidecar.get("servers") for sidecar in self.sidecars]
             return all(view is not None and (view.get(name) or {}).get("state") == state for view in views)
 
-        await until(is_in_force)
+        await wait_until(is_in_force)
 
     async def sources(self) -> list[str]:
         """Return the address that each sidecar polls."""
@@ -173,12 +173,12 @@
             assert set(await tier.sources()) == {format_address(tier.relays[1].listen)}
             await tier.relays[0].end()
             await tier.start_relay(0)
-            await until(tier.relays_have_a_list)
+            await wait_until(tier.relays_have_a_list)
             tier.relays[1].send_signal(signal.SIGKILL)
             tier.registry.change(entry("s-1", status="leaving"))
             await tier.in_force("s-1", "draining")
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_the_old_list_of_a_stopped_relay_is_not_applied_when_it_continues(tmp_path: Path) -> None:
@@ -195,7 +195,7 @@
             await tier.in_force("s-3", "ready")
             assert await tier.states("s-0") == [None] * 3
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_registry_that_restarts_with_a_lower_index_is_followed_by_all(tmp_path: Path) -> None:
@@ -210,7 +210,7 @@
             tier.registry.change(entry("s-1", status="leaving"))
             await tier.in_force("s-1", "draining")
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_the_admin_api_shows_source_index_and_age(tmp_path: Path) -> None:
@@ -231,7 +231,7 @@
             assert relay is not None
             assert (relay["index"], relay["servers"]) == (index, 2)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 async def assert_ends_with_one_line(*command: str, **environ: str) -> None:
@@ -270,7 +270,7 @@
         path.write_text(config)
         await assert_ends_with_one_line("sidecar_balancer.cli", "relay", "--config", str(path))
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(
@@ -295,4 +295,4 @@
             "sidecar_balancer", RELAY_CONFIG=str(config), WEIRLOCK_CONFIG=str(own)
         )
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/compatibility/golden_subjects.py
+++ b/tests/compatibility/golden_subjects.py
@@ -59,7 +59,7 @@
 def read_store(folder: Path) -> tuple[dict[str, bytes], int]:
     """Read a state folder's records, and count the notes on files that were cut or refused."""
     found = Store(folder, _MOST).open()
-    return found.records, len(found.notes)
+    return found.records, len(found.warnings)
 
 
 def write_shared_snapshot(folder: Path, token: int, records: dict[str, bytes]) -> bool:
--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -6,7 +6,7 @@
 
 from discovery_world import balancer_of, client_of, consecutive_failures, now_us, pooled_servers, served
 from helpers import S
-from loopback import FakeDiscovery, answer, play, until, world
+from loopback import FakeDiscovery, http_response, run_scenario, running_sidecar, wait_until
 from registry import entry
 from sidecar_balancer.discovery import watch_state
 from sidecar_balancer.discovery.client import EMPTY_POLL_PAUSE_S, DiscoveryClient
@@ -16,14 +16,14 @@
 
 def test_a_watch_polls_again_at_once_after_the_version_received() -> None:
     async def scenario() -> None:
-        async with world(served) as w:
+        async with running_sidecar(served) as w:
             for index in (42, 43, 44):
-                w.discovery.say(index, [])
-            await until(lambda: len(w.discovery.targets) == 4)
+                w.discovery.publish(index, [])
+            await wait_until(lambda: len(w.discovery.targets) == 4)
             targets = [target.split("&")[0] for target in w.discovery.targets]
             assert targets == [f"/registry/instances?after={index}" for index in (41, 42, 43, 44)]
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_the_pause_between_polls_is_shorter_than_that_between_watches() -> None:
@@ -32,76 +32,76 @@
 
 def test_deltas_and_snapshots_reach_the_balancer() -> None:
     async def scenario() -> None:
-        async with world(served, served) as w:
+        async with running_sidecar(served, served) as w:
             listed = balancer_of(w).servers
             first, second = w.servers
-            w.discovery.say(42, [first.entry(status="leaving")])
-            await until(lambda: listed["s-0"].state is ServerState.DRAINING)
+            w.discovery.publish(42, [first.entry(status="leaving")])
+            await wait_until(lambda: listed["s-0"].state is ServerState.DRAINING)
             for _ in range(10):
-                assert (await w.ask())[0] == 200
+                assert (await w.send_request())[0] == 200
             assert not first.requests
-            w.discovery.say(43, [first.entry()], snapshot=True)  # removes a server that it does not list
-            await until(lambda: "s-1" not in listed)
+            w.discovery.publish(43, [first.entry()], snapshot=True)  # removes a server that it does not list
+            await wait_until(lambda: "s-1" not in listed)
             requests_before = len(second.requests)
             for _ in range(10):
-                assert (await w.ask())[0] == 200
+                assert (await w.send_request())[0] == 200
             assert len(second.requests) == requests_before
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_removed_servers_are_forgotten() -> None:
     async def scenario() -> None:
-        async with world(served, served) as w:
+        async with running_sidecar(served, served) as w:
             first, second = w.servers
-            w.discovery.say(42, [first.entry(), {**first.entry(), "name": "s-9"}], snapshot=True)
-            await until(lambda: pooled_servers(w) == {"s-0", "s-9"})
-            assert (await w.ask())[0] == 200
-            w.discovery.say(
+            w.discovery.publish(42, [first.entry(), {**first.entry(), "name": "s-9"}], snapshot=True)
+            await wait_until(lambda: pooled_servers(w) == {"s-0", "s-9"})
+            assert (await w.send_request())[0] == 200
+            w.discovery.publish(
                 43, [first.entry(status="left"), {**first.entry(), "name": "s-9", "status": "left"}]
             )
-            await until(lambda: not pooled_servers(w))
+            await wait_until(lambda: not pooled_servers(w))
             assert not balancer_of(w).servers
-            w.discovery.say(44, [second.entry()])
-            await until(lambda: len(pooled_servers(w)) == 1)
-            assert (await w.ask())[0] == 200
+            w.discovery.publish(44, [second.entry()])
+            await wait_until(lambda: len(pooled_servers(w)) == 1)
+            assert (await w.send_request())[0] == 200
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_server_that_restarted_warms_up_again() -> None:
     async def scenario() -> None:
-        async with world(served) as w:
+        async with running_sidecar(served) as w:
             server = balancer_of(w).servers["s-0"]
             since_ms = now_us(w) // 1000
-            w.discovery.say(42, [w.servers[0].entry(since_ms=since_ms)])
-            await until(lambda: server.started_at == since_ms * 1000)
+            w.discovery.publish(42, [w.servers[0].entry(since_ms=since_ms)])
+            await wait_until(lambda: server.started_at == since_ms * 1000)
             assert balancer_of(w).is_warming_up(server)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(
     "malformed",
     [
-        answer(503, b""),
-        answer(200, b"not json"),
-        answer(200, b'{"index": "x", "endpoints": []}'),
-        answer(200, b"[]"),
-        answer(200, b"[" * 100_000),
-        answer(200, b'{"index": 7, "endpoints": ' + b'{"a":' * 100_000),
+        http_response(503, b""),
+        http_response(200, b"not json"),
+        http_response(200, b'{"index": "x", "endpoints": []}'),
+        http_response(200, b"[]"),
+        http_response(200, b"[" * 100_000),
+        http_response(200, b'{"index": 7, "endpoints": ' + b'{"a":' * 100_000),
         b"HTTP/1.1 200 X\r\nContent-Length: 99\r\n\r\n{",
     ],
 )
 def test_the_balancer_is_notified_of_a_failed_poll_and_polls_again(malformed: bytes) -> None:
     async def scenario() -> None:
-        async with world(served, rules={"poll_interval_us": 1 * S}) as w:
-            w.discovery.answers.put_nowait(malformed)
-            await until(lambda: len(w.discovery.targets) == 2)
+        async with running_sidecar(served, rules={"poll_interval_us": 1 * S}) as w:
+            w.discovery.responses.put_nowait(malformed)
+            await wait_until(lambda: len(w.discovery.targets) == 2)
             assert consecutive_failures(w) == 1
-            assert (await w.ask())[0] == 200
+            assert (await w.send_request())[0] == 200
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_an_unreachable_registry_is_a_failed_poll() -> None:
@@ -112,12 +112,12 @@
         registry.stop()
         discovery = DiscoveryClient([registry.address], 1, events.append)
         discovery.set_watching(True)
-        await until(lambda: events == [PollFailed(timed_out=False)])
-        await until(lambda: not discovery.is_watching)
+        await wait_until(lambda: events == [PollFailed(timed_out=False)])
+        await wait_until(lambda: not discovery.is_watching)
         discovery.set_watching(True)  # another watch may begin
-        await until(lambda: events == [PollFailed(timed_out=False)] * 2)
+        await wait_until(lambda: events == [PollFailed(timed_out=False)] * 2)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_watch_runs_once_and_can_be_stopped() -> None:
@@ -128,69 +128,69 @@
         discovery = DiscoveryClient([service.address], 1, events.append)
         for _ in range(3):
             discovery.set_watching(True)
-        await until(lambda: service.targets)
+        await wait_until(lambda: service.targets)
         discovery.fetch()
-        await until(lambda: len(service.targets) == 2)
+        await wait_until(lambda: len(service.targets) == 2)
         assert service.targets[1] == "/registry/instances"
-        service.say(7, [entry()], snapshot=True)
-        await until(lambda: events)
+        service.publish(7, [entry()], snapshot=True)
+        await wait_until(lambda: events)
         discovery.set_watching(False)
         assert not discovery.is_watching
         service.stop()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_new_source_is_polled_for_the_full_list_and_then_watched() -> None:
     async def scenario() -> None:
-        async with world(served, served) as w:
-            await until(lambda: w.discovery.targets)
+        async with running_sidecar(served, served) as w:
+            await wait_until(lambda: w.discovery.targets)
             new_source = FakeDiscovery()
             await new_source.start()
             client_of(w).replace_sources([new_source.address])
-            new_source.say(7, [w.servers[1].entry()], snapshot=True)
-            await until(lambda: len(new_source.targets) == 2)
+            new_source.publish(7, [w.servers[1].entry()], snapshot=True)
+            await wait_until(lambda: len(new_source.targets) == 2)
             assert new_source.targets[0] == "/registry/instances"
             assert new_source.targets[1].startswith("/registry/instances?after=7&")
             assert "s-0" not in balancer_of(w).servers
             assert len(w.discovery.targets) == 1
             new_source.stop()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_pushed_lists_are_watched_without_a_request_of_the_balancer() -> None:
     async def scenario() -> None:
-        async with world(served, discovery="pushed") as w:
-            w.discovery.answers.put_nowait(answer(503, b""))
-            w.discovery.say(42, [w.servers[0].entry(status="leaving")])
-            await until(lambda: balancer_of(w).servers["s-0"].state is ServerState.DRAINING)
+        async with running_sidecar(served, discovery="pushed") as w:
+            w.discovery.responses.put_nowait(http_response(503, b""))
+            w.discovery.publish(42, [w.servers[0].entry(status="leaving")])
+            await wait_until(lambda: balancer_of(w).servers["s-0"].state is ServerState.DRAINING)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("status", ["leaving", "left"])
 def test_a_draining_or_removed_server_needs_no_address(status: str) -> None:
     # If the entry were skipped as malformed, the server would stay in use.
     async def scenario() -> None:
-        async with world(served) as w:
-            w.discovery.say(42, [w.servers[0].entry(status=status, address=None)])
-            await until(lambda: not balancer_of(w).ready_servers)
-            assert (await w.ask())[0] == 503
+        async with running_sidecar(served) as w:
+            w.discovery.publish(42, [w.servers[0].entry(status=status, address=None)])
+            await wait_until(lambda: not balancer_of(w).ready_servers)
+            assert (await w.send_request())[0] == 503
             assert not w.sent()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_registry_that_does_not_wait_is_polled_with_pauses() -> None:
     async def scenario() -> None:
-        async with world(served) as w:
+        async with running_sidecar(served) as w:
             for _ in range(4):
-                w.discovery.say(41, [])
-            await until(lambda: len(w.discovery.called_after_s) == 4)
+                w.discovery.publish(41, [])
+            await wait_until(lambda: len(w.discovery.called_after_s) == 4)
             assert min(w.discovery.called_after_s) >= 0.09
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_watch_that_timed_out_is_polled_again_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -200,9 +200,9 @@
 
     async def scenario() -> None:
         # A failed poll is repeated after 250 s here, so only the timeout can cause the second one.
-        async with world(served, rules={"poll_interval_us": 1_000_000_000}) as w:
-            await until(lambda: len(w.discovery.targets) == 2)
+        async with running_sidecar(served, rules={"poll_interval_us": 1_000_000_000}) as w:
+            await wait_until(lambda: len(w.discovery.targets) == 2)
             first, second = (target.split("&wait_ms=") for target in w.discovery.targets)
             assert first[0] == second[0]  # both request the changes since the same version
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -13,8 +13,8 @@
 from sidecar_balancer.discovery.endpoint_list import (
     MAX_LIST_BYTES,
     ListUpdate,
+    decode_list,
     parse_list,
-    read_list,
 )
 from sidecar_balancer.discovery.errors import MalformedListError
 from sidecar_balancer.policy.types import ServerState
@@ -109,7 +109,7 @@
     body = MALFORMED_BODIES[kind]
     tracemalloc.start()
     with contextlib.suppress(MalformedListError):
-        read_list(body)
+        decode_list(body)
     peak = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
     assert peak < 6 * len(body)
@@ -119,7 +119,7 @@
     entries = [entry(f"s-{number:08x}", since_ms=1) for number in range(22_000)]
     body = json.dumps({"index": 5, "snapshot": True, "endpoints": entries}).encode()
     assert len(body) < MAX_LIST_BYTES
-    update = read_list(body)
+    update = decode_list(body)
     assert update.complete
     assert len(update.entries) == 22_000
 
@@ -129,5 +129,5 @@
 )
 def test_a_body_that_is_no_list_is_rejected(body: bytes) -> None:
     with pytest.raises(MalformedListError) as raised:
-        read_list(body)
+        decode_list(body)
     assert isinstance(raised.value, ValueError)  # callers expect that, as of other errors in a configuration
--- a/tests/downstream/test_client_connection.py
+++ b/tests/downstream/test_client_connection.py
@@ -8,14 +8,23 @@
 
 import pytest
 
-from loopback import PATIENCE_S, answer, is_closed, play, read_answer, request, until, world
+from loopback import (
+    WAIT_TIMEOUT_S,
+    http_response,
+    is_closed,
+    read_response,
+    request,
+    run_scenario,
+    running_sidecar,
+    wait_until,
+)
 from sidecar_balancer.downstream import client_transport, request_deadline
 from sidecar_balancer.downstream.client_connection import ClientConnection
 from sidecar_balancer.runtime.streams import MAX_REQUEST_BODY_BYTES
 
 
 def served(*_: object) -> bytes:
-    return answer(200, b"served")
+    return http_response(200, b"served")
 
 
 BIG = bytes(64 * 1024 + 1)
@@ -23,30 +32,30 @@
 
 def test_pipelined_requests_are_answered_in_order() -> None:
     async def scenario() -> None:
-        async with world(lambda first, *_: answer(200, first.encode())) as w:
+        async with running_sidecar(lambda first, *_: http_response(200, first.encode())) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(b"".join(request(path=f"/api/{number}") for number in range(20)))
             for number in range(20):
-                assert f"/api/{number} " in (await read_answer(reader))[2].decode()
+                assert f"/api/{number} " in (await read_response(reader))[2].decode()
             writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_longest_buffered_body_is_accepted_in_pieces() -> None:
     async def scenario() -> None:
-        async with world(served) as w:
+        async with running_sidecar(served) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             data = request("pay", body=BIG[:-1], Expect="100-continue")
             head = data.index(b"\r\n\r\n") + 4
             writer.write(data[:head])
-            assert b" 100 " in await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
+            assert b" 100 " in await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), WAIT_TIMEOUT_S)
             writer.write(data[head:])
-            assert (await read_answer(reader))[0] == 200
+            assert (await read_response(reader))[0] == 200
             assert w.sent()[0][2] == BIG[:-1]
             writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(
@@ -60,23 +69,23 @@
     monkeypatch.setattr(request_deadline, "REQUEST_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
-        async with world(served) as w:
+        async with running_sidecar(served) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             if used:
                 writer.write(request())
-                assert (await read_answer(reader))[0] == 200
+                assert (await read_response(reader))[0] == 200
             writer.write(sent)
             if sent:
-                assert (await read_answer(reader))[0] == 408
+                assert (await read_response(reader))[0] == 408
             if sent or not used:
                 assert await is_closed(reader)
             else:
                 await asyncio.sleep(0.4)
                 writer.write(request())
-                assert (await read_answer(reader))[0] == 200
+                assert (await read_response(reader))[0] == 200
             writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_client_that_does_not_read_its_response_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -84,7 +93,7 @@
     monkeypatch.setattr(client_transport, "STALL_TIMEOUT_S", 0.1)
 
     async def scenario() -> None:
-        async with world(lambda *_: answer(200, bytes(60_000))) as w:
+        async with running_sidecar(lambda *_: http_response(200, bytes(60_000))) as w:
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
             sock.setblocking(False)
@@ -92,32 +101,32 @@
             for _ in range(200):
                 with contextlib.suppress(BlockingIOError):
                     sock.send(request())
-            await until(lambda: w.sidecar.frontend.connections)
-            await until(lambda: not w.sidecar.frontend.connections)
+            await wait_until(lambda: w.sidecar.frontend.connections)
+            await wait_until(lambda: not w.sidecar.frontend.connections)
             sock.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_request_in_flight_is_not_disconnected_as_slow(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(request_deadline, "REQUEST_TIMEOUT_S", 0.05)
 
     async def scenario() -> None:
-        async with world(lambda *_: None) as w:
+        async with running_sidecar(lambda *_: None) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(request("pay", body=b"x", budget="0.4"))
-            assert (await read_answer(reader))[0] == 500
+            assert (await read_response(reader))[0] == 500
             writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_connection_with_an_unread_request_is_not_idle() -> None:
     # Guards against closing a connection under a request that was taken by the kernel, not yet by us.
     async def scenario() -> None:
-        async with world(served) as w:
+        async with running_sidecar(served) as w:
             _, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
-            await until(lambda: w.sidecar.frontend.connections)
+            await wait_until(lambda: w.sidecar.frontend.connections)
             connection: ClientConnection = next(iter(w.sidecar.frontend.connections))
             assert connection.is_idle()
             peer = writer.get_extra_info("socket")
@@ -127,30 +136,30 @@
             peer_fd.close()
             writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_rejection_arrives_while_the_body_is_still_being_sent() -> None:
     # Guards against closing on unread bytes, which resets the connection and the answer with it.
     async def scenario() -> None:
-        async with world(served) as w:
+        async with running_sidecar(served) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(request("pay", body=BIG * 64, Content_Length=str(MAX_REQUEST_BODY_BYTES + 1)))
             with contextlib.suppress(ConnectionError):
                 await writer.drain()
-            assert (await read_answer(reader))[0] == 413
+            assert (await read_response(reader))[0] == 413
             assert await is_closed(reader)
             writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_exception_in_the_request_handler_fails_only_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        async with world(served) as w:
+        async with running_sidecar(served) as w:
             monkeypatch.setattr(w.sidecar.frontend.handler, "request_received", None)
-            assert (await w.ask())[0] == 500
+            assert (await w.send_request())[0] == 500
             monkeypatch.undo()
-            assert (await w.ask())[0] == 200
+            assert (await w.send_request())[0] == 200
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/downstream/test_client_disconnects.py
+++ b/tests/downstream/test_client_disconnects.py
@@ -9,11 +9,11 @@
 import pytest
 
 from loopback import (
-    answer,
+    http_response,
     request,
+    running_sidecar,
     unresponsive_listener,
-    until,
-    world,
+    wait_until,
 )
 from sidecar_balancer.policy.types import ServerState
 from sidecar_balancer.upstream import dialing, endpoint_pool
@@ -37,14 +37,14 @@
     on_virtual_clock: RunScenario, how: str, kind: str
 ) -> None:
     async def scenario() -> None:
-        async with world(served, served, drained=True) as w:
-            assert (await w.ask())[0] == 200  # a connection to a server is there
+        async with running_sidecar(served, served, drained=True) as w:
+            assert (await w.send_request())[0] == 200  # a connection to a server is there
             client = RawClient(w)
             client.send(request(kind, body=b"" if kind == "look" else b"x"))
             client.leave(how)
             stall(1.0)  # the sidecar stands still, or leaves it in the queue of connections
-            await until(lambda: len(w.sidecar.frontend.connections) == 1)
-            await until(lambda: not w.sidecar.frontend.connections)
+            await wait_until(lambda: len(w.sidecar.frontend.connections) == 1)
+            await wait_until(lambda: not w.sidecar.frontend.connections)
             assert len(w.sent()) == 1
             assert nothing_in_flight(w)()
             client.sock.close()
@@ -57,11 +57,11 @@
     async def scenario() -> None:
         limits = {"max_attempts": 3, "may_cancel": False, "dial_timeout_us": 600_000_000}
         with unresponsive_listener() as address:
-            async with world(served, drained=True, limits=limits) as w:
+            async with running_sidecar(served, drained=True, limits=limits) as w:
                 w.sidecar.endpoint_pool.update("s-0", address, None, ServerState.READY)
                 client = RawClient(w)
                 client.send(request("pay", body=b"x", budget="1.9"))
-                await until(lambda: w.sidecar.endpoint_pool.open_count == 1)
+                await wait_until(lambda: w.sidecar.endpoint_pool.open_count == 1)
                 client.leave(how)
                 await wait_until_nothing_in_flight(w)
                 assert w.sidecar.endpoint_pool.open_count == 0
@@ -82,11 +82,11 @@
             await up.wait()
             return connection
 
-        async with world(served, served, drained=True) as w:
+        async with running_sidecar(served, served, drained=True) as w:
             monkeypatch.setattr(endpoint_pool, "connect", late)
             client = RawClient(w)
             client.send(request())
-            await until(lambda: w.sidecar.endpoint_pool.open_count == 1)
+            await wait_until(lambda: w.sidecar.endpoint_pool.open_count == 1)
             (connection,) = w.sidecar.frontend.connections
             assert connection._transport is not None
             connection._transport.pause_reading()  # nothing but the dial's end can see it leave
@@ -101,15 +101,15 @@
 
 @pytest.mark.parametrize("how", DISCONNECT_KINDS)
 @pytest.mark.parametrize("ahead", [b"", PIPELINED_INPUT])
-@pytest.mark.parametrize("end", [answer(503, b"", X_Rejected="1"), answer(500, b"")])
+@pytest.mark.parametrize("end", [http_response(503, b"", X_Rejected="1"), http_response(500, b"")])
 def test_attempt_that_fails_as_its_client_disconnects_is_not_retried(
     on_virtual_clock: RunScenario, how: str, ahead: bytes, end: bytes
 ) -> None:
     async def scenario() -> None:
-        async with world(hung, hung, drained=True) as w:
+        async with running_sidecar(hung, hung, drained=True) as w:
             client = RawClient(w)
             client.send(request())
-            await until(w.sent)
+            await wait_until(w.sent)
             client.send(ahead)
             await asyncio.sleep(0.05)
             (there,) = [each for each in w.servers if each.requests]
@@ -129,21 +129,21 @@
 ) -> None:
     async def scenario() -> None:
         limits = {"max_attempts": 3, "may_cancel": may_cancel}
-        async with world(hung, hung, drained=True, limits=limits) as w:
+        async with running_sidecar(hung, hung, drained=True, limits=limits) as w:
             client = RawClient(w)
             client.send(request("pay", body=b"x") + PIPELINED_INPUT)
-            await until(w.sent)
+            await wait_until(w.sent)
             await asyncio.sleep(0.25)
             client.leave(how)
             started_at = asyncio.get_running_loop().time()
-            await until(lambda: not w.sidecar.proxy.by_client_request)
+            await wait_until(lambda: not w.sidecar.proxy.by_client_request)
             assert asyncio.get_running_loop().time() - started_at < DISCONNECT_GRACE_S
             (there,) = [each for each in w.servers if each.requests]
             if may_cancel:
-                await until(lambda: there.closed == 1)
+                await wait_until(lambda: there.closed == 1)
             else:  # what is whole at a server stays there, and is not repeated
-                there.writers[-1].write(answer(503, b"", X_Rejected="1"))
-            await until(nothing_in_flight(w))
+                there.writers[-1].write(http_response(503, b"", X_Rejected="1"))
+            await wait_until(nothing_in_flight(w))
             assert len(w.sent()) == 1
             client.sock.close()
 
@@ -160,7 +160,7 @@
         async with world_with_unreading_server() as (w, server):
             client = RawClient(w)
             client.send(request("pay", Content_Length="30000000"))
-            await until(lambda: w.sidecar.frontend.connections)
+            await wait_until(lambda: w.sidecar.frontend.connections)
             connection = next(iter(w.sidecar.frontend.connections))
             while not connection._reading_paused:
                 client.send_some(bytes(65_536))
@@ -169,7 +169,7 @@
             client.leave(how)
             await wait_until_nothing_in_flight(w)
             server.resume_reading.set()
-            await until(lambda: server.ended)
+            await wait_until(lambda: server.ended)
             client.sock.close()
 
     on_virtual_clock(scenario())
@@ -184,12 +184,12 @@
         async with world_with_unreading_server() as (w, server):
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(request("pay", Content_Length=str(size)) + bytes(size))
-            await until(lambda: any(each._reading_paused for each in w.sidecar.frontend.connections))
+            await wait_until(lambda: any(each._reading_paused for each in w.sidecar.frontend.connections))
             writer.close()  # once all is with the kernel
             server.resume_reading.set()
-            await until(lambda: server.ended)
+            await wait_until(lambda: server.ended)
             assert not b"".join(server.received).endswith(bytes(size))
-            await until(nothing_in_flight(w))
+            await wait_until(nothing_in_flight(w))
             assert await reader.read() == b""
 
     on_virtual_clock(scenario())
@@ -205,11 +205,11 @@
             client = RawClient(w)
             data = request("pay", body=bytes(100_000))
             client.send(data[:-1])
-            await until(lambda: server.received)
+            await wait_until(lambda: server.received)
             client.send(data[-1:])
             client.leave(how)
             await wait_until_nothing_in_flight(w)
-            await until(lambda: server.ended)
+            await wait_until(lambda: server.ended)
             assert not b"".join(server.received).endswith(bytes(100_000))
             client.sock.close()
 
@@ -220,15 +220,15 @@
     on_virtual_clock: RunScenario,
 ) -> None:
     async def scenario() -> None:
-        async with world(hung, drained=True) as w:
+        async with running_sidecar(hung, drained=True) as w:
             client = RawClient(w)
             client.send(request() + PIPELINED_INPUT)
-            await until(w.sent)
-            await until(lambda: any(each._discarded_bytes for each in w.sidecar.frontend.connections))
-            w.servers[0].writers[-1].write(answer(200, b"served"))
-            await until(nothing_in_flight(w))
+            await wait_until(w.sent)
+            await wait_until(lambda: any(each._discarded_bytes for each in w.sidecar.frontend.connections))
+            w.servers[0].writers[-1].write(http_response(200, b"served"))
+            await wait_until(nothing_in_flight(w))
             client.sock.shutdown(socket.SHUT_WR)
-            await until(lambda: not w.sidecar.frontend.connections)
+            await wait_until(lambda: not w.sidecar.frontend.connections)
             got = client.sock.recv(10_000)
             assert got.startswith(b"HTTP/1.1 200")
             assert b"Connection: close" in got
@@ -240,12 +240,12 @@
 
 def test_pipelined_request_is_not_forwarded_after_its_client_left(on_virtual_clock: RunScenario) -> None:
     async def scenario() -> None:
-        async with world(hung, hung, drained=True) as w:
+        async with running_sidecar(hung, hung, drained=True) as w:
             client = RawClient(w)
             client.send(request() + request())
-            await until(w.sent)
+            await wait_until(w.sent)
             (there,) = [each for each in w.servers if each.requests]
-            there.writers[-1].write(answer(200, b"served"))
+            there.writers[-1].write(http_response(200, b"served"))
             client.leave("close")
             await wait_until_nothing_in_flight(w)
             assert len(w.sent()) == 1
--- a/tests/downstream/test_frontend.py
+++ b/tests/downstream/test_frontend.py
@@ -10,7 +10,16 @@
 import pytest
 
 from helpers import settings
-from loopback import answer, ask, is_closed, play, read_answer, request, until, world
+from loopback import (
+    http_response,
+    is_closed,
+    read_response,
+    request,
+    run_scenario,
+    running_sidecar,
+    send_request,
+    wait_until,
+)
 from sidecar_balancer.downstream import client_connection, request_deadline
 from sidecar_balancer.downstream.frontend import Frontend
 from sidecar_balancer.downstream.request import ClientRequest
@@ -18,22 +27,22 @@
 
 
 def served(*_: object) -> bytes:
-    return answer(200, b"served")
+    return http_response(200, b"served")
 
 
 def test_connection_beyond_the_bound_replaces_an_idle_one() -> None:
     # Guards the descriptors: 66 sockets leave one for clients.
     async def scenario() -> None:
-        async with world(served, sockets=66) as w:
+        async with running_sidecar(served, sockets=66) as w:
             first, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(request())
-            assert (await read_answer(first))[0] == 200
+            assert (await read_response(first))[0] == 200
             for _ in range(3):
-                assert (await w.ask())[0] == 200
+                assert (await w.send_request())[0] == 200
             assert await is_closed(first)
             writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_flood_of_idle_clients_costs_bounded_checks_and_closes_only_what_it_must(
@@ -51,21 +60,21 @@
 
     async def scenario() -> None:
         max_connections, flood = 100, 300
-        async with world(served, sockets=64 + 2 * max_connections) as w:
+        async with running_sidecar(served, sockets=64 + 2 * max_connections) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(request())
-            assert (await read_answer(reader))[0] == 200
+            assert (await read_response(reader))[0] == 200
             monkeypatch.setattr(client_connection, "has_no_unread_input", counted)
             with contextlib.ExitStack() as clients:
                 for _ in range(flood):
                     clients.enter_context(socket.create_connection(w.sidecar.frontend.address))
                     await asyncio.sleep(0)
-                await until(lambda: not w.sidecar.frontend._open_tasks)
+                await wait_until(lambda: not w.sidecar.frontend._open_tasks)
                 assert len(w.sidecar.frontend.connections) == max_connections
                 assert checks <= 2 * flood
             writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 class ImmediateHandler:
@@ -106,9 +115,9 @@
         real = acceptor._sock
         acceptor._sock = Lacking(real)  # type: ignore[assignment]
         frontend.start()
-        assert (await ask(frontend.address, request()))[2] == b"taken"
+        assert (await send_request(frontend.address, request()))[2] == b"taken"
         acceptor._sock = real
         frontend.stop_listening()
-        await until(frontend.is_empty)
+        await wait_until(frontend.is_empty)
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/downstream/test_request.py
+++ b/tests/downstream/test_request.py
@@ -6,13 +6,21 @@
 
 import pytest
 
-from loopback import answer, ask, is_closed, play, read_answer, request, world
+from loopback import (
+    http_response,
+    is_closed,
+    read_response,
+    request,
+    run_scenario,
+    running_sidecar,
+    send_request,
+)
 from sidecar_balancer.policy.events import RequestReceived
 from sidecar_balancer.runtime.streams import MAX_REQUEST_BODY_BYTES
 
 
 def served(*_: object) -> bytes:
-    return answer(200, b"served")
+    return http_response(200, b"served")
 
 
 # Guards servers against what this sidecar could not account for: none of these may be sent on.
@@ -38,13 +46,13 @@
 )
 def test_malformed_request_is_rejected_and_never_forwarded(data: bytes, status: int) -> None:
     async def scenario() -> None:
-        async with world(served) as w:
-            got, _, _ = await ask(w.sidecar.frontend.address, data)
+        async with running_sidecar(served) as w:
+            got, _, _ = await send_request(w.sidecar.frontend.address, data)
             assert got == status
-            assert (await w.ask())[0] == 200  # and the sidecar goes on
+            assert (await w.send_request())[0] == 200  # and the sidecar goes on
             assert len(w.sent()) == 1
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 # Guards servers, and what is learned of them: they answer 400 to these, as if they were sick.
@@ -63,15 +71,15 @@
     data: bytes, status: int
 ) -> None:
     async def scenario() -> None:
-        async with world(served, tenants=[{"name": "acme"}]) as w:
+        async with running_sidecar(served, tenants=[{"name": "acme"}]) as w:
             events = w.record_events()
-            assert (await ask(w.sidecar.frontend.address, data))[0] == status
+            assert (await send_request(w.sidecar.frontend.address, data))[0] == status
             assert not any(isinstance(each, RequestReceived) for each in events)
             assert not w.sent()
-            assert (await w.ask(X_Caller="acme"))[0] == 200
+            assert (await w.send_request(X_Caller="acme"))[0] == 200
             assert sum(isinstance(each, RequestReceived) for each in events) == len(w.sent()) == 1
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(
@@ -86,18 +94,18 @@
     data: bytes, is_kept: bool
 ) -> None:
     async def scenario() -> None:
-        async with world(served) as w:
+        async with running_sidecar(served) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(data)
-            assert (await read_answer(reader))[0] in (400, 413)
+            assert (await read_response(reader))[0] in (400, 413)
             if is_kept:
                 writer.write(request())
-                assert (await read_answer(reader))[0] == 200
+                assert (await read_response(reader))[0] == 200
             else:
                 assert await is_closed(reader)
             writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 INNER = request(path="/api/inner")
@@ -115,32 +123,32 @@
 @pytest.mark.parametrize("head", AMBIGUOUS.values(), ids=AMBIGUOUS)
 def test_nothing_is_read_after_a_head_with_ambiguous_framing(head: bytes) -> None:
     async def scenario() -> None:
-        async with world(served) as w:
+        async with running_sidecar(served) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(head + b"0\r\n\r\n" + INNER)
-            assert (await read_answer(reader))[0] == 400
+            assert (await read_response(reader))[0] == 400
             assert await is_closed(reader)
             writer.close()
             assert not w.sent()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_remaining_time_is_capped_by_the_deadline_of_the_class() -> None:
     # Guards the memory: what is kept for a request is kept as long as it claims to have.
     async def scenario() -> None:
-        async with world(served) as w:
+        async with running_sidecar(served) as w:
             events = w.record_events()
-            assert (await w.ask(budget="1e9"))[0] == 200
+            assert (await w.send_request(budget="1e9"))[0] == 200
             assert [each.remaining_us for each in events if isinstance(each, RequestReceived)] == [2_000_000]
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_http_1_0_client_without_host_is_served() -> None:
     async def scenario() -> None:
-        async with world(served) as w:
+        async with running_sidecar(served) as w:
             data = request(Host=None).replace(b"HTTP/1.1", b"HTTP/1.0")
-            assert (await ask(w.sidecar.frontend.address, data))[0] == 200
+            assert (await send_request(w.sidecar.frontend.address, data))[0] == 200
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/downstream/test_upload_streaming.py
+++ b/tests/downstream/test_upload_streaming.py
@@ -8,7 +8,15 @@
 
 import pytest
 
-from loopback import PATIENCE_S, answer, play, request, reset_connection, until, world
+from loopback import (
+    WAIT_TIMEOUT_S,
+    http_response,
+    request,
+    reset_connection,
+    run_scenario,
+    running_sidecar,
+    wait_until,
+)
 from raw_server import HUGE, LONG, Reader, Writer, chunked, dial, read_chunked, read_head, streaming
 from sidecar_balancer.downstream import client_connection
 from sidecar_balancer.downstream.client_connection import ClientConnection
@@ -25,7 +33,7 @@
             body = await read_chunked(reader)
         else:
             body = await reader.readexactly(int(head.split("content-length: ")[1].split("\r")[0]))
-        writer.write(answer(200, b"whole" if body == LONG else b"not whole"))
+        writer.write(http_response(200, b"whole" if body == LONG else b"not whole"))
 
 
 @pytest.mark.parametrize("form", ["length", "chunks", "small chunks", "expect"])
@@ -51,7 +59,7 @@
             assert "200 ok" in await read_head(reader)
             writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_deadline_starts_with_the_last_byte_of_the_body() -> None:
@@ -60,7 +68,7 @@
             reader, writer = await dial(w)
             data = request("pay", body=LONG)
             writer.write(data[:-1])
-            await until(
+            await wait_until(
                 lambda: (
                     w.sidecar.proxy.in_flight
                     and next(iter(w.sidecar.proxy.in_flight.values())).attempts.get(0)
@@ -78,7 +86,7 @@
             assert attempt.deadline < math.inf
             writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_server_that_does_not_read_pauses_its_client_within_bounded_memory() -> None:
@@ -91,7 +99,7 @@
         remaining = HUGE
         while remaining:
             remaining -= len(await reader.read(1_000_000))
-        writer.write(answer(200, b"served"))
+        writer.write(http_response(200, b"served"))
         await reader.read()
 
     async def scenario() -> None:
@@ -99,9 +107,9 @@
             reader, writer = await dial(w)
             writer.write(request("pay", Content_Length=str(HUGE)))
             sending = asyncio.create_task(send(writer, HUGE))
-            await until(lambda: w.sidecar.frontend.connections)
+            await wait_until(lambda: w.sidecar.frontend.connections)
             connection = next(iter(w.sidecar.frontend.connections))
-            await until(lambda: connection._reading_paused)
+            await wait_until(lambda: connection._reading_paused)
             assert connection._upload is not None
             assert len(connection._upload._buffer) <= MAX_BUFFERED_BODY_BYTES + 64 * 1024
             assert not sending.done()
@@ -110,7 +118,7 @@
             await sending
             writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 async def send(writer: Writer, size: int) -> None:
@@ -136,13 +144,13 @@
             assert [(each.outcome, each.body_consumed) for each in ended] == [(Outcome.CONNECT_FAILED, True)]
             writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_server_rejection_during_the_body_rejects_the_request() -> None:
     async def script(reader: Reader, writer: Writer) -> None:
         await read_head(reader)
-        writer.write(answer(503, X_Rejected="1"))
+        writer.write(http_response(503, X_Rejected="1"))
         await reader.read()
 
     async def scenario() -> None:
@@ -152,7 +160,7 @@
             assert "503" in await read_head(reader)
             writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_client_that_disconnects_within_its_body_ends_the_attempt_unexecuted() -> None:
@@ -166,16 +174,16 @@
         async with streaming(script) as (w, _):
             _, writer = await dial(w)
             writer.write(request("pay", body=LONG)[:-1])
-            await until(lambda: w.sidecar.endpoint_pool._body_memory.active_streams == 1)
+            await wait_until(lambda: w.sidecar.endpoint_pool._body_memory.active_streams == 1)
             writer.close()
-            await until(lambda: not w.sidecar.proxy.in_flight)
+            await wait_until(lambda: not w.sidecar.proxy.in_flight)
             assert (
                 w.sidecar.endpoint_pool._body_memory.active_streams
                 == w.sidecar.endpoint_pool._body_memory.buffered_bytes
                 == 0
             )
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_chunked_body_beyond_the_limit_is_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -187,20 +195,20 @@
             writer.write(request("pay", Content_Length=None, Transfer_Encoding="chunked"))
             writer.write(chunked(LONG, 100_000))
             assert "413" in await read_head(reader)
-            assert await asyncio.wait_for(reader.read(), PATIENCE_S) == b"the body is too large\n"
+            assert await asyncio.wait_for(reader.read(), WAIT_TIMEOUT_S) == b"the body is too large\n"
             writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_body_deadline_allows_a_slow_body_but_no_stall() -> None:
     async def scenario() -> None:
-        async with world(lambda *_: None) as w:
+        async with running_sidecar(lambda *_: None) as w:
             _, writer = await dial(w)
-            await until(lambda: w.sidecar.frontend.connections)
+            await wait_until(lambda: w.sidecar.frontend.connections)
             connection: ClientConnection = next(iter(w.sidecar.frontend.connections))
             writer.write(request("pay", body=LONG)[:-1])
-            await until(lambda: connection._head is not None)
+            await wait_until(lambda: connection._head is not None)
             deadline = connection._deadline
             deadline.awaited_since = 100.0
             for head_at, received, came_at, due in (
@@ -214,4 +222,4 @@
                 assert deadline.due_at(connection._head is not None) == due
             writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -130,7 +130,7 @@
     network.run(1_000)
     for _ in range(3):
         receiver.receive(network.clock(1), 0, replayed)
-    assert receiver.tier.disabled_servers(network.clock(1)) == frozenset()
+    assert receiver.tier_view.disabled_servers(network.clock(1)) == frozenset()
     assert receiver.verdicts.stale_count >= 3
 
 
@@ -144,7 +144,7 @@
         scope = VerdictScope.DISABLED_SERVER
         faulty.publish(network.clock(4), f"s{number}", WireVerdict.DISABLED, 1, 30_000, scope)
     network.run(2_000)
-    disabled = [network.members[member].tier.disabled_servers(network.now_us) for member in range(4)]
+    disabled = [network.members[member].tier_view.disabled_servers(network.now_us) for member in range(4)]
     assert all(len(servers) == disabled_count for servers in disabled)
 
 
--- a/tests/persistence/test_store.py
+++ b/tests/persistence/test_store.py
@@ -80,7 +80,7 @@
         log.write_bytes(content[:length])
         found = load(tmp_path)
         assert set(found.records.items()) <= set().union(*(state.items() for state in states))
-        assert found.records in [*states, *states_between(states)] or len(found.notes) == 1
+        assert found.records in [*states, *states_between(states)] or len(found.warnings) == 1
 
 
 def test_a_snapshot_truncated_at_any_byte_gives_its_first_records(
@@ -93,7 +93,7 @@
         path.write_bytes(content[:length])
         found = load(tmp_path)
         assert list(found.records.items()) == list(written.states[0].items())[: len(found.records)]
-        assert len(found.notes) == 1
+        assert len(found.warnings) == 1
 
 
 @pytest.mark.parametrize("suffix", ["snap", "log"])
@@ -109,7 +109,7 @@
         path.write_bytes(damaged)
         found = load(tmp_path)
         assert set(found.records.items()) <= known
-        assert found.notes
+        assert found.warnings
 
 
 @given(st.binary(max_size=300), st.binary(max_size=300))
@@ -130,7 +130,7 @@
     (tmp_path / "state-9.snap").write_bytes(newer[:9] + b"\x63" + newer[10:])
     found = load(tmp_path)
     assert found.records == written.states[-1]
-    assert "version" in found.notes[0]
+    assert "version" in found.warnings[0]
 
 
 def test_a_snapshot_of_another_layout_is_rejected_for_an_older_incarnation(
--- a/tests/policy/test_any_sequence.py
+++ b/tests/policy/test_any_sequence.py
@@ -139,7 +139,7 @@
                 assert action.attempt < len(self.requests[action.request].attempts)
                 assert not self.requests[action.request].attempts[action.attempt].response_started
             case SetTimer():
-                self.timers.append((self.now + action.in_us, action.token))
+                self.timers.append((self.now + action.delay_us, action.token))
             case HealthCheck():
                 assert self.settings.limits.may_health_check
                 assert action.server in self.listed
--- a/tests/policy/test_final_answers.py
+++ b/tests/policy/test_final_answers.py
@@ -116,7 +116,7 @@
     driver = BalancerDriver()
     driver.receive_list(server_names(3))
     driver.serve_traffic(60)
-    ratio_before = driver.balancer.typical_latency_ratio
+    ratio_before = driver.balancer.median_latency_ratio
     for _ in range(20):
         request = driver.request()
         driver.advance(50 * MS)
@@ -127,7 +127,7 @@
     for request in list(driver.balancer.open_requests):
         target = driver.target_of(request)
         driver.feed(AttemptEnded(request, 0, target, Outcome.DELIVERED, 50 * MS, True))
-    assert driver.balancer.typical_latency_ratio <= ratio_before + 0.05
+    assert driver.balancer.median_latency_ratio <= ratio_before + 0.05
     assert not driver.balancer.open_requests
 
 
--- a/tests/relay/test_bounds.py
+++ b/tests/relay/test_bounds.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from loopback import ask, until
+from loopback import send_request, wait_until
 from registry import FakeRegistry, entry
 from relay_tier import READINESS_REQUEST, RelayTier, list_request, relay_tier
 from sidecar_balancer.relay.config import RelayLimits
@@ -40,7 +40,7 @@
 ) -> None:
     async def scenario() -> None:
         async with relay_tier(relays=1, sidecars=1) as tier:
-            received, _, _ = await ask(tier.relays[0].address(), data)
+            received, _, _ = await send_request(tier.relays[0].address(), data)
             assert received == status
             assert tier.relays[0].service.counters.rejected == (status != 200)
             tier.registry.change(entry("s-0", status="leaving"))
@@ -62,7 +62,7 @@
         tier = RelayTier(registry)
         relay = await tier.add_relay([registry.address])
         started_at = asyncio.get_running_loop().time()
-        status, _, _ = await ask(relay.address(), data)
+        status, _, _ = await send_request(relay.address(), data)
         assert status == 503
         assert asyncio.get_running_loop().time() - started_at < 0.5
         await tier.end()
@@ -85,19 +85,19 @@
             for number in range(16_000):
                 tier.registry.entries[f"s-{number}"] = entry(f"s-{number}")
             tier.registry.restart(5_000, list(tier.registry.entries.values()))
-            await until(lambda: service.status()["servers"] == 16_000)
+            await wait_until(lambda: service.status()["servers"] == 16_000)
             with contextlib.ExitStack() as slow_readers:
                 for _ in range(2):
                     connect_slow_reader(slow_readers, tier)
-                await until(lambda: service.status()["snapshots_under_way"] == 2)
+                await wait_until(lambda: service.status()["snapshots_under_way"] == 2)
                 started_at = asyncio.get_running_loop().time()
-                requests = (ask(tier.relays[0].address(), list_request()) for _ in range(5))
+                requests = (send_request(tier.relays[0].address(), list_request()) for _ in range(5))
                 responses = await asyncio.gather(*requests)
                 assert [status for status, _, _ in responses] == [503] * 5
                 assert asyncio.get_running_loop().time() - started_at < 2.0
                 assert service.counters.busy == 5
-                await until(lambda: service.counters.too_slow == 2)
-                status, _, _ = await ask(tier.relays[0].address(), list_request())
+                await wait_until(lambda: service.counters.too_slow == 2)
+                status, _, _ = await send_request(tier.relays[0].address(), list_request())
                 assert status == 200
 
     on_virtual_clock(scenario())
--- a/tests/relay/test_failover.py
+++ b/tests/relay/test_failover.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from loopback import answer, ask, until
+from loopback import http_response, send_request, wait_until
 from registry import entry
 from relay_tier import CHANGE_IN_FORCE_S, list_request, relay_tier
 from sidecar_balancer.discovery import sources, watch_state
@@ -86,7 +86,7 @@
             await tier.in_force("s-0", "leaving")
             used = {sidecar.client.status().address for sidecar in tier.sidecars}
             assert used == {"{}:{}".format(*connected.address())}
-            status, headers, _ = await ask(partitioned.address(), list_request())
+            status, headers, _ = await send_request(partitioned.address(), list_request())
             assert status == 200
             assert int(headers["x-source-age-ms"]) > 2_000
 
@@ -169,7 +169,7 @@
     async def scenario() -> None:
         async with relay_tier(relays=1, sidecars=1) as tier:
             leaf = await tier.add_relay([tier.relays[0].address()])
-            await until(lambda: leaf.service.status()["index"] is not None)
+            await wait_until(lambda: leaf.service.status()["index"] is not None)
             tier.add_sidecar([leaf.address()])
             tier.registry.change(entry("s-0", status="leaving"))
             await tier.in_force("s-0", "leaving", within_s=1.0)
@@ -198,10 +198,10 @@
 @pytest.mark.parametrize(
     "malformed",
     [
-        answer(200, b'{"index": 1, "endpoints": []}', X_Source_Age_Ms="soon"),
-        answer(200, b'{"index": 1, "endpoints": []}', X_Source_Age_Ms="9" * 40),
-        answer(200, b"[" * 50_000, X_Source_Age_Ms="1"),
-        answer(503, b""),
+        http_response(200, b'{"index": 1, "endpoints": []}', X_Source_Age_Ms="soon"),
+        http_response(200, b'{"index": 1, "endpoints": []}', X_Source_Age_Ms="9" * 40),
+        http_response(200, b"[" * 50_000, X_Source_Age_Ms="1"),
+        http_response(503, b""),
     ],
     ids=["age not a number", "age too long", "nested too deep", "status 503"],
 )
--- a/tests/runtime/test_engine.py
+++ b/tests/runtime/test_engine.py
@@ -8,20 +8,20 @@
 
 import pytest
 
-from loopback import answer, play, world
+from loopback import http_response, run_scenario, running_sidecar
 from sidecar_balancer import policy
 from sidecar_balancer.policy.actions import Action
 from sidecar_balancer.policy.events import ClientDisconnected, Event, RequestReceived
 
 
 def served(*_: object) -> bytes:
-    return answer(200, b"served")
+    return http_response(200, b"served")
 
 
 def test_events_of_one_event_loop_turn_have_the_same_time(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards what the balancer learns: after a stall, it tells by the time what waited meanwhile.
     async def scenario() -> None:
-        async with world(served) as w:
+        async with running_sidecar(served) as w:
             times: list[int] = []
 
             def handle(now: int, _event: Event) -> list[Action]:
@@ -38,13 +38,13 @@
             w.sidecar.engine.handle(ClientDisconnected(1))
             assert times[0] == times[1] == times[2] < times[3]
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 # Guards against a defect that would kill the process or leave its request without an answer.
 def test_exception_in_the_balancer_fails_only_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        async with world(served) as w:
+        async with running_sidecar(served) as w:
             real = w.sidecar.engine.balancer.handle
 
             def faulty(now: int, event: Event) -> list[Action]:
@@ -53,43 +53,43 @@
                 return real(now, event)
 
             monkeypatch.setattr(w.sidecar.engine.balancer, "handle", faulty)
-            assert (await w.ask(kind="pay", body=b"x"))[0] == 500
-            assert (await w.ask())[0] == 200
+            assert (await w.send_request(kind="pay", body=b"x"))[0] == 500
+            assert (await w.send_request())[0] == 200
             assert not w.sidecar.proxy.in_flight
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_exception_in_an_executor_fails_only_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        async with world(served) as w:
+        async with running_sidecar(served) as w:
             monkeypatch.setattr(w.sidecar.endpoint_pool, "send", None)
-            assert (await w.ask(kind="pay", body=b"x"))[0] == 500
+            assert (await w.send_request(kind="pay", body=b"x"))[0] == 500
             monkeypatch.undo()
-            assert (await w.ask())[0] == 200
+            assert (await w.send_request())[0] == 200
             assert not w.sidecar.proxy.in_flight
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_request_that_the_balancer_ignores_fails_at_its_deadline() -> None:
     async def scenario() -> None:
-        async with world(served) as w:
+        async with running_sidecar(served) as w:
             w.sidecar.engine.balancer.handle = lambda _now, _event: []  # type: ignore[method-assign, assignment]
-            assert (await w.ask(budget="0.2"))[0] == 500
+            assert (await w.send_request(budget="0.2"))[0] == 500
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_every_action_of_the_balancer_has_an_executor() -> None:
     async def scenario() -> None:
-        async with world() as w:
+        async with running_sidecar() as w:
             source = _policy_source()
             emitted = {kind for kind in get_args(Action) if f"{kind.__name__}(" in source}
             assert len(emitted) > 5
             assert emitted <= set(w.sidecar.engine.executors)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def _policy_source() -> str:
--- a/tests/runtime/test_life.py
+++ b/tests/runtime/test_life.py
@@ -16,17 +16,17 @@
 import pytest
 
 from loopback import (
-    PATIENCE_S,
+    WAIT_TIMEOUT_S,
     FakeDiscovery,
     FakeServer,
-    answer,
-    ask,
+    http_response,
     is_closed,
-    play,
-    read_answer,
+    read_response,
     request,
-    until,
-    world,
+    run_scenario,
+    running_sidecar,
+    send_request,
+    wait_until,
 )
 from sidecar_balancer.addresses import Address
 from sidecar_balancer.sidecar import shutdown
@@ -88,14 +88,14 @@
     ],
 )
 def test_a_bad_configuration_ends_the_start_with_one_line(given: object, tmp_path: Path) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         process = await launch(tmp_path / "config.json", given)
-        _, err = await asyncio.wait_for(process.communicate(), PATIENCE_S)
+        _, err = await asyncio.wait_for(process.communicate(), WAIT_TIMEOUT_S)
         assert process.returncode == 2
         assert len(err.decode().strip().splitlines()) == 1
         assert err.startswith(b"bad configuration: ")
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def free_address() -> Address:
@@ -106,10 +106,10 @@
 
 
 async def wait_until_ok(address: Address, data: bytes) -> None:
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while True:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-                if (await ask(address, data))[0] == 200:
+                if (await send_request(address, data))[0] == 200:
                     return
             await asyncio.sleep(0.02)
 
@@ -138,30 +138,32 @@
 
 
 def test_on_sigterm_requests_in_flight_are_answered_and_the_program_ends(tmp_path: Path) -> None:
-    async def scene() -> None:
-        server = FakeServer("s-0", lambda first, *_: None if "held" in first else answer(200, b"served"))
+    async def scenario() -> None:
+        server = FakeServer(
+            "s-0", lambda first, *_: None if "held" in first else http_response(200, b"served")
+        )
         async with program(tmp_path, server) as (process, listen):
             idle, idle_writer = await asyncio.open_connection(*listen)
             idle_writer.write(request())
-            status, headers, _ = await read_answer(idle)
+            status, headers, _ = await read_response(idle)
             assert status == 200
             assert "connection" not in headers
             reader, writer = await asyncio.open_connection(*listen)
             writer.write(request("pay", path="/api/held", body=b"x"))
-            await until(lambda: len(server.requests) == 2)
+            await wait_until(lambda: len(server.requests) == 2)
 
             process.send_signal(signal.SIGTERM)
             assert await is_closed(idle)
             for server_writer in server.writers:
                 if not server_writer.is_closing():
-                    server_writer.write(answer(200, b"held"))
-            status, headers, body = await read_answer(reader)
+                    server_writer.write(http_response(200, b"held"))
+            status, headers, body = await read_response(reader)
             assert (status, headers["connection"], body) == (200, "close", b"held")
-            assert await asyncio.wait_for(process.wait(), PATIENCE_S) == 0
+            assert await asyncio.wait_for(process.wait(), WAIT_TIMEOUT_S) == 0
             for client_writer in (idle_writer, writer):
                 client_writer.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 TERM, HUP = signal.SIGTERM, signal.SIGHUP
@@ -171,26 +173,26 @@
 def test_signals_that_arrive_together_leave_requests_in_flight_answered(
     tmp_path: Path, signals: tuple[signal.Signals, ...]
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         server = FakeServer("s-0", lambda *_: None)
         async with program(tmp_path, server) as (process, listen):
             reader, writer = await asyncio.open_connection(*listen)
             writer.write(request("pay", body=b"x"))
-            await until(lambda: server.requests)
+            await wait_until(lambda: server.requests)
             for number in signals:
                 process.send_signal(number)
             await wait_for_log(process, "draining")
-            server.writers[-1].write(answer(200, b"held"))
-            assert (await read_answer(reader))[2] == b"held"
-            assert await asyncio.wait_for(process.wait(), PATIENCE_S) == 0
+            server.writers[-1].write(http_response(200, b"held"))
+            assert (await read_response(reader))[2] == b"held"
+            assert await asyncio.wait_for(process.wait(), WAIT_TIMEOUT_S) == 0
             writer.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_sigterm_before_it_is_ready_leaves_no_connected_client_unanswered(tmp_path: Path) -> None:
-    async def scene() -> None:
-        server = FakeServer("s-0", lambda *_: answer(200, b"served"))
+    async def scenario() -> None:
+        server = FakeServer("s-0", lambda *_: http_response(200, b"served"))
         await server.start()
         known = {"index": 1, "snapshot": True, "endpoints": [server.entry()]}
         listen = free_address()
@@ -204,28 +206,28 @@
         process.send_signal(signal.SIGTERM)
         reader, writer = await asyncio.open_connection(sock=client)
         writer.write(request())
-        assert (await read_answer(reader))[2] == b"served"
-        assert await asyncio.wait_for(process.wait(), PATIENCE_S) == 0
+        assert (await read_response(reader))[2] == b"served"
+        assert await asyncio.wait_for(process.wait(), WAIT_TIMEOUT_S) == 0
         await process.communicate()
         writer.close()
         await server.end()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_after_sigterm_a_request_that_never_ends_fails_by_its_deadline(tmp_path: Path) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         server = FakeServer("s-0", lambda *_: None)
         async with program(tmp_path, server) as (process, listen):
             reader, writer = await asyncio.open_connection(*listen)
             writer.write(request("pay", body=b"x", budget="500"))
-            await until(lambda: server.requests)
+            await wait_until(lambda: server.requests)
             process.send_signal(signal.SIGTERM)
-            assert (await read_answer(reader))[0] == 500
-            assert await asyncio.wait_for(process.wait(), PATIENCE_S) == 0
+            assert (await read_response(reader))[0] == 500
+            assert await asyncio.wait_for(process.wait(), WAIT_TIMEOUT_S) == 0
             writer.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_a_shutdown_still_accepts_connections_and_serves_those_just_opened(
@@ -234,43 +236,43 @@
     # Guards the 0.4 s in which connections still come; made long, so that a slow machine can't miss them.
     monkeypatch.setattr(shutdown, "_ACCEPT_WHILE_DRAINING_S", 600.0)
 
-    async def scene() -> None:
-        async with world(lambda *_: answer(200, b"served")) as sidecar_world:
-            listen = sidecar_world.sidecar.frontend.address
+    async def scenario() -> None:
+        async with running_sidecar(lambda *_: http_response(200, b"served")) as environment:
+            listen = environment.sidecar.frontend.address
             idle, idle_writer = await asyncio.open_connection(*listen)
             idle_writer.write(request())
-            assert (await read_answer(idle))[0] == 200
+            assert (await read_response(idle))[0] == 200
             opened, opened_writer = await asyncio.open_connection(*listen)
-            await until(lambda: len(sidecar_world.sidecar.frontend.connections) == 2)
-            sidecar_world.stop.set()
+            await wait_until(lambda: len(environment.sidecar.frontend.connections) == 2)
+            environment.stop.set()
             # Idle connections are closed while a request that crosses the close can still be retried.
             assert await is_closed(idle)
-            assert (await ask(listen, request(path="/health/ready")))[0] == 503
+            assert (await send_request(listen, request(path="/health/ready")))[0] == 503
             # Those just opened have their requests served, and so has one opened now.
             late, late_writer = await asyncio.open_connection(*listen)
             for reader, writer in ((opened, opened_writer), (late, late_writer)):
                 writer.write(request())
-                status, headers, body = await read_answer(reader)
+                status, headers, body = await read_response(reader)
                 assert (status, headers["connection"], body) == (200, "close", b"served")
                 assert await is_closed(reader)
                 writer.close()
             idle_writer.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 async def wait_for_log(process: asyncio.subprocess.Process, text: str) -> None:
     """Wait for a line with `text` in the program's log."""
     assert process.stderr is not None
-    while text.encode() not in (line := await asyncio.wait_for(process.stderr.readline(), PATIENCE_S)):
+    while text.encode() not in (line := await asyncio.wait_for(process.stderr.readline(), WAIT_TIMEOUT_S)):
         assert line, f"it ended without logging {text!r}"
 
 
 def test_sighup_moves_discovery_to_the_address_in_the_file_and_a_faulty_file_changes_nothing(
     tmp_path: Path,
 ) -> None:
-    async def scene() -> None:
-        server = FakeServer("s-0", lambda *_: answer(200, b"served"))
+    async def scenario() -> None:
+        server = FakeServer("s-0", lambda *_: http_response(200, b"served"))
         new_discovery = FakeDiscovery()
         await new_discovery.start()
         async with program(tmp_path, server) as (process, address):
@@ -279,18 +281,18 @@
             path.write_text("not json", encoding="utf-8")
             process.send_signal(signal.SIGHUP)
             await wait_for_log(process, "bad configuration, the old one stays")
-            assert (await ask(address, request()))[0] == 200
+            assert (await send_request(address, request()))[0] == 200
             assert not new_discovery.targets
             path.write_text(
                 json.dumps(good | {"discovery": "{}:{}".format(*new_discovery.address)}), encoding="utf-8"
             )
             process.send_signal(signal.SIGHUP)
-            await until(lambda: new_discovery.targets)
-            assert (await ask(address, request()))[0] == 200
+            await wait_until(lambda: new_discovery.targets)
+            assert (await send_request(address, request()))[0] == 200
             assert process.returncode is None
         new_discovery.stop()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 READY = b"GET /api/ready HTTP/1.1\r\nHost: ops\r\n\r\n"
@@ -305,7 +307,7 @@
     def __init__(self, folder: Path) -> None:
         self._folder = folder
         self.server, self.disabled = (
-            FakeServer(name, lambda first, *_: None if "held" in first else answer(200, b"served"))
+            FakeServer(name, lambda first, *_: None if "held" in first else http_response(200, b"served"))
             for name in ("s-0", "s-1")
         )
         self._discovery = FakeDiscovery()
@@ -319,7 +321,7 @@
 
     async def start(self, admin_address: Address) -> asyncio.subprocess.Process:
         """Start a process and wait until it is ready."""
-        self._discovery.say(2, [])
+        self._discovery.publish(2, [])
         entries = [self.server.entry(), self.disabled.entry()]
         given = config(
             listen="{}:{}".format(*self.listen),
@@ -340,7 +342,7 @@
     def answer_held_requests(self) -> None:
         for writer in self.server.writers + self.disabled.writers:
             if not writer.is_closing():
-                writer.write(answer(200, b"held"))
+                writer.write(http_response(200, b"held"))
 
     async def close(self) -> None:
         for process in self._processes:
@@ -366,69 +368,69 @@
     """Open a connection that has carried one request."""
     reader, writer = await asyncio.open_connection(*address)
     writer.write(request())
-    assert (await read_answer(reader))[0] == 200
+    assert (await read_response(reader))[0] == 200
     return reader, writer
 
 
 def test_an_upgrade_hands_the_clients_over_and_keeps_overrides_and_requests_in_flight(tmp_path: Path) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         old_address, new_address = free_address(), free_address()
         async with upgrade(tmp_path) as stage:
             old = await stage.start(old_address)
             idle, idle_writer = await connect_and_ask(stage.listen)
             busy, busy_writer = await connect_and_ask(stage.listen)
-            assert (await ask(old_address, EXCLUDE))[0] == 200
+            assert (await send_request(old_address, EXCLUDE))[0] == 200
 
             new = await stage.start(new_address)
             busy_writer.write(request("pay", path="/api/held", body=b"x", budget="3"))
-            await until(lambda: any("held" in first for first, *_ in stage.requests()))
+            await wait_until(lambda: any("held" in first for first, *_ in stage.requests()))
             old.send_signal(signal.SIGTERM)
             assert await is_closed(idle)
             stage.answer_held_requests()
-            status, headers, body = await read_answer(busy)
+            status, headers, body = await read_response(busy)
             assert (status, headers["connection"], body) == (200, "close", b"held")
-            assert await asyncio.wait_for(old.wait(), PATIENCE_S) == 0
+            assert await asyncio.wait_for(old.wait(), WAIT_TIMEOUT_S) == 0
 
             before = len(stage.disabled.requests)
             for _ in range(20):  # the new process listens, and knows the override
-                assert (await ask(stage.listen, request()))[2] == b"served"
+                assert (await send_request(stage.listen, request()))[2] == b"served"
             assert len(stage.disabled.requests) == before
             assert new.returncode is None
             idle_writer.close()
             busy_writer.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("kind", ["missing", "no number", "not listening", "no socket"])
 def test_a_descriptor_that_is_no_listening_socket_ends_the_start_with_one_line(
     kind: str, tmp_path: Path
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         quiet = socket.socket()
         file = os.open(tmp_path, os.O_RDONLY)
         fd = {"not listening": quiet.fileno(), "no socket": file}.get(kind)
         descriptor = "four" if kind == "no number" else str(fd if fd is not None else 1_000)
         process = await launch(tmp_path / "config.json", config(), fd, RELAY_ACCEPT_FD=descriptor)
-        _, err = await asyncio.wait_for(process.communicate(), PATIENCE_S)
+        _, err = await asyncio.wait_for(process.communicate(), WAIT_TIMEOUT_S)
         assert process.returncode not in (0, None)
         assert len(err.decode().strip().splitlines()) == 1
         assert b"descriptor" in err
         quiet.close()
         os.close(file)
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_an_admin_address_that_cannot_be_bound_ends_the_start_with_one_line(tmp_path: Path) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         with socket.create_server(("127.0.0.1", 0)) as taken:
             address = "{}:{}".format(*taken.getsockname())
             given = config(listen="{}:{}".format(*free_address()), mgmt=address)
             process = await launch(tmp_path / "config.json", given)
-            _, err = await asyncio.wait_for(process.communicate(), PATIENCE_S)
+            _, err = await asyncio.wait_for(process.communicate(), WAIT_TIMEOUT_S)
         assert process.returncode not in (0, None)
         assert len(err.decode().strip().splitlines()) == 1
         assert err.startswith(b"can't serve: ")
 
-    play(scene())
+    run_scenario(scenario())
--- a/tests/runtime/test_queueing.py
+++ b/tests/runtime/test_queueing.py
@@ -10,7 +10,7 @@
 
 from discovery_world import served
 from helpers import IDEMPOTENT, S
-from loopback import read_answer, request, until, world
+from loopback import read_response, request, running_sidecar, wait_until
 from sidecar_balancer.downstream import arrival
 from sidecar_balancer.runtime.queueing import BacklogAge, PollTimes, TimedLoop, since_last_data_s
 from virtual import RunScenario, stall
@@ -102,15 +102,15 @@
     stalled_s: float, is_new_connection: bool, on_virtual_clock: RunScenario
 ) -> None:
     async def scenario() -> None:
-        async with world(served, drained=True) as w:
+        async with running_sidecar(served, drained=True) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             if not is_new_connection:
                 writer.write(request())
-                assert (await read_answer(reader))[0] == 200
+                assert (await read_response(reader))[0] == 200
                 await asyncio.sleep(0.1)
             writer.write(request(budget=str(BUDGET_S)))
             stall(stalled_s)
-            assert (await read_answer(reader))[0] == 200
+            assert (await read_response(reader))[0] == 200
             forwarded_s = float(w.sent()[-1][1]["x-budget"])
             assert BUDGET_S - stalled_s - TOLERANCE_S <= forwarded_s <= BUDGET_S - stalled_s
             writer.close()
@@ -120,11 +120,11 @@
 
 def test_a_request_that_waited_longer_than_its_budget_is_rejected(on_virtual_clock: RunScenario) -> None:
     async def scenario() -> None:
-        async with world(served, drained=True) as w:
+        async with running_sidecar(served, drained=True) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(request(budget="0.5"))
             stall(0.6)
-            assert (await read_answer(reader))[0] == 503
+            assert (await read_response(reader))[0] == 503
             assert not w.sent()
             writer.close()
 
@@ -141,16 +141,16 @@
             return None if head["x-call-id"] == "occupying" else served()
 
         # 66 descriptors leave one connection for clients: the second waits in the backlog.
-        async with world(
+        async with running_sidecar(
             script, drained=True, sockets=66, classes=[IDEMPOTENT | {"deadline_us": 9 * S}]
         ) as w:
             first, first_writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             first_writer.write(request(budget=str(occupied_s), X_Call_Id="occupying"))
-            await until(w.sent)
+            await wait_until(w.sent)
             second, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(request(budget=str(BUDGET_S)))
-            assert (await read_answer(first))[0] != 200
-            assert (await read_answer(second))[0] == 200
+            assert (await read_response(first))[0] != 200
+            assert (await read_response(second))[0] == 200
             forwarded_s = float(w.sent()[-1][1]["x-budget"])
             assert forwarded_s <= BUDGET_S - occupied_s + TOLERANCE_S
             first_writer.close()
@@ -166,11 +166,11 @@
     monkeypatch.setattr(arrival, "since_last_data_s", lambda _: waited_s)
 
     async def scenario() -> None:
-        async with world(served, drained=True) as w:
+        async with running_sidecar(served, drained=True) as w:
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(request(budget=str(BUDGET_S)))
             stall(0.6)
-            assert (await read_answer(reader))[0] == 200
+            assert (await read_response(reader))[0] == 200
             forwarded_s = float(w.sent()[-1][1]["x-budget"])
             assert BUDGET_S - waited_s - TOLERANCE_S <= forwarded_s <= BUDGET_S - waited_s
             writer.close()
--- a/tests/runtime/test_shutdown.py
+++ b/tests/runtime/test_shutdown.py
@@ -9,12 +9,12 @@
 
 from helpers import IDEMPOTENT, NON_IDEMPOTENT, S
 from loopback import (
-    answer,
     assert_nothing_owed,
+    http_response,
     request,
+    running_sidecar,
     unresponsive_listener,
-    until,
-    world,
+    wait_until,
 )
 from sidecar_balancer.policy.types import ServerState
 from sidecar_balancer.runtime.streams import STALL_TIMEOUT_S
@@ -24,13 +24,13 @@
 
 def test_request_in_flight_at_the_last_moment_is_answered_on_the_wire(on_virtual_clock: RunScenario) -> None:
     async def scenario() -> None:
-        async with world(hung, classes=[NON_IDEMPOTENT | {"deadline_us": 60 * S}]) as w:
+        async with running_sidecar(hung, classes=[NON_IDEMPOTENT | {"deadline_us": 60 * S}]) as w:
             client = RawClient(w)
             client.send(request("pay", body=b"x", budget="50") + b"unread" * 100)
-            await until(w.sent)
+            await wait_until(w.sent)
             started_at = asyncio.get_running_loop().time()
             w.stop.set()
-            await until(lambda: w.sidecar._timers._is_closed)
+            await wait_until(lambda: w.sidecar._timers._is_closed)
             assert 3.6 <= asyncio.get_running_loop().time() - started_at < 3.7  # killed it is after 3.7 s
             got = client.sock.recv(10_000)
             assert got.startswith(b"HTTP/1.1 500")
@@ -47,16 +47,16 @@
     on_virtual_clock: RunScenario, version: bytes
 ) -> None:
     async def scenario() -> None:
-        async with world(hung, classes=[IDEMPOTENT | {"deadline_us": 1 * S}]) as w:
+        async with running_sidecar(hung, classes=[IDEMPOTENT | {"deadline_us": 1 * S}]) as w:
             client = RawClient(w)
             client.send(request(budget="1.0").replace(b"HTTP/1.1", version))
-            await until(w.sent)
+            await wait_until(w.sent)
             (live,), (there,) = w.sidecar.proxy.in_flight.values(), w.servers[0].writers
             there.write(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n")
-            await until(lambda: live.streamed_attempt is not None)
+            await wait_until(lambda: live.streamed_attempt is not None)
             await asyncio.sleep(0.1)
             w.stop.set()
-            await until(lambda: w.sidecar._timers._is_closed)
+            await wait_until(lambda: w.sidecar._timers._is_closed)
             assert_nothing_owed(w.sidecar)
             got = client.sock.recv(10_000)
             assert b"part" in got
@@ -77,18 +77,18 @@
     piece = b"10000\r\n" + bytes(0x10000) + b"\r\n"
 
     async def scenario() -> None:
-        async with world(hung, drained=True) as w:
+        async with running_sidecar(hung, drained=True) as w:
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
             sock.connect(w.sidecar.frontend.address)
             sock.send(request().replace(b"HTTP/1.1", b"HTTP/1.0"))
-            await until(w.sent)
+            await wait_until(w.sent)
             (connection,), (there,) = w.sidecar.frontend.connections, w.servers[0].writers
             connection._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
             there.write(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n" + piece * 20)
-            await until(lambda: connection._write_blocked)
+            await wait_until(lambda: connection._write_blocked)
             await asyncio.sleep(STALL_TIMEOUT_S)  # it reads nothing
-            await until(lambda: not w.sidecar.frontend.connections)
+            await wait_until(lambda: not w.sidecar.frontend.connections)
             sock.setblocking(True)
             with pytest.raises(ConnectionResetError):
                 _read_to_the_end(sock)
@@ -99,14 +99,14 @@
 
 def test_idle_connections_do_not_delay_the_shutdown(on_virtual_clock: RunScenario) -> None:
     async def scenario() -> None:
-        async with world(served) as w:
+        async with running_sidecar(served) as w:
             used, fresh = RawClient(w), RawClient(w)
             used.send(request())
-            await until(lambda: len(w.sidecar.frontend.connections) == 2)
-            await until(lambda: len(w.sent()) == 1 and not w.sidecar.proxy.in_flight)
+            await wait_until(lambda: len(w.sidecar.frontend.connections) == 2)
+            await wait_until(lambda: len(w.sent()) == 1 and not w.sidecar.proxy.in_flight)
             started_at = asyncio.get_running_loop().time()
             w.stop.set()
-            await until(lambda: w.sidecar._timers._is_closed)
+            await wait_until(lambda: w.sidecar._timers._is_closed)
             assert asyncio.get_running_loop().time() - started_at < 0.75
             assert_nothing_owed(w.sidecar)
             for each in (used, fresh):
@@ -118,7 +118,7 @@
 @pytest.mark.parametrize("at", ["unaccepted", "unbegun", "dialling", "answering", "crossing"])
 def test_request_that_meets_the_drain_is_answered(on_virtual_clock: RunScenario, at: str) -> None:
     async def scenario() -> None:
-        async with world(hung if at == "answering" else served, drained=True) as w:
+        async with running_sidecar(hung if at == "answering" else served, drained=True) as w:
             with unresponsive_listener() as address:
                 if at == "dialling":
                     w.sidecar.endpoint_pool.update("s-0", address, None, ServerState.READY)
@@ -126,19 +126,19 @@
                     w.sidecar.frontend._acceptor.pause()
                 client = RawClient(w)
                 if at not in ("unaccepted", "unbegun"):
-                    await until(lambda: w.sidecar.frontend.connections)
+                    await wait_until(lambda: w.sidecar.frontend.connections)
                 if at == "crossing":
                     w.stop.set()
                     await asyncio.sleep(0.64)  # one step before those just opened are closed
                 client.send(request())
                 if at == "dialling":
-                    await until(lambda: w.sidecar.endpoint_pool._dial_tasks)
+                    await wait_until(lambda: w.sidecar.endpoint_pool._dial_tasks)
                 if at == "answering":
-                    await until(w.sent)
+                    await wait_until(w.sent)
                 w.stop.set()
                 if at == "answering":
-                    w.servers[0].writers[-1].write(answer(200, b"served"))
-                await until(lambda: w.sidecar._timers._is_closed)
+                    w.servers[0].writers[-1].write(http_response(200, b"served"))
+                await wait_until(lambda: w.sidecar._timers._is_closed)
                 got = client.sock.recv(10_000)
                 status = b"503" if at == "dialling" else b"200"
                 assert got.startswith(b"HTTP/1.1 " + status)
--- a/tests/runtime/test_timeouts.py
+++ b/tests/runtime/test_timeouts.py
@@ -8,10 +8,10 @@
 
 from helpers import IDEMPOTENT, NON_IDEMPOTENT, S
 from loopback import (
-    answer,
+    http_response,
+    running_sidecar,
     unresponsive_listener,
-    until,
-    world,
+    wait_until,
 )
 from sidecar_balancer.policy.events import (
     AttemptEnded,
@@ -28,17 +28,19 @@
 
     async def scenario() -> None:
         def raise_error(*_: object) -> bytes:
-            return answer(500, b"")
+            return http_response(500, b"")
 
         async with (
-            world(raise_error, served, drained=True) as ours,
-            world(raise_error, served, drained=True, classes=other, limits=limits, tenants=[]) as theirs,
+            running_sidecar(raise_error, served, drained=True) as ours,
+            running_sidecar(
+                raise_error, served, drained=True, classes=other, limits=limits, tenants=[]
+            ) as theirs,
         ):
             for _ in range(6):
-                assert (await ours.ask(kind="look"))[0] == 200  # safe: it goes elsewhere
-                assert (await theirs.ask(kind="look", method="POST", body=b"x"))[0] in (200, 500)
-                assert (await theirs.ask(kind="look"))[0] == 405
-                assert (await ours.ask(kind="pay", method="GET"))[0] == 405
+                assert (await ours.send_request(kind="look"))[0] == 200  # safe: it goes elsewhere
+                assert (await theirs.send_request(kind="look", method="POST", body=b"x"))[0] in (200, 500)
+                assert (await theirs.send_request(kind="look"))[0] == 405
+                assert (await ours.send_request(kind="pay", method="GET"))[0] == 405
             assert any(first.startswith("GET") for first, _, _ in ours.sent())
             assert all(first.startswith("POST") for first, _, _ in theirs.sent())
             assert len(theirs.sent()) == 6  # not one of them ran twice
@@ -52,16 +54,16 @@
 ) -> None:
     async def scenario() -> None:
         limits = {"max_attempts": 3, "may_cancel": at != "attempt", "dial_timeout_us": 200_000}
-        async with world(hung, hung, drained=True, limits=limits) as w:
+        async with running_sidecar(hung, hung, drained=True, limits=limits) as w:
             with unresponsive_listener() as address:
                 if at == "dial":
                     for name in ("s-0", "s-1"):
                         w.sidecar.endpoint_pool.update(name, address, None, ServerState.READY)
                 loop = asyncio.get_running_loop()
                 started_at, real = loop.time(), w.sidecar.engine.balancer.handle
-                response_task = asyncio.create_task(w.ask(kind="pay", body=b"x", budget="1.0"))
+                response_task = asyncio.create_task(w.send_request(kind="pay", body=b"x", budget="1.0"))
                 if at == "backstop":
-                    await until(w.sent)
+                    await wait_until(w.sent)
                     monkeypatch.setattr(w.sidecar.engine.balancer, "handle", lambda _now, _event: [])
                 status, _, _ = await response_task
                 elapsed_s = loop.time() - started_at
@@ -80,7 +82,9 @@
                         w.sidecar.engine.handle(
                             AttemptEnded(number, 0, w.servers[0].name, Outcome.TIMED_OUT, 1, True)
                         )
-                await until(lambda: w.sidecar.endpoint_pool.open_count == 0 and not w.sidecar.proxy.in_flight)
+                await wait_until(
+                    lambda: w.sidecar.endpoint_pool.open_count == 0 and not w.sidecar.proxy.in_flight
+                )
 
     on_virtual_clock(scenario())
 
@@ -90,17 +94,17 @@
     on_virtual_clock: RunScenario, crossing: str
 ) -> None:
     async def scenario() -> None:
-        async with world(hung, drained=True) as w:
-            response_task = asyncio.create_task(w.ask(kind="pay", body=b"x", budget="1.0"))
-            await until(w.sent)
+        async with running_sidecar(hung, drained=True) as w:
+            response_task = asyncio.create_task(w.send_request(kind="pay", body=b"x", budget="1.0"))
+            await wait_until(w.sent)
             if crossing == "before":
-                w.servers[0].writers[0].write(answer(200, b"served"))
+                w.servers[0].writers[0].write(http_response(200, b"served"))
             stall(1.0)  # the answer and all that is due are found together
             if crossing == "behind":
                 await asyncio.sleep(0)
                 await asyncio.sleep(0)
                 if not w.servers[0].writers[0].is_closing():
-                    w.servers[0].writers[0].write(answer(200, b"served"))
+                    w.servers[0].writers[0].write(http_response(200, b"served"))
             assert (await response_task)[0] == (200 if crossing == "before" else 500)
 
     on_virtual_clock(scenario())
--- a/tests/support/discovery_world.py
+++ b/tests/support/discovery_world.py
@@ -1,40 +1,40 @@
-"""What tests of discovery read inside a sidecar of `loopback.world`."""
+"""What tests of discovery read inside a sidecar of `loopback.running_sidecar`."""
 
 from __future__ import annotations
 
-from loopback import World, answer
+from loopback import SidecarEnvironment, http_response
 from sidecar_balancer.discovery.client import DiscoveryClient
 from sidecar_balancer.policy.balancer import Balancer
 
 
 def served(*_: object) -> bytes:
     """The script of a server that answers every request."""
-    return answer(200, b"served")
+    return http_response(200, b"served")
 
 
-def balancer_of(world: World) -> Balancer:
-    """Return the balancer of the world's sidecar."""
-    balancer: Balancer = world.sidecar.engine.balancer
+def balancer_of(environment: SidecarEnvironment) -> Balancer:
+    """Return the balancer of the environment's sidecar."""
+    balancer: Balancer = environment.sidecar.engine.balancer
     return balancer
 
 
-def client_of(world: World) -> DiscoveryClient:
-    """Return the discovery client of the world's sidecar."""
-    client: DiscoveryClient = world.sidecar.discovery
+def client_of(environment: SidecarEnvironment) -> DiscoveryClient:
+    """Return the discovery client of the environment's sidecar."""
+    client: DiscoveryClient = environment.sidecar.discovery
     return client
 
 
-def pooled_servers(world: World) -> set[str]:
+def pooled_servers(environment: SidecarEnvironment) -> set[str]:
     """Return the names of the servers that the sidecar holds connections or addresses for."""
-    return set(world.sidecar.endpoint_pool.endpoints)
+    return set(environment.sidecar.endpoint_pool.endpoints)
 
 
-def consecutive_failures(world: World) -> int:
+def consecutive_failures(environment: SidecarEnvironment) -> int:
     """Return how many polls in a row the balancer has seen fail."""
-    return balancer_of(world).components.discovery.failed_calls
+    return balancer_of(environment).components.discovery.failed_calls
 
 
-def now_us(world: World) -> int:
+def now_us(environment: SidecarEnvironment) -> int:
     """Return the time on the sidecar's clock, in microseconds."""
-    now: int = world.sidecar.engine.clock.now()
+    now: int = environment.sidecar.engine.clock.now()
     return now
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -96,7 +96,7 @@
         for action in actions:
             self.timeline.append((self.now, action))
             if isinstance(action, SetTimer):
-                self._timers.append((self.now + action.in_us, action.token))
+                self._timers.append((self.now + action.delay_us, action.token))
         return actions
 
     def receive_list(
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -20,29 +20,29 @@
 from sidecar_balancer.policy.events import Event
 from sidecar_balancer.sidecar.sidecar import Sidecar
 
-PATIENCE_S = 20.0  # for what must come; no test takes it as proof of anything
+WAIT_TIMEOUT_S = 20.0  # for what must come; no test takes it as proof of anything
 
-Head = dict[str, str]
+Headers = dict[str, str]
 
 
-def play(scene: Coroutine[Any, Any, None]) -> None:
+def run_scenario(scenario: Coroutine[Any, Any, None]) -> None:
     """Run an asynchronous test, which may not hang."""
 
     async def bounded() -> None:
         async with asyncio.timeout(60.0):
-            await scene
+            await scenario
 
     asyncio.run(bounded())
 
 
-async def until(condition: Callable[[], object]) -> None:
+async def wait_until(condition: Callable[[], object]) -> None:
     """Wait for something to become true."""
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while not condition():  # noqa: ASYNC110  # no event stands for an arbitrary condition
             await asyncio.sleep(0.005)
 
 
-async def read_message(reader: asyncio.StreamReader) -> tuple[str, Head, bytes]:
+async def read_message(reader: asyncio.StreamReader) -> tuple[str, Headers, bytes]:
     """Read a request or an answer: first line, headers, body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     first, *lines = head.strip().split("\r\n")
@@ -50,7 +50,7 @@
     return first, headers, await reader.readexactly(int(headers.get("content-length", "0")))
 
 
-def answer(status: int = 200, body: bytes = b"done", **headers: str) -> bytes:
+def http_response(status: int = 200, body: bytes = b"done", **headers: str) -> bytes:
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}"]
     lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
     return "\r\n".join([*lines, "", ""]).encode() + body
@@ -65,7 +65,7 @@
     writer.transport.abort()
 
 
-class Listening:
+class LoopbackServer:
     """What listens on a port that the kernel picks."""
 
     address: Address = ("127.0.0.1", 0)
@@ -103,13 +103,13 @@
             self._server.close()
 
 
-class FakeServer(Listening):
+class FakeServer(LoopbackServer):
     """A server that answers as `script` says; None is silence, b"" a reset."""
 
-    def __init__(self, name: str, script: Callable[[str, Head, bytes], bytes | None]) -> None:
+    def __init__(self, name: str, script: Callable[[str, Headers, bytes], bytes | None]) -> None:
         self.name = name
         self.script = script
-        self.requests: list[tuple[str, Head, bytes]] = []
+        self.requests: list[tuple[str, Headers, bytes]] = []
         self.writers: list[asyncio.StreamWriter] = []
         self.closed = 0  # connections that the other side ended
 
@@ -145,12 +145,12 @@
         return entry | {"status": "active", "weight": 1.0, "since_ms": 0} | changes
 
 
-class FakeDiscovery(Listening):
-    """Answers each call with the next of `answers`; without one it lets the call wait."""
+class FakeDiscovery(LoopbackServer):
+    """Answers each call with the next of `responses`; without one it lets the call wait."""
 
     def __init__(self) -> None:
         self.targets: list[str] = []
-        self.answers: asyncio.Queue[bytes] = asyncio.Queue()
+        self.responses: asyncio.Queue[bytes] = asyncio.Queue()
         self.called_at: list[float] = []  # on the event loop's clock
         self.called_after_s: list[float] = []  # from each answer to the next call
         self._answered_at: float | None = None
@@ -163,7 +163,10 @@
                 self.called_after_s.append(loop.time() - self._answered_at)
             self.targets.append(first.split(" ")[1])
             self.called_at.append(loop.time())
-            getting, leaving = asyncio.ensure_future(self.answers.get()), asyncio.ensure_future(reader.read())
+            getting, leaving = (
+                asyncio.ensure_future(self.responses.get()),
+                asyncio.ensure_future(reader.read()),
+            )
             try:
                 await asyncio.wait((getting, leaving), return_when=asyncio.FIRST_COMPLETED)
                 if getting.done():  # else the caller has left: the answer is for another
@@ -175,12 +178,12 @@
                 leaving.cancel()
         writer.close()
 
-    def say(self, index: int, entries: list[Any], snapshot: bool = False) -> None:
+    def publish(self, index: int, entries: list[Any], snapshot: bool = False) -> None:
         told = {"index": index, "snapshot": snapshot, "endpoints": entries}
-        self.answers.put_nowait(answer(200, json.dumps(told).encode()))
+        self.responses.put_nowait(http_response(200, json.dumps(told).encode()))
 
 
-class World:
+class SidecarEnvironment:
     """A sidecar in this process, with its servers and discovery."""
 
     def __init__(self, config: SidecarConfig, servers: list[FakeServer], discovery: FakeDiscovery) -> None:
@@ -190,7 +193,7 @@
         self.discovery = discovery
         self.stop = asyncio.Event()
 
-    def sent(self) -> list[tuple[str, Head, bytes]]:
+    def sent(self) -> list[tuple[str, Headers, bytes]]:
         """All requests that reached servers, by server."""
         return [request for server in self.servers for request in server.requests]
 
@@ -210,22 +213,22 @@
         """What SIGHUP does, with a configuration that names another discovery."""
         self.sidecar.reload(replace(self.config, discovery=address))
 
-    async def ask(self, **changes: Any) -> tuple[int, Head, bytes]:
-        return await ask(self.sidecar.frontend.address, request(**changes))
+    async def send_request(self, **changes: Any) -> tuple[int, Headers, bytes]:
+        return await send_request(self.sidecar.frontend.address, request(**changes))
 
 
 LIMITS = {"max_attempts": 3, "may_hedge": False, "may_cancel": True}
 
 
 @contextlib.asynccontextmanager
-async def world(
-    *scripts: Callable[[str, Head, bytes], bytes | None],
+async def running_sidecar(
+    *scripts: Callable[[str, Headers, bytes], bytes | None],
     sockets: int = 256,
-    orders: Path | None = None,
+    overrides_folder: Path | None = None,
     drained: bool = False,
     **changes: Any,
-) -> AsyncIterator[World]:
-    """A world with one server for each script; `drained`: it ends by a drain, with nothing owed any more."""
+) -> AsyncIterator[SidecarEnvironment]:
+    """A sidecar with a server for each script; `drained`: it ends by a drain, with nothing owed any more."""
     servers = [FakeServer(f"s-{number}", script) for number, script in enumerate(scripts)]
     discovery = FakeDiscovery()
     for server in servers:
@@ -234,11 +237,11 @@
     given = settings(**{"limits": LIMITS, **changes})
     known = parse_list({"index": 41, "snapshot": True, "endpoints": [each.entry() for each in servers]})
     config = SidecarConfig(("127.0.0.1", 0), discovery.address, 7, sockets, given, known)
-    if orders is not None:
-        config = replace(config, overrides_folder=orders, admin_address=("127.0.0.1", 0))
-    made = World(config, servers, discovery)
+    if overrides_folder is not None:
+        config = replace(config, overrides_folder=overrides_folder, admin_address=("127.0.0.1", 0))
+    made = SidecarEnvironment(config, servers, discovery)
     running = asyncio.create_task(made.sidecar.run(made.stop))
-    await until(lambda: made.sidecar.engine.balancer.is_started)
+    await wait_until(lambda: made.sidecar.engine.balancer.is_started)
     try:
         yield made
         if drained:
@@ -292,25 +295,25 @@
     return "\r\n".join([f"{verb} {path} HTTP/1.1", *lines, "", ""]).encode() + body
 
 
-async def ask(address: Address, data: bytes) -> tuple[int, Head, bytes]:
+async def send_request(address: Address, data: bytes) -> tuple[int, Headers, bytes]:
     """Send raw bytes on a connection of their own; give status, headers and body of the answer."""
     reader, writer = await asyncio.open_connection(*address)
     try:
         writer.write(data)
-        return await read_answer(reader)
+        return await read_response(reader)
     finally:
         writer.close()
 
 
-async def read_answer(reader: asyncio.StreamReader) -> tuple[int, Head, bytes]:
-    first, headers, body = await asyncio.wait_for(read_message(reader), PATIENCE_S)
+async def read_response(reader: asyncio.StreamReader) -> tuple[int, Headers, bytes]:
+    first, headers, body = await asyncio.wait_for(read_message(reader), WAIT_TIMEOUT_S)
     return int(first.split(" ")[1]), headers, body
 
 
 async def is_closed(reader: asyncio.StreamReader) -> bool:
     """Wait for the other side to end the connection."""
     try:
-        return await asyncio.wait_for(reader.read(1), PATIENCE_S) == b""
+        return await asyncio.wait_for(reader.read(1), WAIT_TIMEOUT_S) == b""
     except ConnectionError:
         return True
 
--- a/tests/support/raw_server.py
+++ b/tests/support/raw_server.py
@@ -6,7 +6,7 @@
 import contextlib
 from collections.abc import AsyncIterator, Awaitable, Callable
 
-from loopback import PATIENCE_S, Listening, World, world
+from loopback import WAIT_TIMEOUT_S, LoopbackServer, SidecarEnvironment, running_sidecar
 
 LONG = bytes(range(251)) * 4_000  # about 1 MB, so that misplaced pieces show
 
@@ -23,7 +23,7 @@
 Script = Callable[[Reader, Writer], Awaitable[None]]
 
 
-class RawServer(Listening):
+class RawServer(LoopbackServer):
     """A server that handles the bytes of each connection as its script says."""
 
     def __init__(self, script: Script) -> None:
@@ -38,11 +38,11 @@
 
 
 @contextlib.asynccontextmanager
-async def streaming(script: Script, **changes: object) -> AsyncIterator[tuple[World, RawServer]]:
+async def streaming(script: Script, **changes: object) -> AsyncIterator[tuple[SidecarEnvironment, RawServer]]:
     """A sidecar whose only server is a raw one."""
     server = RawServer(script)
     await server.start()
-    async with world(lambda *_: None, **changes) as w:  # type: ignore[arg-type]
+    async with running_sidecar(lambda *_: None, **changes) as w:  # type: ignore[arg-type]
         endpoint = w.sidecar.endpoint_pool.endpoints["s-0"]
         endpoint.address = server.address
         yield w, server
@@ -50,13 +50,13 @@
 
 
 async def read_head(reader: Reader) -> str:
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         return (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").lower()
 
 
 async def read_chunked(reader: Reader) -> bytes:
     body = b""
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while size := int((await reader.readuntil(b"\r\n")).split(b";")[0], 16):
             body += await reader.readexactly(size)
             await reader.readline()
@@ -70,5 +70,5 @@
     return b"".join(b"%x;note=1\r\n%b\r\n" % (len(each), each) for each in pieces) + b"0\r\nX-Sum: 1\r\n\r\n"
 
 
-async def dial(w: World) -> tuple[Reader, Writer]:
+async def dial(w: SidecarEnvironment) -> tuple[Reader, Writer]:
     return await asyncio.open_connection(*w.sidecar.frontend.address)
--- a/tests/support/registry.py
+++ b/tests/support/registry.py
@@ -8,7 +8,7 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from loopback import Listening, answer, read_message
+from loopback import LoopbackServer, http_response, read_message
 
 Entry = dict[str, Any]
 
@@ -21,7 +21,7 @@
     return members | {"status": "active", "weight": 1.0, "since_ms": 0} | changes
 
 
-class FakeRegistry(Listening):
+class FakeRegistry(LoopbackServer):
     """Holds a list and serves it; `is_unresponsive` lets requests wait for ever."""
 
     def __init__(self, entries: list[Entry] | None = None, index: int = 100) -> None:
@@ -82,7 +82,7 @@
             if self.is_unresponsive:
                 await reader.read()  # until the caller gives up
                 return
-            writer.write(answer(200, json.dumps(self._list_after(after)).encode()))
+            writer.write(http_response(200, json.dumps(self._list_after(after)).encode()))
             await writer.drain()
         writer.close()
 
--- a/tests/support/relay_tier.py
+++ b/tests/support/relay_tier.py
@@ -6,7 +6,7 @@
 import contextlib
 from collections.abc import AsyncIterator
 
-from loopback import until
+from loopback import wait_until
 from registry import FakeRegistry, entry
 from sidecar_balancer.addresses import Address
 from sidecar_balancer.discovery.client import DiscoveryClient
@@ -79,7 +79,7 @@
         self.relays.append(relay)
         self._stops.append(stop)
         self._running.append(asyncio.create_task(relay.run(stop)))
-        await until(lambda: relay.is_serving)
+        await wait_until(lambda: relay.is_serving)
         return relay
 
     def add_sidecar(self, sources: list[Address]) -> SidecarClient:
@@ -110,7 +110,7 @@
         """Wait until every sidecar lists a server with that status; it may not take longer than allowed."""
         loop = asyncio.get_running_loop()
         started_at = loop.time()
-        await until(lambda: all(sidecar.status_of(name) == status for sidecar in self.sidecars))
+        await wait_until(lambda: all(sidecar.status_of(name) == status for sidecar in self.sidecars))
         assert loop.time() - started_at <= within_s
 
     async def end(self) -> None:
@@ -133,10 +133,10 @@
     try:
         for _ in range(relays):
             await tier.add_relay([registry.address], limits=limits)
-        await until(lambda: all(relay.service.status()["index"] is not None for relay in tier.relays))
+        await wait_until(lambda: all(relay.service.status()["index"] is not None for relay in tier.relays))
         tier.add_sidecars(sidecars)
         registry.change(entry("s-0", weight=2.0))
-        await until(lambda: all(sidecar.versions for sidecar in tier.sidecars))
+        await wait_until(lambda: all(sidecar.versions for sidecar in tier.sidecars))
         yield tier
     finally:
         await tier.end()
--- a/tests/support/simulated_network.py
+++ b/tests/support/simulated_network.py
@@ -80,7 +80,7 @@
 
     def agreeing_members(self, member: int, subject: str, verdict: WireVerdict) -> int:
         """How many others state the verdict, as the member sees it."""
-        return self.members[member].tier.agreeing_members(self.clock(member), subject, verdict)
+        return self.members[member].tier_view.agreeing_members(self.clock(member), subject, verdict)
 
     def statuses(self, member: int) -> set[MemberStatus]:
         """The member's status as the other live members see it."""
--- a/tests/support/timed_scenes.py
+++ b/tests/support/timed_scenes.py
@@ -11,10 +11,10 @@
 
 from loopback import (
     FakeServer,
-    World,
-    answer,
-    until,
-    world,
+    SidecarEnvironment,
+    http_response,
+    running_sidecar,
+    wait_until,
 )
 
 DISCONNECT_GRACE_S = 0.1  # no attempt begins later than that after its client left
@@ -24,7 +24,7 @@
 
 @contextlib.contextmanager
 def collect_loop_exceptions() -> Iterator[list[BaseException | None]]:
-    """What callbacks of the event loop raise meanwhile, which would else count as a fault of the scene."""
+    """What callbacks of the event loop raise meanwhile, which would else count as a fault of the scenario."""
     loop, faults = asyncio.get_running_loop(), list[BaseException | None]()
     before = loop.get_exception_handler()
     loop.set_exception_handler(lambda _, context: faults.append(context.get("exception")))
@@ -35,20 +35,20 @@
 
 
 def served(*_: object) -> bytes:
-    return answer(200, b"served")
+    return http_response(200, b"served")
 
 
 def hung(*_: object) -> None:
     return None
 
 
-async def fail_discovery_calls(w: World, calls: int) -> None:
+async def fail_discovery_calls(w: SidecarEnvironment, calls: int) -> None:
     """Let so many calls in a row fail."""
-    await until(lambda: w.discovery.targets)
+    await wait_until(lambda: w.discovery.targets)
     for _ in range(calls):
         seen = len(w.discovery.targets)
-        w.discovery.answers.put_nowait(answer(503, b""))
-        await until(lambda seen=seen: len(w.discovery.targets) > seen)  # type: ignore[misc]
+        w.discovery.responses.put_nowait(http_response(503, b""))
+        await wait_until(lambda seen=seen: len(w.discovery.targets) > seen)  # type: ignore[misc]
 
 
 class UnreadingServer(FakeServer):
@@ -79,7 +79,7 @@
 class RawClient:
     """A client whose every system call happens at once, between two turns of the event loop."""
 
-    def __init__(self, w: World) -> None:
+    def __init__(self, w: SidecarEnvironment) -> None:
         self.sock = socket.create_connection(w.sidecar.frontend.address)
 
     def send(self, data: bytes) -> None:
@@ -101,24 +101,26 @@
         self.sock.close()
 
 
-def nothing_in_flight(w: World) -> Callable[[], bool]:
+def nothing_in_flight(w: SidecarEnvironment) -> Callable[[], bool]:
     return lambda: not w.sidecar.proxy.in_flight and not w.sidecar.engine.balancer.open_requests
 
 
-async def wait_until_nothing_in_flight(w: World) -> None:
+async def wait_until_nothing_in_flight(w: SidecarEnvironment) -> None:
     """What its client left behind is over well before the rule bites."""
     started_at = asyncio.get_running_loop().time()
-    await until(nothing_in_flight(w))
+    await wait_until(nothing_in_flight(w))
     assert asyncio.get_running_loop().time() - started_at < DISCONNECT_GRACE_S
 
 
 @contextlib.asynccontextmanager
-async def world_with_unreading_server(**changes: Any) -> AsyncIterator[tuple[World, UnreadingServer]]:
-    """A world with one server, which reads nothing until it is told to."""
+async def world_with_unreading_server(
+    **changes: Any,
+) -> AsyncIterator[tuple[SidecarEnvironment, UnreadingServer]]:
+    """A sidecar with one server, which reads nothing until it is told to."""
     server = UnreadingServer()
     await server.start()
-    async with world(drained=True, **changes) as w:
-        w.discovery.say(42, [server.entry()])
-        await until(lambda: w.sidecar.engine.balancer.ready_servers)
+    async with running_sidecar(drained=True, **changes) as w:
+        w.discovery.publish(42, [server.entry()])
+        await wait_until(lambda: w.sidecar.engine.balancer.ready_servers)
         yield w, server
     await server.end()
--- a/tests/upstream/test_attempt_outcomes.py
+++ b/tests/upstream/test_attempt_outcomes.py
@@ -9,21 +9,21 @@
 
 from helpers import S
 from loopback import (
-    PATIENCE_S,
-    answer,
-    ask,
-    play,
+    WAIT_TIMEOUT_S,
+    http_response,
     request,
+    run_scenario,
+    running_sidecar,
+    send_request,
     unresponsive_listener,
-    until,
-    world,
+    wait_until,
 )
 from sidecar_balancer.policy.events import AttemptEnded
 from sidecar_balancer.policy.types import Outcome, ServerState
 
 
 def served(*_: object) -> bytes:
-    return answer(200, b"served")
+    return http_response(200, b"served")
 
 
 def hung(*_: object) -> None:
@@ -33,9 +33,9 @@
 def test_request_and_response_are_forwarded_unchanged() -> None:
     async def scenario() -> None:
         body = bytes(range(256)) * 16
-        async with world(lambda *_: answer(200, body, Content_Type="x/y")) as w:
+        async with running_sidecar(lambda *_: http_response(200, body, Content_Type="x/y")) as w:
             sent = request("amend", "/api/7f3a?q=1", b"\0body\xff", X_Caller="acme")
-            status, headers, got = await ask(w.sidecar.frontend.address, sent)
+            status, headers, got = await send_request(w.sidecar.frontend.address, sent)
             assert (status, headers["content-type"], got) == (200, "x/y", body)
             ((first, given, there),) = w.sent()
             assert first == "POST /api/7f3a?q=1 HTTP/1.1"
@@ -44,17 +44,17 @@
             assert given["idempotency-key"] == "5c0f6e1a"
             assert 0.0 < float(given["x-budget"]) < 5.0
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 # Guards rule 2: of an unsafe request only these ends prove that it never ran.
 @pytest.mark.parametrize(
     ("reply", "status", "attempts"),
     [
-        (answer(503, b"", X_Rejected="1"), 200, 2),
-        (answer(504, b"", X_Rejected="1"), 200, 2),
-        (answer(503, b""), 500, 1),
-        (answer(500, b"", X_Rejected="1"), 500, 1),
+        (http_response(503, b"", X_Rejected="1"), 200, 2),
+        (http_response(504, b"", X_Rejected="1"), 200, 2),
+        (http_response(503, b""), 500, 1),
+        (http_response(500, b"", X_Rejected="1"), 500, 1),
         (b"", 500, 1),
         (b"HTTP/1.1 200 X\r\nContent-Length: 10\r\nConnection: close\r\n\r\nshort", 500, 1),
         (b"nonsense\r\n\r\n", 500, 1),
@@ -67,15 +67,15 @@
         replies = [reply]
 
         def first_so(*_: object) -> bytes:
-            return replies.pop() if replies else answer(200, b"served")
+            return replies.pop() if replies else http_response(200, b"served")
 
-        async with world(first_so, first_so, first_so) as w:
-            got, _, body = await w.ask(kind="pay", body=b"x")
+        async with running_sidecar(first_so, first_so, first_so) as w:
+            got, _, body = await w.send_request(kind="pay", body=b"x")
             assert got == status
             assert (body == b"served") == (status == 200)
             assert len(w.sent()) == attempts
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 UNREADABLE = {
@@ -96,32 +96,32 @@
     reply: bytes, outcome: Outcome
 ) -> None:
     async def scenario() -> None:
-        async with world(lambda *_: reply, limits={"max_attempts": 1}) as w:
+        async with running_sidecar(lambda *_: reply, limits={"max_attempts": 1}) as w:
             events = w.record_events()
-            assert (await w.ask(kind="pay", body=b"x"))[0] == 500
+            assert (await w.send_request(kind="pay", body=b"x"))[0] == 500
             assert [each.outcome for each in events if isinstance(each, AttemptEnded)] == [outcome]
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("status", [400, 404])
 def test_request_that_a_server_calls_invalid_is_not_retried(status: int) -> None:
     async def scenario() -> None:
-        async with world(*[lambda *_: answer(status)] * 3) as w:
-            assert (await w.ask())[0] == 503
+        async with running_sidecar(*[lambda *_: http_response(status)] * 3) as w:
+            assert (await w.send_request())[0] == 503
             assert len(w.sent()) == 1
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_refused_connection_allows_a_retry_of_a_non_idempotent_request() -> None:
     async def scenario() -> None:
-        async with world(served, served) as w:
+        async with running_sidecar(served, served) as w:
             w.servers[0].stop()
             for _ in range(3):
-                assert (await w.ask(kind="pay", body=b"x"))[0] == 200
+                assert (await w.send_request(kind="pay", body=b"x"))[0] == 200
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 # Guards rule 1: an answer that ends with its connection may have been cut short, so it is never passed on.
@@ -135,68 +135,68 @@
 )
 def test_response_body_that_may_be_incomplete_is_not_forwarded(cut: bytes) -> None:
     async def scenario() -> None:
-        async with world(lambda *_: cut) as w:
-            response_task = asyncio.create_task(w.ask(kind="pay", body=b"x"))
-            await until(w.sent)
+        async with running_sidecar(lambda *_: cut) as w:
+            response_task = asyncio.create_task(w.send_request(kind="pay", body=b"x"))
+            await wait_until(w.sent)
             await asyncio.sleep(0)
             server = w.servers[0]
-            await until(lambda: server.writers)
+            await wait_until(lambda: server.writers)
             server.writers[0].close()
             assert (await response_task)[0] == 500
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_hung_server_times_out_with_a_response_and_its_connection_is_closed() -> None:
     async def scenario() -> None:
-        async with world(hung) as w:
+        async with running_sidecar(hung) as w:
             loop = asyncio.get_running_loop()
             started_at = loop.time()
-            status, _, _ = await w.ask(kind="pay", body=b"x", budget="0.6")
+            status, _, _ = await w.send_request(kind="pay", body=b"x", budget="0.6")
             assert status == 500
             assert loop.time() - started_at > 0.3
-            await until(lambda: w.servers[0].closed == 1)
+            await wait_until(lambda: w.servers[0].closed == 1)
             assert len(w.sent()) == 1
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_attempt_ends_when_its_client_disconnects() -> None:
     async def scenario() -> None:
-        async with world(hung) as w:
+        async with running_sidecar(hung) as w:
             _, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(request("pay", body=b"x"))
-            await until(w.sent)
+            await wait_until(w.sent)
             writer.close()
-            await until(lambda: w.servers[0].closed == 1)
+            await wait_until(lambda: w.servers[0].closed == 1)
             assert not w.sidecar.proxy.in_flight  # the late outcome reached the module, and nothing is kept
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_slow_reader_does_not_delay_other_clients() -> None:
     async def scenario() -> None:
-        async with world(lambda *_: answer(200, bytes(60_000))) as w:
+        async with running_sidecar(lambda *_: http_response(200, bytes(60_000))) as w:
             slow = socket.socket()
             slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
             slow.setblocking(False)
             await asyncio.get_running_loop().sock_connect(slow, w.sidecar.frontend.address)
             reader, writer = await asyncio.open_connection(sock=slow, limit=16)
             writer.write(request() * 50)  # and it reads nothing
-            await until(w.sent)
-            assert len((await w.ask())[2]) == 60_000
+            await wait_until(w.sent)
+            assert len((await w.send_request())[2]) == 60_000
             for _ in range(3):
                 assert (await read_answer_slowly(reader)) == 60_000
             writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 async def read_answer_slowly(reader: asyncio.StreamReader) -> int:
     head_bytes = b""
     while not head_bytes.endswith(b"\r\n\r\n"):
-        head_bytes += await asyncio.wait_for(reader.readexactly(1), PATIENCE_S)
-    return len(await asyncio.wait_for(reader.readexactly(60_000), PATIENCE_S))
+        head_bytes += await asyncio.wait_for(reader.readexactly(1), WAIT_TIMEOUT_S)
+    return len(await asyncio.wait_for(reader.readexactly(60_000), WAIT_TIMEOUT_S))
 
 
 def test_nothing_is_sent_for_an_ended_request_even_without_cancellation() -> None:
@@ -204,12 +204,14 @@
     async def scenario() -> None:
         limits = {"max_attempts": 3, "may_cancel": False, "dial_timeout_us": 600 * S}
         with unresponsive_listener() as address:
-            async with world(served, limits=limits) as w:
+            async with running_sidecar(served, limits=limits) as w:
                 w.sidecar.endpoint_pool.update("s-0", address, None, ServerState.READY)
                 _, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
                 writer.write(request("pay", body=b"x", budget="600"))
-                await until(lambda: w.sidecar.endpoint_pool.open_count == 1)
+                await wait_until(lambda: w.sidecar.endpoint_pool.open_count == 1)
                 writer.close()
-                await until(lambda: not w.sidecar.proxy.in_flight and not w.sidecar.endpoint_pool.open_count)
+                await wait_until(
+                    lambda: not w.sidecar.proxy.in_flight and not w.sidecar.endpoint_pool.open_count
+                )
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/upstream/test_endpoint_changes.py
+++ b/tests/upstream/test_endpoint_changes.py
@@ -10,11 +10,11 @@
 
 from loopback import (
     FakeServer,
-    answer,
+    http_response,
     reset_connection,
+    running_sidecar,
     unresponsive_listener,
-    until,
-    world,
+    wait_until,
 )
 from sidecar_balancer.policy.actions import HealthCheck
 from sidecar_balancer.policy.events import (
@@ -36,20 +36,20 @@
     on_virtual_clock: RunScenario, change: str
 ) -> None:
     async def scenario() -> None:
-        async with world(hung, served, drained=True) as w:
+        async with running_sidecar(hung, served, drained=True) as w:
             with unresponsive_listener() as address:
                 places = [w.servers[0].entry(address=f"127.0.0.1:{address[1]}"), w.servers[1].entry()]
-                w.discovery.say(42, places, snapshot=True)
-                await until(lambda: w.sidecar.endpoint_pool.endpoints["s-0"].address == address)
-                w.discovery.say(43, [w.servers[1].entry(status="leaving")])
-                await until(lambda: len(w.sidecar.engine.balancer.ready_servers) == 1)
-                response_task = asyncio.create_task(w.ask(kind="pay", body=b"x"))
-                await until(lambda: w.sidecar.endpoint_pool._dial_tasks)
+                w.discovery.publish(42, places, snapshot=True)
+                await wait_until(lambda: w.sidecar.endpoint_pool.endpoints["s-0"].address == address)
+                w.discovery.publish(43, [w.servers[1].entry(status="leaving")])
+                await wait_until(lambda: len(w.sidecar.engine.balancer.ready_servers) == 1)
+                response_task = asyncio.create_task(w.send_request(kind="pay", body=b"x"))
+                await wait_until(lambda: w.sidecar.endpoint_pool._dial_tasks)
                 events = w.record_events()
                 where = {"since_ms": 7} if change == "restarts" else {}
                 place = f"127.0.0.1:{address[1]}" if change == "restarts" else None
                 new_discovery = w.servers[0].entry(**({"address": place} if place else {}), **where)
-                w.discovery.say(44, [new_discovery, w.servers[1].entry()])
+                w.discovery.publish(44, [new_discovery, w.servers[1].entry()])
                 assert (await response_task)[0] == 200
                 assert not w.servers[0].requests
                 ended = [each for each in events if isinstance(each, AttemptEnded)]
@@ -65,21 +65,21 @@
     on_virtual_clock: RunScenario,
 ) -> None:
     async def scenario() -> None:
-        async with world(served, served, served, drained=True) as w:
+        async with running_sidecar(served, served, served, drained=True) as w:
             with unresponsive_listener() as address:
                 for _ in range(20):
-                    assert (await w.ask())[0] == 200  # connections to all of them are open
+                    assert (await w.send_request())[0] == 200  # connections to all of them are open
                 before = len(w.sent())
                 for server in w.servers:
                     w.sidecar.endpoint_pool.close_idle(server.name)
                     w.sidecar.endpoint_pool.endpoints[server.name].address = address
-                response_task = asyncio.create_task(w.ask())
-                await until(lambda: w.sidecar.endpoint_pool._dial_tasks)
+                response_task = asyncio.create_task(w.send_request())
+                await wait_until(lambda: w.sidecar.endpoint_pool._dial_tasks)
                 for endpoint, server in zip(
                     w.sidecar.endpoint_pool.endpoints.values(), w.servers, strict=True
                 ):
                     endpoint.address = server.address
-                w.discovery.say(42, [each.entry(status="leaving") for each in w.servers])
+                w.discovery.publish(42, [each.entry(status="leaving") for each in w.servers])
                 assert (await response_task)[0] == 503
                 assert len(w.sent()) == before
                 assert w.sidecar.proxy.in_flight == {}
@@ -91,7 +91,7 @@
     on_virtual_clock: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        async with world(served, served, drained=True) as w:
+        async with running_sidecar(served, served, drained=True) as w:
             events = w.record_events()
             real = w.sidecar.endpoint_pool.send
 
@@ -103,7 +103,7 @@
 
             monkeypatch.setattr(w.sidecar.endpoint_pool, "send", late)
             for _ in range(8):
-                assert (await w.ask(kind="pay", body=b"x"))[0] == 200
+                assert (await w.send_request(kind="pay", body=b"x"))[0] == 200
             ended = [each.outcome for each in events if isinstance(each, AttemptEnded)]
             assert set(ended) == {Outcome.UNSENT, Outcome.DELIVERED}
             w.sidecar.proxy.check_health(HealthCheck("s-0"))
@@ -118,22 +118,22 @@
     on_virtual_clock: RunScenario, outcome: str
 ) -> None:
     async def scenario() -> None:
-        async with world(hung, drained=True) as w:
+        async with running_sidecar(hung, drained=True) as w:
             (server,) = w.servers
-            response_task = asyncio.create_task(w.ask(kind="pay", body=b"x", budget="1.5"))
-            await until(w.sent)
-            w.discovery.say(42, [server.entry(status="left")])
-            await until(lambda: not w.sidecar.engine.balancer.ready_servers)
-            w.discovery.say(43, [server.entry()])
-            await until(lambda: w.sidecar.engine.balancer.ready_servers)
+            response_task = asyncio.create_task(w.send_request(kind="pay", body=b"x", budget="1.5"))
+            await wait_until(w.sent)
+            w.discovery.publish(42, [server.entry(status="left")])
+            await wait_until(lambda: not w.sidecar.engine.balancer.ready_servers)
+            w.discovery.publish(43, [server.entry()])
+            await wait_until(lambda: w.sidecar.engine.balancer.ready_servers)
             if outcome == "answer":
-                server.writers[0].write(answer(200, b"served"))
+                server.writers[0].write(http_response(200, b"served"))
             elif outcome == "break":
                 reset_connection(server.writers[0])
             assert (await response_task)[0] == (200 if outcome == "answer" else 500)
             assert len(w.sent()) == 1  # it may have run: it is not sent again
             server.script = served
-            assert (await w.ask())[0] == 200
+            assert (await w.send_request())[0] == 200
             assert len(server.writers) == 2  # what was open to the one that went is not used again
 
     on_virtual_clock(scenario())
@@ -144,21 +144,21 @@
     on_virtual_clock: RunScenario, change: str
 ) -> None:
     async def scenario() -> None:
-        async with world(hung, drained=True) as w:
+        async with running_sidecar(hung, drained=True) as w:
             (server,) = w.servers
-            response_task = asyncio.create_task(w.ask(kind="pay", body=b"x"))
-            await until(w.sent)
+            response_task = asyncio.create_task(w.send_request(kind="pay", body=b"x"))
+            await wait_until(w.sent)
             if change == "excluded":
                 w.sidecar.engine.handle(ServerOverrideRequested("s-0", True))
             elif change == "missing":
-                w.discovery.say(42, [], snapshot=True)
+                w.discovery.publish(42, [], snapshot=True)
             else:
-                w.discovery.say(42, [server.entry(status=change)])
-            await until(lambda: not w.sidecar.engine.balancer.ready_servers)
-            server.writers[0].write(answer(200, b"served"))
+                w.discovery.publish(42, [server.entry(status=change)])
+            await wait_until(lambda: not w.sidecar.engine.balancer.ready_servers)
+            server.writers[0].write(http_response(200, b"served"))
             assert (await response_task)[2] == b"served"
-            await until(lambda: w.sidecar.endpoint_pool.open_count == 0)  # it is not kept for another
-            assert (await w.ask())[0] == 503
+            await wait_until(lambda: w.sidecar.endpoint_pool.open_count == 0)  # it is not kept for another
+            assert (await w.send_request())[0] == 503
 
     on_virtual_clock(scenario())
 
@@ -180,7 +180,7 @@
             await asyncio.sleep(0)
         assert pool.open_count == 1
         pool.cancel(exchange)
-        await until(lambda: pool.open_count == 0)
+        await wait_until(lambda: pool.open_count == 0)
         assert outcomes == [Outcome.CANCELLED]
         assert not pool._dial_tasks
         assert not pool._open
@@ -202,7 +202,7 @@
         outcomes: list[Outcome] = []
         deadline = asyncio.get_running_loop().time() + 30
         pool.send("s", upstream_request, deadline, lambda outcome, _: outcomes.append(outcome))
-        await until(lambda: outcomes and pool.open_count <= 0)
+        await wait_until(lambda: outcomes and pool.open_count <= 0)
         assert outcomes == [Outcome.CONNECT_FAILED]
         assert pool.open_count == 0
         await pool.close()
@@ -218,10 +218,10 @@
         async def connect(*_: object) -> ServerConnection:
             raise UnicodeError("label too long")  # as looking up a name of 70 letters does, in a thread
 
-        async with world(served, drained=True) as w:
+        async with running_sidecar(served, drained=True) as w:
             monkeypatch.setattr(endpoint_pool, "connect", connect)
             started_at = asyncio.get_running_loop().time()
-            assert (await w.ask())[0] == 503
+            assert (await w.send_request())[0] == 503
             assert asyncio.get_running_loop().time() - started_at < 0.1
             assert w.sidecar.endpoint_pool.open_count == 0
 
@@ -248,17 +248,17 @@
 
         send("closing")
         send("closing")
-        await until(lambda: outcomes == [Outcome.DELIVERED] * 2)
+        await wait_until(lambda: outcomes == [Outcome.DELIVERED] * 2)
         assert pool.open_count == 2
         for writer in closing.writers:
             writer.close()
-        await until(lambda: pool.open_count == 0)
+        await wait_until(lambda: pool.open_count == 0)
         assert not pool.endpoints["closing"].idle  # nor is a timer left for what is over
         for _ in range(3):
             send("other")
         assert pool.open_count == 2
         assert outcomes[2:] == [Outcome.CONNECT_FAILED]
-        await until(lambda: len(other.requests) == 2)
+        await wait_until(lambda: len(other.requests) == 2)
         await pool.close()
         assert pool.open_count == 0
         assert len(outcomes) == 5
--- a/tests/upstream/test_endpoint_pool.py
+++ b/tests/upstream/test_endpoint_pool.py
@@ -9,13 +9,13 @@
 
 from helpers import S
 from loopback import (
-    PATIENCE_S,
+    WAIT_TIMEOUT_S,
     FakeServer,
-    answer,
-    play,
+    http_response,
+    run_scenario,
+    running_sidecar,
     unresponsive_listener,
-    until,
-    world,
+    wait_until,
 )
 from sidecar_balancer.policy.types import Outcome, ServerState
 from sidecar_balancer.upstream import endpoint_pool
@@ -26,7 +26,7 @@
 
 
 def served(*_: object) -> bytes:
-    return answer(200, b"served")
+    return http_response(200, b"served")
 
 
 def hung(*_: object) -> None:
@@ -35,9 +35,9 @@
 
 def test_connections_are_reused_after_their_reuse_delay(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        async with world(served) as w:
+        async with running_sidecar(served) as w:
             for _ in range(5):
-                assert (await w.ask())[0] == 200
+                assert (await w.send_request())[0] == 200
                 await asyncio.sleep(endpoint_pool._REUSE_DELAY_S)
             assert len(w.servers[0].writers) == 1
 
@@ -47,14 +47,14 @@
 def test_idle_connection_is_closed_before_its_server_would_close_it() -> None:
     async def scenario() -> None:
         limits = {"max_attempts": 3, "may_cancel": True, "idle_close_us": 1 * S}
-        async with world(served, limits=limits) as w:
-            assert (await w.ask())[0] == 200
+        async with running_sidecar(served, limits=limits) as w:
+            assert (await w.send_request())[0] == 200
             loop = asyncio.get_running_loop()
             (timer,) = w.sidecar.endpoint_pool.endpoints["s-0"].idle.values()
             assert timer.when() - loop.time() < 0.95
-            await until(lambda: w.servers[0].closed == 1)
+            await wait_until(lambda: w.servers[0].closed == 1)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 async def send_and_wait(upstream: EndpointPool, seconds: float = 5.0, body: bytes = b"") -> Outcome:
@@ -65,7 +65,7 @@
         ended.set_result(outcome)  # a second outcome would raise here
 
     upstream.send("s", upstream_request(body), loop.time() + seconds, end)
-    return await asyncio.wait_for(ended, PATIENCE_S)
+    return await asyncio.wait_for(ended, WAIT_TIMEOUT_S)
 
 
 def upstream_request(body: bytes = b"") -> UpstreamRequest:
@@ -86,9 +86,9 @@
             upstream = EndpointPool(dial_limit, 60.0, 10)
             upstream.update("s", address, None, ServerState.READY)
             assert await send_and_wait(upstream, seconds) is Outcome.CONNECT_FAILED
-            await until(lambda: upstream.open_count == 0)
+            await wait_until(lambda: upstream.open_count == 0)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.REMOVED])
@@ -99,12 +99,12 @@
             upstream = EndpointPool(30.0, 60.0, 10)
             upstream.update("s", address, None, ServerState.READY)
             sending = asyncio.create_task(send_and_wait(upstream))
-            await until(lambda: upstream.open_count == 1)
+            await wait_until(lambda: upstream.open_count == 1)
             upstream.update("s", address, None, state)
             assert await sending is Outcome.CONNECT_FAILED
-            await until(lambda: upstream.open_count == 0)
+            await wait_until(lambda: upstream.open_count == 0)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_attempt_past_its_deadline_is_never_sent() -> None:
@@ -113,7 +113,7 @@
         upstream.update("s", ("127.0.0.1", 1), None, ServerState.READY)
         assert await send_and_wait(upstream, -1.0) is Outcome.UNSENT
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_cancelled_attempt_has_one_outcome_and_its_connection_is_closed() -> None:
@@ -127,15 +127,15 @@
         exchange: Exchange = upstream.send(
             "s", upstream_request(), loop.time() + 30, lambda o, _: outcomes.append(o)
         )
-        await until(lambda: server.requests)
+        await wait_until(lambda: server.requests)
         upstream.cancel(exchange)
         upstream.cancel(exchange)
-        await until(lambda: server.closed == 1)
+        await wait_until(lambda: server.closed == 1)
         assert outcomes == [Outcome.CANCELLED]
         assert upstream.open_count == 0
         server.stop()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_connections_to_the_earlier_process_or_address_of_a_server_are_closed() -> None:
@@ -146,7 +146,7 @@
         upstream.update("s", server.address, None, ServerState.READY)
         assert await send_and_wait(upstream) is Outcome.DELIVERED
         upstream.update("s", server.address, 5, ServerState.READY)
-        await until(lambda: server.closed == 1)
+        await wait_until(lambda: server.closed == 1)
         assert await send_and_wait(upstream) is Outcome.DELIVERED
         assert len(server.writers) == 2
         other = FakeServer("s", served)
@@ -157,7 +157,7 @@
         server.stop()
         other.stop()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_number_of_connections_stays_within_its_bound() -> None:
@@ -171,11 +171,11 @@
         loop = asyncio.get_running_loop()
         ended: list[Outcome] = []
         upstream.send("a", upstream_request(), loop.time() + 30, lambda o, _: ended.append(o))
-        await until(lambda: ended)
+        await wait_until(lambda: ended)
         upstream.send("s", upstream_request(), loop.time() + 30, lambda o, _: ended.append(o))
-        await until(lambda: servers[1].requests)
+        await wait_until(lambda: servers[1].requests)
         assert await send_and_wait(upstream) is Outcome.CONNECT_FAILED
         for each in servers:
             each.stop()
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/upstream/test_load_report.py
+++ b/tests/upstream/test_load_report.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from loopback import (
-    answer,
-    play,
-    world,
+    http_response,
+    run_scenario,
+    running_sidecar,
 )
 from sidecar_balancer.upstream.load_report import parse_load_report
 
@@ -20,7 +20,9 @@
 
     async def scenario() -> None:
         report = {"source": "answers", "columns": ["util"]}
-        async with world(lambda *_: answer(200, b"x", X_Load_Report="TEXT util=;;="), report=report) as w:
-            assert (await w.ask())[0] == 200
+        async with running_sidecar(
+            lambda *_: http_response(200, b"x", X_Load_Report="TEXT util=;;="), report=report
+        ) as w:
+            assert (await w.send_request())[0] == 200
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/upstream/test_response_streaming.py
+++ b/tests/upstream/test_response_streaming.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from loopback import PATIENCE_S, play, request, reset_connection, until
+from loopback import WAIT_TIMEOUT_S, request, reset_connection, run_scenario, wait_until
 from raw_server import HUGE, LONG, Reader, Writer, chunked, dial, read_chunked, read_head, streaming
 from sidecar_balancer.policy.events import AttemptEnded, ResponseStarted
 from sidecar_balancer.policy.types import Outcome
@@ -40,9 +40,9 @@
             assert live.failsafe_timer is not None
             assert live.failsafe_timer.cancelled()
             more.set()
-            got += await asyncio.wait_for(reader.readexactly(len(LONG) - 300_000), PATIENCE_S)
+            got += await asyncio.wait_for(reader.readexactly(len(LONG) - 300_000), WAIT_TIMEOUT_S)
             assert got == LONG
-            await until(lambda: any(isinstance(each, AttemptEnded) for each in events))
+            await wait_until(lambda: any(isinstance(each, AttemptEnded) for each in events))
             assert [each.outcome for each in events if isinstance(each, AttemptEnded)] == [Outcome.DELIVERED]
             assert sum(isinstance(each, ResponseStarted) for each in events) == 1
             writer.write(request())  # the connection goes on
@@ -50,7 +50,7 @@
             await read_head(reader)
             writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 FORMS = {
@@ -77,7 +77,7 @@
             reader, writer = await dial(w)
             writer.write(request().replace(b"HTTP/1.1", b"HTTP/" + version))
             head = await read_head(reader)
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 if "chunked" in head:
                     assert version == b"1.1"
                     assert await read_chunked(reader) == LONG
@@ -88,7 +88,7 @@
                     assert await reader.read() == LONG
             writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_short_response_delimited_by_an_announced_close_is_served() -> None:
@@ -98,9 +98,9 @@
 
     async def scenario() -> None:
         async with streaming(script) as (w, _):
-            assert (await w.ask())[2] == b"all of it"
+            assert (await w.send_request())[2] == b"all of it"
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_client_that_does_not_read_pauses_its_server_within_bounded_memory() -> None:
@@ -123,21 +123,21 @@
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address, limit=1_000)
             writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65_536)
             writer.write(request())
-            await until(lambda: w.sidecar.endpoint_pool._body_memory.active_streams == 1)
+            await wait_until(lambda: w.sidecar.endpoint_pool._body_memory.active_streams == 1)
             server_side = next(iter(w.sidecar.frontend.connections))
-            await until(lambda: server_side._write_blocked)
+            await wait_until(lambda: server_side._write_blocked)
             assert server_side._transport is not None
             assert server_side._transport.get_write_buffer_size() <= 2 * 64 * 1024
             assert sent < HUGE  # the rest stays where it is
             got = 0
             await read_head(reader)
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 while got < HUGE:
                     got += len(await reader.read(1_000_000))
-            await until(lambda: w.sidecar.endpoint_pool._body_memory.active_streams == 0)
+            await wait_until(lambda: w.sidecar.endpoint_pool._body_memory.active_streams == 0)
             writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("form", ["length", "chunks"])
@@ -164,14 +164,14 @@
             broken.set()
             rest = b""
             with contextlib.suppress(ConnectionError):
-                async with asyncio.timeout(PATIENCE_S):
+                async with asyncio.timeout(WAIT_TIMEOUT_S):
                     rest = await reader.read()
             assert len(rest) < 490_000
             assert not rest.endswith(b"0\r\n\r\n")
             assert server.connections == 1
             writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_broken_response_to_an_http_1_0_client_ends_in_a_reset() -> None:
@@ -190,11 +190,11 @@
             await read_head(reader)
             broken.set()
             with pytest.raises(ConnectionResetError):
-                async with asyncio.timeout(PATIENCE_S):
+                async with asyncio.timeout(WAIT_TIMEOUT_S):
                     await reader.read()
             writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_attempt_ends_when_the_client_of_a_streamed_response_disconnects() -> None:
@@ -213,12 +213,12 @@
             writer.write(request())
             await read_head(reader)
             writer.close()
-            await asyncio.wait_for(ended.wait(), PATIENCE_S)
-            await until(lambda: not w.sidecar.proxy.in_flight and not w.sidecar.proxy.by_client_request)
+            await asyncio.wait_for(ended.wait(), WAIT_TIMEOUT_S)
+            await wait_until(lambda: not w.sidecar.proxy.in_flight and not w.sidecar.proxy.by_client_request)
             assert w.sidecar.engine.balancer.pending_attempts == 0
             assert w.sidecar.endpoint_pool._body_memory.active_streams == 0
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_beginning_of_a_slow_response_of_unknown_length_is_streamed(
@@ -243,7 +243,7 @@
             assert await read_chunked(reader) == b"begunended"
             writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_server_that_stalls_within_a_streamed_response_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -259,7 +259,7 @@
             reader, writer = await dial(w)
             writer.write(request())
             await read_head(reader)
-            assert await asyncio.wait_for(reader.read(), PATIENCE_S) == b"begun"
+            assert await asyncio.wait_for(reader.read(), WAIT_TIMEOUT_S) == b"begun"
             writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/upstream/test_response_timing.py
+++ b/tests/upstream/test_response_timing.py
@@ -11,12 +11,12 @@
 
 from helpers import IDEMPOTENT, NON_IDEMPOTENT, S
 from loopback import (
-    answer,
-    read_answer,
+    http_response,
+    read_response,
     request,
+    running_sidecar,
     unresponsive_listener,
-    until,
-    world,
+    wait_until,
 )
 from sidecar_balancer.policy.events import (
     AttemptEnded,
@@ -35,23 +35,23 @@
     body = b"" if kind == "look" else b"x"
 
     async def scenario() -> None:
-        async with world(lambda *_: answer(200, b"first"), drained=True) as w:
+        async with running_sidecar(lambda *_: http_response(200, b"first"), drained=True) as w:
             server = w.servers[0]
             for _ in range(4):
-                assert (await w.ask(kind=kind, body=body))[2] == b"first"
+                assert (await w.send_request(kind=kind, body=body))[2] == b"first"
                 there, seen = server.writers[-1], len(server.requests)
                 server.script = hung
-                response_task = asyncio.create_task(w.ask(kind=kind, body=body))
-                await until(lambda seen=seen: len(server.requests) > seen)  # type: ignore[misc]
+                response_task = asyncio.create_task(w.send_request(kind=kind, body=body))
+                await wait_until(lambda seen=seen: len(server.requests) > seen)  # type: ignore[misc]
                 await asyncio.sleep(late_s)
                 if not there.is_closing():
-                    there.write(answer(200, b"a second answer"))
+                    there.write(http_response(200, b"a second answer"))
                 await asyncio.sleep(0.05)
                 for each in server.writers:
                     if not each.is_closing():
-                        each.write(answer(200, b"its own"))
+                        each.write(http_response(200, b"its own"))
                 assert (await response_task)[2] == b"its own"
-                server.script = lambda *_: answer(200, b"first")
+                server.script = lambda *_: http_response(200, b"first")
                 await asyncio.sleep(0.1)
             assert len(w.sent()) == 8
 
@@ -68,15 +68,15 @@
     async def scenario() -> None:
         limits = {"max_attempts": 3, "may_cancel": False}
         classes = [IDEMPOTENT | {"deadline_us": 2 * S}, NON_IDEMPOTENT | {"deadline_us": 4 * S}]
-        async with world(hung, drained=True, limits=limits, classes=classes) as w:
+        async with running_sidecar(hung, drained=True, limits=limits, classes=classes) as w:
             client = RawClient(w)
             client.send(request(budget="1.0"))
-            await until(w.sent)
+            await wait_until(w.sent)
             (there,), (live,) = w.servers[0].writers, w.sidecar.proxy.in_flight.values()
             there.write(head + piece * 20)
-            await until(lambda: live.streamed_attempt is not None)
+            await wait_until(lambda: live.streamed_attempt is not None)
             client.leave("reset")
-            await until(lambda: not w.sidecar.frontend.connections)
+            await wait_until(lambda: not w.sidecar.frontend.connections)
             started_at = asyncio.get_running_loop().time()
             for _ in range(15):  # well past the time that its client gave it
                 await asyncio.sleep(0.2)
@@ -100,18 +100,18 @@
     body = bytes(range(250)) * 240
 
     async def scenario() -> None:
-        async with world(hung, drained=True) as w:
+        async with running_sidecar(hung, drained=True) as w:
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)  # most of it stays with our kernel
             sock.connect(w.sidecar.frontend.address)
             sock.send(request(Connection="close"))
-            await until(w.sent)
+            await wait_until(w.sent)
             (connection,) = w.sidecar.frontend.connections
             assert connection._transport is not None
             connection._transport.pause_reading()  # what it sends now is unread when its answer is written
             sock.send(request())
-            w.servers[0].writers[0].write(answer(200, body))
-            await until(nothing_in_flight(w))
+            w.servers[0].writers[0].write(http_response(200, body))
+            await wait_until(nothing_in_flight(w))
             sock.setblocking(False)
             got = b""
             while not got.endswith(body):
@@ -119,7 +119,7 @@
                     got += (data := sock.recv(4_096))
                     assert data, "cut off"
                 await asyncio.sleep(0.01)
-            await until(lambda: not w.sidecar.frontend.connections)
+            await wait_until(lambda: not w.sidecar.frontend.connections)
             assert len(w.sent()) == 1
             sock.close()
 
@@ -132,19 +132,19 @@
     body = bytes(range(250)) * 400
 
     async def scenario() -> None:
-        async with world(hung, drained=True) as w:
+        async with running_sidecar(hung, drained=True) as w:
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
             sock.connect(w.sidecar.frontend.address)
             sock.setblocking(False)
             sock.send(request())
-            await until(w.sent)
+            await wait_until(w.sent)
             (connection,) = w.sidecar.frontend.connections
             connection._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
             pieces = b"".join(b"2\r\n%b\r\n" % body[at : at + 2] for at in range(0, len(body), 2))
             head = b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n"
             w.servers[0].writers[0].write(head + pieces + b"0\r\n\r\n")
-            await until(lambda: connection._write_blocked)
+            await wait_until(lambda: connection._write_blocked)
             got, started_at = b"", asyncio.get_running_loop().time()
             while not got.endswith(b"\r\n0\r\n\r\n"):
                 with contextlib.suppress(BlockingIOError):
@@ -171,7 +171,7 @@
     async def scenario() -> None:
         limits: dict[str, Any] = {"max_attempts": 3, "may_hedge": True, "may_cancel": may_cancel}
         limits["dial_timeout_us"] = 600_000_000
-        async with world(hung, hung, drained=True, limits=limits) as w:
+        async with running_sidecar(hung, hung, drained=True, limits=limits) as w:
             with unresponsive_listener() as address:
                 if first == "dialling":  # whichever is drawn first, its connection does not come up
                     places = {name: each.address for name, each in w.sidecar.endpoint_pool.endpoints.items()}
@@ -179,34 +179,34 @@
                         each.address = address
                 client = RawClient(w)
                 client.send(request(budget="5.0"))
-                await until(lambda: w.sidecar.proxy.in_flight)
+                await wait_until(lambda: w.sidecar.proxy.in_flight)
                 (live,), balancer = w.sidecar.proxy.in_flight.values(), w.sidecar.engine.balancer
                 (balancer_request,) = balancer.open_requests.values()
                 if first == "dialling":
                     for name, each in w.sidecar.endpoint_pool.endpoints.items():
                         each.address = places[name]
                 else:
-                    await until(w.sent)
+                    await wait_until(w.sent)
                 seen, earlier = len(w.sent()), len(balancer.actions)
                 balancer.components.placement.place(
                     w.sidecar.engine.clock.now(), balancer_request
                 )  # a hedged request
                 w.sidecar.engine.execute(balancer.actions[earlier:])
-                await until(lambda: len(w.sent()) > seen)
+                await wait_until(lambda: len(w.sent()) > seen)
                 name = balancer_request.attempts[1].server.name
                 (there,) = [each for each in w.servers if each.name == name]
-                there.writers[-1].write(answer(200, body)[: -len(body) // 2])
-                await until(lambda: live.streamed_attempt == 1)
+                there.writers[-1].write(http_response(200, body)[: -len(body) // 2])
+                await wait_until(lambda: live.streamed_attempt == 1)
                 await asyncio.sleep(0.1)
                 assert live.attempts.keys() == ({1} if may_cancel or first == "dialling" else {0, 1})
                 assert there.closed == 0
                 there.writers[-1].write(body[-len(body) // 2 :])
                 reader, writer = await asyncio.open_connection(sock=client.sock)
-                assert (await read_answer(reader))[2] == body
+                assert (await read_response(reader))[2] == body
                 for late in (*w.servers[0].writers, *w.servers[1].writers):
                     if late is not there.writers[-1]:
-                        late.write(answer(200, b"too late"))
-                await until(nothing_in_flight(w))
+                        late.write(http_response(200, b"too late"))
+                await wait_until(nothing_in_flight(w))
                 writer.close()
 
     on_virtual_clock(scenario())
@@ -222,9 +222,9 @@
             server.resume_reading.set()
             reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
             writer.write(request("pay", body=bytes(200_000))[:-1])
-            await until(lambda: server.received)
-            server.writers[0].write(answer(200, bytes(size)))
-            status, _, _ = await read_answer(reader)
+            await wait_until(lambda: server.received)
+            server.writers[0].write(http_response(200, bytes(size)))
+            status, _, _ = await read_response(reader)
             assert status == 503  # it never ran, and its body is gone
             ended = [each.outcome for each in events if isinstance(each, AttemptEnded)]
             assert ended == [Outcome.CONNECT_FAILED]
@@ -237,12 +237,12 @@
     on_virtual_clock: RunScenario,
 ) -> None:
     async def scenario() -> None:
-        async with world(served, drained=True) as w:
+        async with running_sidecar(served, drained=True) as w:
             for _ in range(3):
-                assert (await w.ask(kind="pay", body=b"x"))[0] == 200
+                assert (await w.send_request(kind="pay", body=b"x"))[0] == 200
                 w.servers[0].writers[-1].close()
                 stall(0.05)  # the end waits unread, and the connection has rested
-                assert (await w.ask(kind="pay", body=b"x"))[0] == 200
+                assert (await w.send_request(kind="pay", body=b"x"))[0] == 200
             assert len(w.sent()) == 6
 
     on_virtual_clock(scenario())
