--- a/tests/upstream/test_server_connection.py
+++ b/tests/upstream/test_server_connection.py
@@ -9,12 +9,12 @@
 import pytest
 
 from loopback import (
-    PATIENCE_S,
-    answer,
-    play,
+    WAIT_TIMEOUT_S,
+    http_response,
     reset_connection,
-    until,
-    world,
+    run_scenario,
+    running_sidecar,
+    wait_until,
 )
 from sidecar_balancer.policy.types import Outcome
 from sidecar_balancer.upstream.dialing import connect
@@ -22,15 +22,15 @@
 
 
 def served(*_: object) -> bytes:
-    return answer(200, b"served")
+    return http_response(200, b"served")
 
 
 # Guards against a request that is written to a connection which its server has already ended.
 @pytest.mark.parametrize("how", ["end", "stray"])
 def test_connection_with_an_unread_end_or_stray_bytes_is_not_reused(how: str) -> None:
     async def scenario() -> None:
-        async with world(served) as w:
-            assert (await w.ask(kind="pay", body=b"x"))[0] == 200
+        async with running_sidecar(served) as w:
+            assert (await w.send_request(kind="pay", body=b"x"))[0] == 200
             (connection,) = w.sidecar.endpoint_pool.endpoints["s-0"].idle
             writer = w.servers[0].writers[0]
             if how == "end":
@@ -43,10 +43,10 @@
             assert connection.sock.recv(1, socket.MSG_PEEK) is not None
             connection.sock.setblocking(False)
             assert not connection.is_idle()
-            assert (await w.ask(kind="pay", body=b"x"))[0] == 200
+            assert (await w.send_request(kind="pay", body=b"x"))[0] == 200
             assert len(w.servers[0].writers) == 2
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def head(body: bytes = b"") -> h11.Request:
@@ -64,11 +64,11 @@
         connection.request(head(body), body, ended.set_result)
         assert not connection.written
         other.close()  # with bytes unread: a reset
-        assert await asyncio.wait_for(ended, PATIENCE_S) is None
+        assert await asyncio.wait_for(ended, WAIT_TIMEOUT_S) is None
         assert classify_outcome(None, connection.written, connection.response_began) is Outcome.CONNECT_FAILED
         listener.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_request_counts_as_written_once_all_of_it_is_with_the_kernel() -> None:
@@ -83,12 +83,12 @@
         connection.request(head(body), body, ended.set_result)
         await reader.readuntil(b"\r\n\r\n")
         await reader.readexactly(len(body))
-        await until(lambda: connection.written)
+        await wait_until(lambda: connection.written)
         reset_connection(writer)
-        assert await asyncio.wait_for(ended, PATIENCE_S) is None
+        assert await asyncio.wait_for(ended, WAIT_TIMEOUT_S) is None
         assert (
             classify_outcome(None, connection.written, connection.response_began) is Outcome.CONNECTION_LOST
         )
         listener.close()
 
-    play(scenario())
+    run_scenario(scenario())
