--- a/sidecar_balancer/discovery/client.py
+++ b/sidecar_balancer/discovery/client.py
@@ -34,7 +34,7 @@
 
     address: str
     index: int | None  # version of the current list
-    age_s: float | None  # upper bound of the list's age; None: no source has answered yet
+    age_s: float | None  # upper bound of the list's age; None: no source has responded yet
     sources: int
 
 
--- a/sidecar_balancer/discovery/errors.py
+++ b/sidecar_balancer/discovery/errors.py
@@ -24,7 +24,7 @@
 
 
 class SourceStatusError(DiscoveryError, ConnectionRefusedError):
-    """A source answered with a status other than 200."""
+    """A source responded with a status other than 200."""
 
     def __init__(self, status: int) -> None:
         super().__init__(f"status {status}")
--- a/tests/discovery/test_watch_recovery.py
+++ b/tests/discovery/test_watch_recovery.py
@@ -221,9 +221,8 @@
             w.discovery.publish(42, [draining.entry()])  # a late response with an older version of the list
             await wait_until(lambda: w.discovery.targets[-1] == "/registry/instances")
             assert len(w.sidecar.engine.balancer.ready_servers) == 1
-            w.discovery.publish(
-                3, [remaining.entry()], snapshot=True
-            )  # versions restarted: the full list counts
+            # The versions have restarted: the full list is valid.
+            w.discovery.publish(3, [remaining.entry()], snapshot=True)
             await wait_until(lambda: w.discovery.targets[-1].startswith("/registry/instances?after=3&"))
             assert [server.name for server in w.sidecar.engine.balancer.ready_servers] == [remaining.name]
 
