--- a/sidecar_balancer/policy/action_queue.py
+++ b/sidecar_balancer/policy/action_queue.py
@@ -1,4 +1,4 @@
-"""The actions that the current event produces."""
+"""Queue of the actions produced by the current event."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
     def __init__(self) -> None:
         self.actions: list[Action] = []
 
-    def restart(self) -> list[Action]:
-        """Start a new list for the next event and return it; the previous one is not touched any more."""
+    def begin_event(self) -> list[Action]:
+        """Start a new list for the next event and return it; the previous list no longer changes."""
         self.actions = []
         return self.actions
 
     def append(self, action: Action) -> None:
-        """Add an action after those of the current event so far."""
+        """Append an action to those of the current event."""
         self.actions.append(action)
--- a/sidecar_balancer/policy/balancer.py
+++ b/sidecar_balancer/policy/balancer.py
@@ -1,7 +1,7 @@
-"""The decisions of one sidecar balancer: a sans-IO state machine of events and actions.
+"""Decision logic of one sidecar balancer: a sans-IO state machine that turns events into actions.
 
-`Balancer` wires the components together and dispatches events to them.  Why their guards are there:
-docs/decisions.md.
+`Balancer` wires the components together and dispatches events to them.  docs/decisions.md gives the reasons
+for their safeguards.
 """
 
 from __future__ import annotations
@@ -40,9 +40,9 @@
 
 
 class Balancer:
-    """The decisions of one instance.  Feed it events in order; carry out the actions it returns in order.
+    """State machine of one balancer: takes events in order and returns the actions to carry out in order.
 
-    Other packages read its properties; `components` is there for tests.
+    Other packages read its properties; `components` is exposed for tests.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -61,9 +61,9 @@
         self._handlers = self._event_handlers()
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Take one event at clock time `now` in microseconds; return what to do, in order."""
+        """Process one event at clock time `now` in microseconds; return the resulting actions in order."""
         self._now = now
-        actions = self._action_queue.restart()
+        actions = self._action_queue.begin_event()
         self._load.update_mean(now, self._window.size)
         self._stalls.observe(now)
         if not self._is_started:
@@ -76,31 +76,31 @@
         self._timers.arm(now, self._is_obsolete)
         return actions
 
-    # -- What views, the state persister and the engine read ------------------------------------------
+    # -- State for views, the state persister and the engine ------------------------------------------
 
     @property
     def actions(self) -> list[Action]:
-        """The actions of the latest event, those included that it produced before it failed."""
+        """The actions of the latest event, including those produced before its processing failed."""
         return self._action_queue.actions
 
     @property
     def is_started(self) -> bool:
-        """Whether it has received an event."""
+        """Whether the balancer has received an event."""
         return self._is_started
 
     @property
     def zones(self) -> Zones:
-        """The zones, for views alone."""
+        """The zones, for views only."""
         return self._zones
 
     @property
     def servers(self) -> Mapping[str, Server]:
-        """The servers by name, removed ones included until their last attempt has ended."""
+        """The servers by name; removed ones stay until their last attempt has ended."""
         return self.components.endpoints.servers
 
     @property
     def ready_servers(self) -> Sequence[Server]:
-        """The servers that attempts may be sent to, by this balancer's own order."""
+        """The servers that attempts may be sent to, in this balancer's own order."""
         return self._zones.ready_servers
 
     @property
@@ -110,12 +110,12 @@
 
     @property
     def disabled_servers(self) -> frozenset[str]:
-        """Names of the servers that the operators have disabled, listed or not."""
+        """Names of the servers that operators have disabled, listed or not."""
         return self.components.disabled.names
 
     @property
     def open_requests(self) -> Mapping[int, Request]:
-        """Requests without a final answer or with a pending attempt, by their number."""
+        """Requests without a final answer or with a pending attempt, by request number."""
         return self._open_requests
 
     @property
@@ -125,22 +125,22 @@
 
     @property
     def load(self) -> int:
-        """Own requests in flight and abandoned attempts that may still run, ejected servers left out."""
+        """Own requests in flight and abandoned attempts that may still run, excluding ejected servers."""
         return self._load.current(self._now)
 
     @property
     def window(self) -> float:
-        """How many own requests in flight the servers answer in time; infinite until it is first sized."""
+        """Own requests in flight that the servers can answer in time; infinite until first sized."""
         return self._window.size
 
     @property
     def typical_latency_ratio(self) -> float:
         """Running median of latency over latency objective."""
-        return self._window.typical_ratio
+        return self._window.median_ratio
 
     @property
     def late_ratio(self) -> float:
-        """Part of the recent responses that missed their latency objective."""
+        """Fraction of the recent responses that missed their latency objective."""
         return self._window.late_ratio
 
     @property
@@ -150,24 +150,24 @@
 
     @property
     def capacity_per_us(self) -> float:
-        """What a warm server serves for this balancer, in requests of mean cost, as last estimated."""
+        """Latest estimate of what a warm server serves for this balancer, in requests of mean cost."""
         return self._slow_start.capacity_per_us
 
     @property
     def demand_by_flow(self) -> Mapping[Flow, Rate]:
-        """Recent requests by class and tenant."""
+        """Recent request rates by class and tenant."""
         return self.components.priorities.demand_by_flow
 
     def demand_per_s_by_tenant(self, now: int) -> dict[str, float]:
-        """Recent requests a second by tenant, "" for none, at clock time `now` in microseconds."""
+        """Return recent requests per second by tenant ("" for none) at clock time `now` in microseconds."""
         return self.components.priorities.demand_per_s_by_tenant(now)
 
     def is_warming_up(self, server: Server) -> bool:
-        """Whether the server is in slow start."""
+        """Return whether the server is in slow start."""
         return self._slow_start.is_warming_up(self._now, server)
 
     def slow_start_weight(self, server: Server) -> float:
-        """The part of its full capacity that a server has at least, 1.0 after its slow start."""
+        """Return the least fraction of its full capacity that a server has; 1.0 after its slow start."""
         return self._slow_start.weight(self._now, server)
 
     # -- Events ---------------------------------------------------------------------------------------
@@ -222,7 +222,7 @@
         for entry in self._timers.pop_due(now):
             if entry.kind is TimerKind.DISCOVERY_POLL:
                 self._discovery.timer_fired(now)
-            elif entry.kind is not TimerKind.STALL_TICK:  # a tick has been observed already
+            elif entry.kind is not TimerKind.STALL_TICK:  # handle() has already processed the tick
                 self._request_timer_fired(now, entry)
 
     def _request_timer_fired(self, now: int, entry: TimerEntry) -> None:
@@ -237,7 +237,7 @@
             self.components.attempts.attempt_overdue(now, request, attempt)
 
     def _is_obsolete(self, entry: TimerEntry) -> bool:
-        """Whether nothing would be done when this entry falls due."""
+        """Return whether the entry would have no effect when it is due."""
         due_at, _, kind, request_id, attempt_index = entry
         if request_id is None:
             is_poll = kind is TimerKind.DISCOVERY_POLL
--- a/sidecar_balancer/policy/components.py
+++ b/sidecar_balancer/policy/components.py
@@ -1,4 +1,4 @@
-"""Wiring of a balancer: which component gets which collaborators."""
+"""Construction and wiring of a balancer's components."""
 
 from __future__ import annotations
 
@@ -35,16 +35,16 @@
 from sidecar_balancer.policy.window import ConcurrencyWindow
 from sidecar_balancer.policy.zone_evacuation import ZoneEvacuation
 
-RATE_WINDOWS = 2.0  # rates of requests and responses are averaged over this many overload windows
+RATE_WINDOWS = 2.0  # request and response rates are averaged over this many overload windows
 
 
 class Components:
-    """The components of one balancer, in the order in which they depend on each other."""
+    """The components of one balancer, built in the order of their dependencies."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self._settings = settings
-        self._random = random.Random(seed)
-        self._side_random = random.Random(seed + 1)  # its own stream: start times must not move the draws
+        self._rng = random.Random(seed)
+        self._secondary_rng = random.Random(seed + 1)  # own stream: start times must not shift other draws
         objectives_us = [service_class.latency_objective_us for service_class in settings.classes]
         self._longest_objective_us = max(objectives_us)
         rate_span_us = RATE_WINDOWS * settings.rules.overload_window_us
@@ -76,7 +76,7 @@
             zones=self.zones,
             load=self.load,
             verdicts=self.verdicts,
-            jitter=self._random,
+            jitter=self._rng,
             actions=self.actions,
         )
         self.slow_start = SlowStart(
@@ -85,14 +85,14 @@
             load=self.load,
             received=self._requests_received,
             served=self._served_by_warm,
-            start_jitter=self._side_random,
+            start_jitter=self._secondary_rng,
         )
 
     def _build_endpoint_table(self) -> None:
         self.discovery = DiscoverySchedule(
             self._settings,
-            jitter=self._random,
-            start_jitter=self._side_random,
+            jitter=self._rng,
+            start_jitter=self._secondary_rng,
             timers=self.timers,
             actions=self.actions,
         )
@@ -105,7 +105,7 @@
             slow_start=self.slow_start,
             verdicts=self.verdicts,
             disabled=self.disabled,
-            order=self._random,
+            order=self._rng,
             actions=self.actions,
         )
 
@@ -120,7 +120,7 @@
             priorities=self.priorities,
             received=self._requests_received,
             stalls=self.stalls,
-            chance=self._random,
+            rng=self._rng,
         )
         self.restorer = StateRestorer(
             self.zones,
@@ -143,8 +143,8 @@
             outliers=self.outliers,
             verdicts=self.verdicts,
             disabled=self.disabled,
-            draws=self._random,
-            side_draws=self._side_random,
+            rng=self._rng,
+            secondary_rng=self._secondary_rng,
         )
         self.gate = SendGate(
             limits,
@@ -184,7 +184,7 @@
             zones=self.zones,
             outliers=self.outliers,
             admission=self.admission,
-            choices=self._side_random,
+            choices=self._secondary_rng,
             actions=self.actions,
         )
         self.attempts = AttemptTracker(
@@ -201,7 +201,7 @@
         )
 
     def _outcome_recorder(self) -> OutcomeRecorder:
-        rejections = ClassRejections(self._longest_objective_us, self.verdicts, self._random)
+        rejections = ClassRejections(self._longest_objective_us, self.verdicts, self._rng)
         return OutcomeRecorder(
             self.admission,
             window=self.window,
--- a/sidecar_balancer/policy/load.py
+++ b/sidecar_balancer/policy/load.py
@@ -1,4 +1,4 @@
-"""How many of this balancer's own attempts are in flight, now and on average."""
+"""Load of this balancer: its own attempts in flight, now and on average."""
 
 from __future__ import annotations
 
@@ -7,32 +7,32 @@
 
 from sidecar_balancer.policy.endpoint import Server
 
-SUBSET_MIN = 4.0  # servers that a balancer without traffic draws from
-SUBSET_PER_LOAD = 1.0  # further ones for each request in flight: as many again may be idle
-RELIABLE_LOAD = 8.0  # below this many in flight, chance is a good part of any figure
-AVERAGING_MAX = 4.0
+SUBSET_MIN = 4.0  # size of the server subset of a balancer without traffic
+SUBSET_PER_LOAD = 1.0  # further servers for each request in flight, so that as many again may be idle
+RELIABLE_LOAD = 8.0  # with fewer in flight, chance is a large part of any measurement
+AVERAGING_FACTOR_MAX = 4.0
 
 
 class LoadTracker:
-    """Counts attempts in flight at servers that are not ejected, abandoned attempts included."""
+    """Counts attempts in flight, including abandoned ones, at servers that are not ejected."""
 
     def __init__(self, longest_objective_us: int) -> None:
         self._longest_objective_us = longest_objective_us
         self.pending = 0  # attempts whose response has not started
-        self.pending_at_ejected = 0  # of these, at ejected servers
+        self.pending_at_ejected = 0  # those of them at ejected servers
         self.mean = 0.0
-        self._abandoned_until: list[int] = []  # a heap
+        self._abandoned_until: list[int] = []  # heap of clock times
         self._averaged_at = 0
 
     def current(self, now: int) -> int:
-        """The load at this moment."""
+        """Return the current load."""
         abandoned = self._abandoned_until
         while abandoned and abandoned[0] <= now:
             heapq.heappop(abandoned)
         return self.pending - self.pending_at_ejected + len(abandoned)
 
     def update_mean(self, now: int, window: float) -> None:
-        """Follow the load since the last event.  A mean far above the window would delay relief."""
+        """Update the mean load, bounded by the window, as a mean far above it would delay recovery."""
         elapsed_us = now - self._averaged_at
         if elapsed_us > 0:
             self._averaged_at = now
@@ -42,37 +42,37 @@
             self.mean += (load - self.mean) * (1.0 - math.exp(-elapsed_us / span_us))
 
     def averaging_factor(self) -> float:
-        """How much longer than in a busy balancer it takes here to tell a change from chance."""
-        return max(1.0, min(RELIABLE_LOAD / max(self.mean, 1e-9), AVERAGING_MAX))
+        """Return how many times longer than a busy balancer to average, to tell a change from noise."""
+        return max(1.0, min(RELIABLE_LOAD / max(self.mean, 1e-9), AVERAGING_FACTOR_MAX))
 
     def subset_size(self) -> int:
-        """How many servers this balancer's traffic suffices to know."""
+        """Return how many servers this balancer has enough traffic to measure."""
         return int(SUBSET_MIN + SUBSET_PER_LOAD * self.mean)
 
     def attempt_sent(self, server: Server) -> None:
-        """Count an attempt."""
+        """Count an attempt that is sent."""
         server.in_flight += 1
         self.pending += 1
         if server.ejected_until is not None:
             self.pending_at_ejected += 1
 
     def attempt_released(self, server: Server) -> None:
-        """Count an attempt no more: it ended, or its response started."""
+        """Stop counting an attempt, which has ended or whose response has started."""
         server.in_flight -= 1
         self.pending -= 1
         if server.ejected_until is not None:
             self.pending_at_ejected -= 1
 
     def server_ejected(self, server: Server) -> None:
-        """Leave out the pending attempts at a server from now on."""
+        """Exclude the pending attempts at a server."""
         self.pending_at_ejected += server.in_flight
 
     def server_readmitted(self, server: Server) -> None:
-        """Count the pending attempts at a server again."""
+        """Include the pending attempts at a server again."""
         self.pending_at_ejected -= server.in_flight
 
     def attempt_abandoned(self, server: Server, until: int) -> None:
-        """Count an abandoned attempt until that time, as it may still run on the server."""
+        """Count an abandoned attempt until clock time `until`, as it may still run on the server."""
         server.abandoned_until.append(until)
         if server.ejected_until is None:
             heapq.heappush(self._abandoned_until, until)
--- a/sidecar_balancer/policy/outcomes.py
+++ b/sidecar_balancer/policy/outcomes.py
@@ -1,4 +1,4 @@
-"""What is learned from the outcome of an attempt on latency, load and rejections."""
+"""Recording of attempt outcomes for latency, load and rejections."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class OutcomeRecorder:
-    """Passes the outcome of an attempt to the components that learn from it."""
+    """Passes the outcomes of attempts to the components that use them."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         self._stalls = stalls
 
     def record(self, now: int, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
-        """Learn from the end of an attempt."""
+        """Record the outcome of an attempt."""
         server = attempt.server
         match event.outcome:
             case Outcome.DELIVERED:
@@ -53,10 +53,10 @@
         objective_us = request.service_class.latency_objective_us
         self._window.response_delivered(now, objective_us)
         if now == self._stalls.recovered_at:
-            return  # it came at a time that is not known
+            return  # it arrived during the stall, at an unknown time
         self._latency.response_received(attempt.server, request, elapsed_us)
         if not attempt.counted_late:
-            self._admission.latency_ratio_recorded(now, elapsed_us / objective_us)
+            self._admission.record_latency_ratio(now, elapsed_us / objective_us)
         self._rejections.delivered(request, attempt.server)
 
     def _abandoned(self, now: int, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
--- a/sidecar_balancer/policy/placement.py
+++ b/sidecar_balancer/policy/placement.py
@@ -1,4 +1,4 @@
-"""Placement of attempts: the first one, retries and hedged requests."""
+"""Placement of attempts: first attempts, retries and hedged requests."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
         self._actions = actions
 
     def place(self, now: int, request: Request) -> None:
-        """Send an attempt, or give the final answer where no server is left and none is pending."""
+        """Send an attempt, or give the final answer if no server is left and no attempt is pending."""
         server = self._selector.select(now, request)
         is_sent = server is not None and self._gate.send(now, request, server)
         if not is_sent and not request.has_pending_attempt():
@@ -47,7 +47,7 @@
         return True
 
     def hedge(self, now: int, request: Request, attempt: Attempt) -> None:
-        """Send the request elsewhere too, or instead, where the attempt will hardly get a response."""
+        """Hedge an attempt that is unlikely to get a response; cancel it if hedging is not permitted."""
         limits = self._limits
         if not request.may_be_sent_again() or len(request.attempts) >= limits.max_attempts:
             return
@@ -57,4 +57,4 @@
             self._budget.spend()
             self.place(now, request)
         elif limits.may_cancel:
-            self._actions.append(CancelAttempt(request.request_id, attempt.index))  # its end leads to a retry
+            self._actions.append(CancelAttempt(request.request_id, attempt.index))  # retried once it ends
--- a/sidecar_balancer/policy/rates.py
+++ b/sidecar_balancer/policy/rates.py
@@ -1,4 +1,4 @@
-"""A rate over a sliding span of time: an exponentially fading count.  Times in microseconds."""
+"""Rates over a sliding time span, as exponentially decaying counts.  Times are in microseconds."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Rate:
-    """What was added over about the last `span_us`, for times that never go back."""
+    """The rate of the amounts added over about the last `span_us`; times must not decrease."""
 
     __slots__ = ("_at", "_count", "_span_us")
 
@@ -15,26 +15,26 @@
         self._count, self._at = 0.0, 0
 
     def set_span(self, span_us: float) -> None:
-        """Average over another span from now on."""
+        """Change the span, keeping the rate."""
         self._count *= span_us / self._span_us
         self._span_us = span_us
 
     def add(self, now: int, amount: float) -> None:
         """Add an amount at clock time `now`."""
-        self._fade(now)
+        self._decay(now)
         self._count += amount
 
     def per_us(self, now: int) -> float:
-        """The rate at clock time `now`, per microsecond."""
-        self._fade(now)
+        """Return the rate per microsecond at clock time `now`."""
+        self._decay(now)
         return self._count / self._span_us
 
     def count(self, now: int) -> float:
-        """The faded count at clock time `now`."""
-        self._fade(now)
+        """Return the decayed count at clock time `now`."""
+        self._decay(now)
         return self._count
 
-    def _fade(self, now: int) -> None:
+    def _decay(self, now: int) -> None:
         if now > self._at:
             self._count *= math.exp((self._at - now) / self._span_us)
             self._at = now
--- a/sidecar_balancer/policy/selection.py
+++ b/sidecar_balancer/policy/selection.py
@@ -1,6 +1,6 @@
-"""Selection of the server for an attempt: best of k random candidates, sampled wider after rejections.
+"""Selection of the server for an attempt: best of k random candidates, with a larger k after rejections.
 
-Of k distinct servers, sampled by their odds, the one with the lowest load gets the attempt.
+Of k distinct servers, sampled by their odds, the one with the lowest load is selected.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 from sidecar_balancer.policy.verdicts import VerdictExchange, peers_against
 from sidecar_balancer.policy.window import LATE_MAX_RATIO, UNRESTRICTED_RATIO, ConcurrencyWindow
 
-CANDIDATES = 4  # k: loads are mostly small here, where two candidates find too little
-COST_POWER_MAX = 3.0  # of relative latency, in the odds for a request of four times the mean cost or more
-PEER_VERDICT_FACTOR = 0.5  # of a server's odds, for each peer with a verdict against it
-REMOTE_MIN_ODDS = 0.25  # odds of a server in another zone while the own zone is as quick
-REMOTE_EVEN_RATIO = 0.3  # the own zone this much slower than the others, all zones have even odds
+CANDIDATES = 4  # k: loads are mostly small here, where two candidates are too few
+COST_POWER_MAX = 3.0  # exponent of relative latency in the odds, from four times the mean cost
+PEER_VERDICT_FACTOR = 0.5  # factor on a server's odds for each peer with a verdict against it
+REMOTE_MIN_ODDS = 0.25  # factor on the odds of other zones while the own zone is as fast
+REMOTE_EVEN_RATIO = 0.3  # with the own zone slower by this ratio, all zones have even odds
 
 
 class EndpointSelector:
-    """Selects servers."""
+    """Selects a server for each attempt."""
 
     def __init__(
         self,
@@ -41,8 +41,8 @@
         outliers: OutlierDetector,
         verdicts: VerdictExchange,
         disabled: DisabledServers,
-        draws: random.Random,
-        side_draws: random.Random,
+        rng: random.Random,
+        secondary_rng: random.Random,
     ) -> None:
         self._weighs_zones = zones.enabled or prices.cross_zone > 0.0
         self._zones = zones
@@ -52,13 +52,13 @@
         self._outliers = outliers
         self._verdicts = verdicts
         self._disabled = disabled
-        self._draws = draws
-        self._side_draws = side_draws
-        self._remote_odds = 1.0  # of a server in another zone
-        self._remote_odds_at = -1  # when that was computed
+        self._rng = rng
+        self._secondary_rng = secondary_rng
+        self._remote_odds = 1.0  # factor for servers in other zones
+        self._remote_odds_at = -1  # clock time of the computation
 
     def select(self, now: int, request: Request) -> Server | None:
-        """The server that the next attempt should go to, None if there is none."""
+        """Return the server for the next attempt, None if there is none."""
         trial = self._trial_due(now, request)
         if trial is not None:
             return trial
@@ -67,7 +67,7 @@
             return None
         odds = self._odds(now, pool, request)
         sampled = self.sample(pool, odds, CANDIDATES << request.rejections)
-        if self._zones.enabled:  # what recovers counts as more loaded than it is, by its weight
+        if self._zones.enabled:  # the lower its recovery weight, the more loaded a server counts
             weight = self._zones.weight
             return min(
                 sampled,
@@ -76,18 +76,18 @@
         return min(sampled, key=lambda server: (server.load(now), server.relative_latency))
 
     def sample(self, pool: list[Server], odds: list[float], count: int) -> list[Server]:
-        """Sample distinct servers by their odds, in random order, so that the first of equals is random."""
+        """Sample distinct servers by their odds, in random order, so that ties are broken at random."""
         sampled, remaining, total = list[Server](), list(range(len(pool))), sum(odds)
         for _ in range(min(count, len(pool))):
-            point, at = self._draws.random() * total, 0
-            while at < len(remaining) - 1 and point >= odds[remaining[at]]:
-                point, at = point - odds[remaining[at]], at + 1
-            total -= odds[remaining[at]]
-            sampled.append(pool[remaining.pop(at)])
+            point, index = self._rng.random() * total, 0
+            while index < len(remaining) - 1 and point >= odds[remaining[index]]:
+                point, index = point - odds[remaining[index]], index + 1
+            total -= odds[remaining[index]]
+            sampled.append(pool[remaining.pop(index)])
         return sampled
 
     def _trial_due(self, now: int, request: Request) -> Server | None:
-        """A server that this request should try: just enabled, in an evacuated zone, or ejected."""
+        """Return a server due for a trial: just enabled again, in an evacuated zone, or ejected."""
         for server in self._disabled.unused:
             if server.is_ready() and self._is_eligible(now, server, request):
                 self._disabled.server_used(server)
@@ -110,29 +110,29 @@
         zone = self._zones.trial_due(now)
         if zone is None:
             return None
-        fit = [
+        eligible = [
             server
             for server in self._zones.ready_servers
             if server.zone == zone.name
             and not server.trial_pending
             and self._slow_start.has_capacity(now, server, request.cost)
         ]
-        return self._side_draws.choice(fit) if fit else None
+        return self._secondary_rng.choice(eligible) if eligible else None
 
     def _pool(self, now: int, request: Request) -> list[Server]:
-        """The servers to sample from: near ones where zones are enabled and enough of them remain."""
+        """Return the servers to sample from: near ones if zones are enabled and enough are eligible."""
         if self._remote_odds_at != now:
             self._remote_odds_at, self._remote_odds = now, self._compute_remote_odds(now)
         zones = self._zones
         if zones.enabled:
-            strength = (1.0 - self._remote_odds) / (1.0 - REMOTE_MIN_ODDS)  # the own zone's headroom
-            near = self._subset(now, zones.candidates(self._side_draws.random(), strength), request)
+            strength = (1.0 - self._remote_odds) / (1.0 - REMOTE_MIN_ODDS)  # headroom of the own zone
+            near = self._subset(now, zones.candidates(self._secondary_rng.random(), strength), request)
             if len(near) >= 2:
                 return near
         return self._subset(now, zones.ready_servers, request)
 
     def _subset(self, now: int, servers: Sequence[Server], request: Request) -> list[Server]:
-        """The first eligible servers in this balancer's own order, as many as its traffic can know.
+        """Return the first eligible servers in this balancer's own order, up to its subset size.
 
         Servers that reject the request's class and tenant are left out while enough others remain.
         """
@@ -151,12 +151,12 @@
             return False
         if self._zones.enabled and not self._zones.is_open(server.zone):
             return False
-        if request.attempts and not _is_fresh(server, request):
+        if request.attempts and not _is_untried(server, request):
             return False
         return server.warming_since is None or self._slow_start.has_capacity(now, server, request.cost)
 
     def _odds(self, now: int, pool: list[Server], request: Request) -> list[float]:
-        """Slower servers have lower odds, for heavy requests still lower; warming ones by their weight."""
+        """Return the odds: lower for slow servers, more so for costly requests, and scaled in slow start."""
         power = min(max(1.0, float(request.cost_exponent)), COST_POWER_MAX)
         own_zone, remote_odds = self._zones.own_zone, self._remote_odds
         odds = [
@@ -178,11 +178,11 @@
         return self._slow_start.weight(now, server) / latency
 
     def _compute_remote_odds(self, now: int) -> float:
-        """Odds of servers in other zones: lower while the own zone is as quick and nothing is late."""
+        """Return the odds factor of other zones: lower while the own zone is as fast and little is late."""
         if not self._weighs_zones:
             return 1.0
         if self._window.late_ratio >= LATE_MAX_RATIO or self._window.fill(now) > UNRESTRICTED_RATIO:
-            return 1.0  # spare capacity anywhere is worth more than local traffic
+            return 1.0  # under load, spare capacity in any zone outweighs local traffic
         own_zone = self._zones.own_zone
         servers = self._zones.ready_servers
         if self._outliers.ejected:
@@ -195,14 +195,14 @@
         return max(REMOTE_MIN_ODDS, min(excess / REMOTE_EVEN_RATIO, 1.0))
 
 
-def _is_fresh(server: Server, request: Request) -> bool:
-    """Whether no attempt of the request has failed there, is pending there or found its zone unresponsive."""
+def _is_untried(server: Server, request: Request) -> bool:
+    """Return whether no attempt has failed there, is pending there or has found its zone unresponsive."""
     if server in request.failed_servers:
         return False
     for attempt in request.attempts:
-        in_same_place = attempt.server is server or (
+        is_same_target = attempt.server is server or (
             attempt.unresponsive and attempt.server.zone == server.zone
         )
-        if attempt.pending and in_same_place:
+        if attempt.pending and is_same_target:
             return False
     return True
