--- a/sidecar_balancer/policy/__init__.py
+++ b/sidecar_balancer/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of a sidecar: events in, actions out, no input or output."""
+"""Decision logic of a sidecar, without I/O: takes events and returns actions."""
--- a/sidecar_balancer/policy/attempts.py
+++ b/sidecar_balancer/policy/attempts.py
@@ -1,4 +1,4 @@
-"""What becomes of attempts: responses start, attempts end or become overdue, and retries follow."""
+"""Tracking of attempts: started responses, ended and overdue attempts, and the retries that follow."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class AttemptTracker:
-    """Follows attempts until they end."""
+    """Tracks attempts until they end."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         self._zone_evacuation = zone_evacuation
 
     def response_started(self, _now: int, event: ResponseStarted) -> None:
-        """The server has done the work: the attempt is no load any more, and the others are cancelled."""
+        """Release the attempt's load, as the server has done the work, and cancel the other attempts."""
         request = self._table.requests.get(event.request)
         if request is None or event.attempt >= len(request.attempts):
             return
@@ -55,7 +55,7 @@
             self._table.cancel_attempts(request)
 
     def attempt_ended(self, now: int, event: AttemptEnded) -> None:
-        """Learn from the outcome, and retry or give the final answer where the client has none."""
+        """Record the outcome, and retry or give the final answer if the client has none."""
         request = self._table.requests.get(event.request)
         if request is None or event.attempt >= len(request.attempts):
             return
@@ -71,13 +71,13 @@
         self._outcomes.record(now, request, attempt, event)
         if event.answered:
             if not request.answered:
-                self._table.close(request)
+                self._table.mark_answered(request)
         elif not request.answered:
             self._follow_up(now, request, attempt, event.outcome)
         self._table.drop_if_complete(request)
 
     def attempt_overdue(self, now: int, request: Request, attempt: Attempt) -> None:
-        """Hedge an overdue attempt whose server seems to be unresponsive."""
+        """Hedge an overdue attempt if its server seems unresponsive."""
         finding = self._overdue.check(now, request, attempt)
         if finding is OverdueFinding.NOTHING:
             return
@@ -109,7 +109,7 @@
             self._record_zone_health(now, attempt, False)
 
     def _record_zone_health(self, now: int, attempt: Attempt, success: bool) -> None:
-        """Pass on whether the server responded; hedge what is pending in a zone that is evacuated by it."""
+        """Record whether the server responded; if that evacuates its zone, hedge the attempts there."""
         if not self._zones_enabled:
             return
         zone = self._zone_evacuation.outcome_recorded(now, attempt.server, attempt.sent_at, success)
--- a/sidecar_balancer/policy/intake.py
+++ b/sidecar_balancer/policy/intake.py
@@ -1,4 +1,4 @@
-"""What clients do: requests arrive, their bodies end, and clients disconnect."""
+"""Intake of client events: requests arrive, their bodies end, and clients disconnect."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from sidecar_balancer.policy.outliers import OutlierDetector
 from sidecar_balancer.policy.placement import Placement
 from sidecar_balancer.policy.rates import Rate
-from sidecar_balancer.policy.request import DEADLINE_OPEN_US, Request
+from sidecar_balancer.policy.request import NO_DEADLINE, Request
 from sidecar_balancer.policy.request_table import RequestTable
 from sidecar_balancer.policy.retry_budget import RetryBudget
 from sidecar_balancer.policy.settings import ServiceClass
@@ -19,7 +19,7 @@
 from sidecar_balancer.policy.timer_queue import TimerKind, TimerQueue
 from sidecar_balancer.policy.types import Flow
 
-ANSWER_EARLY_TICKS = 2  # a final answer leaves this many clock ticks before the client's deadline
+DEADLINE_MARGIN_TICKS = 2  # a final answer is sent this many clock ticks before the client's deadline
 COST_EXPONENT_MIN, COST_EXPONENT_MAX = -3, 4
 
 
@@ -41,7 +41,7 @@
         timers: TimerQueue,
     ) -> None:
         self._classes = {service_class.name: service_class for service_class in classes}
-        self._early_us = ANSWER_EARLY_TICKS * clock_tick_us
+        self._deadline_margin_us = DEADLINE_MARGIN_TICKS * clock_tick_us
         self._received = received
         self._latency = latency
         self._admission = admission
@@ -55,7 +55,7 @@
     def request_received(self, now: int, event: RequestReceived) -> None:
         """Send the request to a server or reject it."""
         service_class = self._classes.get(event.service_class)
-        if service_class is None:  # the settings do not name it: the least is assumed of it
+        if service_class is None:  # not in the settings: the least permissive class is assumed
             allowed_us = max(event.remaining_us, 1)
             service_class = ServiceClass(event.service_class, allowed_us, allowed_us)
         self._received.add(now, 1.0)
@@ -63,7 +63,7 @@
         cost = self._latency.relative_cost(service_class, event.cost_us)
         exponent = max(COST_EXPONENT_MIN, min(math.frexp(cost)[1], COST_EXPONENT_MAX))
         flow = Flow(service_class.name, event.tenant)
-        request = Request(event.request, service_class, DEADLINE_OPEN_US, cost, flow, exponent)
+        request = Request(event.request, service_class, NO_DEADLINE, cost, flow, exponent)
         self._table.add(request)
         if not event.body_open:
             self._start_deadline(now, request, event.remaining_us)
@@ -73,7 +73,7 @@
             self._placement.place(now, request)
 
     def body_ended(self, now: int, event: RequestBodyEnded) -> None:
-        """A request's deadline counts from its last byte, and so does a server's latency."""
+        """Start a request's deadline, and the latency of its pending attempts, at its last byte."""
         request = self._table.requests.get(event.request)
         if request is None or request.answered:
             return
@@ -88,11 +88,11 @@
                 )
 
     def client_disconnected(self, _now: int, event: ClientDisconnected) -> None:
-        """No answer is owed to a client that has gone."""
+        """Close a request whose client has disconnected: it needs no answer."""
         request = self._table.requests.get(event.request)
         if request is not None and not request.answered:
-            self._table.close(request)
+            self._table.mark_answered(request)
 
     def _start_deadline(self, now: int, request: Request, remaining_us: int) -> None:
-        request.answer_by = now + remaining_us - self._early_us
+        request.answer_by = now + remaining_us - self._deadline_margin_us
         self._timers.schedule(request.answer_by, TimerKind.REQUEST_DEADLINE, request.request_id)
--- a/sidecar_balancer/policy/request_table.py
+++ b/sidecar_balancer/policy/request_table.py
@@ -1,4 +1,4 @@
-"""The open requests and their final answers."""
+"""Open requests and their final answers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     """Keeps each request until it has its final answer and its last attempt has ended.
 
     Attributes:
-        requests: by their number.
+        requests: the kept requests, by number.
     """
 
     def __init__(self, may_cancel: bool, actions: ActionQueue) -> None:
@@ -21,13 +21,13 @@
         self._actions = actions
 
     def add(self, request: Request) -> None:
-        """Keep a new request."""
+        """Add a new request."""
         self.requests[request.request_id] = request
 
     def finish(self, request: Request) -> None:
-        """Give the final answer where no server's response can be it: the only way out for these.
+        """Give the final answer to a request that gets no server's response; no other code does so.
 
-        The request is rejected where a retry is harmless, else it fails.
+        The request is rejected if a retry is harmless, else it fails.
         """
         if request.answered:
             return
@@ -36,16 +36,16 @@
             self._actions.append(Reject(request.request_id))
         else:
             self._actions.append(Fail(request.request_id))
-        self.close(request)
+        self.mark_answered(request)
 
-    def close(self, request: Request) -> None:
-        """Note that no answer is owed any more."""
+    def mark_answered(self, request: Request) -> None:
+        """Mark the request as needing no further answer and cancel its attempts."""
         request.answered = True
         self.cancel_attempts(request)
         self.drop_if_complete(request)
 
     def cancel_attempts(self, request: Request) -> None:
-        """Cancel the pending attempts whose response has not started, where that is permitted."""
+        """Cancel the pending attempts whose response has not started, if cancelling is permitted."""
         if not self._may_cancel:
             return
         for attempt in request.attempts:
@@ -53,6 +53,6 @@
                 self._actions.append(CancelAttempt(request.request_id, attempt.index))
 
     def drop_if_complete(self, request: Request) -> None:
-        """Forget the request if nothing of it is open."""
+        """Drop the request if it is answered and no attempt is pending."""
         if request.answered and not request.has_pending_attempt():
             self.requests.pop(request.request_id, None)
--- a/sidecar_balancer/policy/send_gate.py
+++ b/sidecar_balancer/policy/send_gate.py
@@ -1,4 +1,4 @@
-"""The send gate: the only way out for an attempt, which enforces the deployment's rules."""
+"""The send gate: the only code path that sends attempts, which enforces the deployment's rules."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from sidecar_balancer.policy.latency import LatencyTracker
 from sidecar_balancer.policy.load import LoadTracker
 from sidecar_balancer.policy.outliers import OutlierDetector
-from sidecar_balancer.policy.request import DEADLINE_OPEN_US, Attempt, Request
+from sidecar_balancer.policy.request import NO_DEADLINE, Attempt, Request
 from sidecar_balancer.policy.settings import Limits
 from sidecar_balancer.policy.slow_start import SlowStart
 from sidecar_balancer.policy.stalls import StallDetector
@@ -16,13 +16,13 @@
 
 
 class SendGate:
-    """Sends an attempt if the rules permit it, whatever the code around it has decided.
+    """Sends an attempt if the rules permit it, whatever its callers have decided.
 
-    1. Nothing is sent after the final answer, or that cannot be answered in time.
-    2. No more attempts than allowed, none beside another where hedging is not permitted, and none of a
-       request that may have been executed, unless it is idempotent.
-    3. Nothing is sent to a server that is draining, removed or disabled; the grace period is not used.
-    4. A server that warms up gets no more than its slow start permits.
+    1. Nothing is sent after the final answer, or too late to be answered in time.
+    2. A request has no more attempts than allowed, no concurrent ones unless hedging is permitted, and no
+       further one after it may have been executed, unless it is idempotent.
+    3. Nothing is sent to a draining, removed or disabled server; the drain grace period is not used.
+    4. A server in slow start gets no more than its slow start permits.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
         self._actions = actions
 
     def send(self, now: int, request: Request, server: Server) -> bool:
-        """Send an attempt; return whether that was permitted."""
+        """Send an attempt if the rules permit it; return whether it was sent."""
         if not self._is_permitted(now, request, server):
             return False
         self._slow_start.attempt_sent(now, server, request.cost)
@@ -57,7 +57,7 @@
         self._load.attempt_sent(server)
         if server.ejected_until is not None:
             attempt.is_trial = server.trial_pending = True
-        if request.answer_by != DEADLINE_OPEN_US:
+        if request.answer_by != NO_DEADLINE:
             overdue_at = now + self._latency.overdue_after_us(request, server)
             self._timers.schedule(overdue_at, TimerKind.ATTEMPT_OVERDUE, request.request_id, attempt.index)
         self._actions.append(SendAttempt(request.request_id, server.name, request.answer_by))
--- a/sidecar_balancer/policy/timer_queue.py
+++ b/sidecar_balancer/policy/timer_queue.py
@@ -1,4 +1,4 @@
-"""The balancer's timers: one queue of typed entries behind the single timer that the caller runs."""
+"""The balancer's timers: a queue of typed entries that share the single timer run by the caller."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from sidecar_balancer.policy.action_queue import ActionQueue
 from sidecar_balancer.policy.actions import SetTimer
 
-TIMER_TOKEN = "agenda"  # as on the simulator's wire
+TIMER_TOKEN = "agenda"  # as in the simulator's protocol
 
 
 @unique
 class TimerKind(Enum):
-    """What falls due."""
+    """The purpose of a timer entry."""
 
     REQUEST_DEADLINE = "request_deadline"
     ATTEMPT_OVERDUE = "attempt_overdue"
@@ -24,7 +24,7 @@
 
 
 class TimerEntry(NamedTuple):
-    """An entry of the queue; entries that are due at the same time fire in the order of scheduling."""
+    """An entry of the queue; entries due at the same time fire in the order they were scheduled."""
 
     due_at: int  # clock time in microseconds
     sequence: int
@@ -40,17 +40,17 @@
         self._actions = actions
         self._entries: list[TimerEntry] = []
         self._sequence = 0
-        self._armed_for: int | None = None  # when the caller's timer fires
+        self._armed_for: int | None = None  # clock time at which the caller's timer fires
 
     def schedule(
         self, due_at: int, kind: TimerKind, request_id: int | None = None, attempt_index: int | None = None
     ) -> None:
-        """Add an entry; the request and attempt are given where the kind concerns one."""
+        """Add an entry, with the request and attempt if its kind concerns one."""
         self._sequence += 1
         heapq.heappush(self._entries, TimerEntry(due_at, self._sequence, kind, request_id, attempt_index))
 
     def pop_due(self, now: int) -> Iterator[TimerEntry]:
-        """Remove and yield the entries that are due, those included that are scheduled meanwhile."""
+        """Remove and yield the due entries, including those scheduled during the iteration."""
         if self._armed_for is not None and now >= self._armed_for:
             self._armed_for = None
         entries = self._entries
@@ -58,7 +58,7 @@
             yield heapq.heappop(entries)
 
     def arm(self, now: int, is_obsolete: Callable[[TimerEntry], bool]) -> None:
-        """Drop obsolete entries from the front and request a timer if the next one is due earlier."""
+        """Drop obsolete entries from the front; set a timer if the next entry is due before the armed one."""
         entries = self._entries
         while entries and is_obsolete(entries[0]):
             heapq.heappop(entries)
