--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -22,18 +22,18 @@
 from sidecar_balancer.policy.types import Outcome
 
 
-def _overload(driver: BalancerDriver, spans: int) -> None:
+def _overload(driver: BalancerDriver, ticks: int) -> None:
     """Send four requests for each response, so that responses come ever later."""
     driver.receive_list(server_names(4))
-    out: list[int] = []
-    for tick in range(spans):
+    outstanding: list[int] = []
+    for tick in range(ticks):
         driver.advance(10 * MS)
         for name in ("look", "pay"):
             request = driver.request(name)
             if driver.attempts(request):
-                out.append(request)
-        if tick % 2 and out:  # one answer for four requests, oldest first
-            request = out.pop(0)
+                outstanding.append(request)
+        if tick % 2 and outstanding:  # one response for four requests, oldest first
+            request = outstanding.pop(0)
             if (
                 request in driver.balancer.open_requests
                 and not driver.balancer.open_requests[request].answered
@@ -47,11 +47,11 @@
     driver.serve_traffic(200)
     _overload(driver, 600)
     rejected_requests = {action.request for action in driver.actions_of(Reject)}
-    looks = sum(
+    rejected_looks = sum(
         1 for each in rejected_requests if each % 2
-    )  # sent in turn, so half of them would show no preference
+    )  # classes alternate, so half of them would show no preference
     assert len(rejected_requests) > 300
-    assert looks > 0.5 * len(rejected_requests)
+    assert rejected_looks > 0.5 * len(rejected_requests)
     unsent = [action.request for action in driver.actions_of(Reject) if not driver.attempts(action.request)]
     assert len(unsent) > 0.5 * len(driver.actions_of(Reject))
 
@@ -65,8 +65,8 @@
         for attempt in request.attempts:
             if attempt.pending:
                 driver.end_attempt(request.request_id, Outcome.CANCELLED, attempt.index, answered=True)
-    driver.advance(11 * S)  # abandoned attempts count for as long again
-    driver.serve_traffic(150)  # a small window needs some objectives to grow
+    driver.advance(11 * S)  # abandoned attempts count as load for their duration again
+    driver.serve_traffic(150)  # a small window takes several objectives to grow
     rejected = len(driver.actions_of(Reject))
     driver.serve_traffic(300)
     assert len(driver.actions_of(Reject)) == rejected
@@ -83,7 +83,7 @@
 def test_a_balancer_with_little_traffic_sheds_a_part_while_every_response_is_late() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(8))
-    for _ in range(120):  # hardly ever two in flight, so a window of two would never reject
+    for _ in range(120):  # rarely two in flight, so a window of two would never reject
         driver.advance(900 * MS)
         request = driver.request()
         if driver.attempts(request):
@@ -98,7 +98,7 @@
     assert len(driver.actions_of(Reject)) == rejected
 
 
-def test_two_concurrent_requests_are_no_overload_for_a_balancer_with_little_traffic() -> None:
+def test_two_concurrent_requests_do_not_count_as_overload_with_little_traffic() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(8))
     driver.balancer.components.window.size = 1.0
@@ -140,7 +140,7 @@
     assert all(driver.attempts(driver.request("look")) for _ in range(2))
 
 
-def test_connection_failures_are_no_overload() -> None:
+def test_connection_failures_do_not_count_as_overload() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(6))
     for _ in range(12):
@@ -152,7 +152,7 @@
 
 
 def test_the_first_late_responses_after_a_start_cause_no_shedding() -> None:
-    # At an upgrade the new process starts amid full traffic, and its own start makes the first answers late.
+    # In an upgrade the new process starts under full traffic, and its startup delays the first responses.
     slow = {**NON_IDEMPOTENT, "deadline_us": 4 * S, "latency_objective_us": 2 * S}
     driver = BalancerDriver(settings(classes=[IDEMPOTENT, slow]))
     driver.receive_list(server_names(8))
@@ -160,21 +160,21 @@
     assert not driver.actions_of(Reject)
     assert driver.balancer.window == math.inf
     _serve_late(driver, 4 * S)
-    assert driver.balancer.window < math.inf  # later on they show overload
+    assert driver.balancer.window < math.inf  # after that, late responses indicate overload
 
 
 def _serve_late(driver: BalancerDriver, span_us: int) -> int:
-    """Serve traffic with responses that are all late; return how many."""
-    until, out, done = driver.now + span_us, [], 0
+    """Serve traffic with late responses only; return their number."""
+    until, outstanding, served = driver.now + span_us, [], 0
     while driver.now < until:
-        out.append((driver.now + 600 * MS, driver.request()))
+        outstanding.append((driver.now + 600 * MS, driver.request()))
         driver.advance(5 * MS)
-        while out and out[0][0] <= driver.now:
-            request = out.pop(0)[1]
+        while outstanding and outstanding[0][0] <= driver.now:
+            request = outstanding.pop(0)[1]
             if driver.attempts(request):
                 driver.end_attempt(request)
-                done += 1
-    for _, request in out:
+                served += 1
+    for _, request in outstanding:
         if driver.attempts(request):
             driver.end_attempt(request)
-    return done
+    return served
--- a/tests/policy/test_any_sequence.py
+++ b/tests/policy/test_any_sequence.py
@@ -1,4 +1,4 @@
-"""Arbitrary legal sequences of events, judged from outside by the actions alone."""
+"""Arbitrary valid sequences of events, checked by the resulting actions alone."""
 
 from __future__ import annotations
 
@@ -87,7 +87,7 @@
 
 
 class RuleChecker:
-    """Keeps what a client, the servers and the list know, and checks every action against the rules."""
+    """Tracks the state of clients, servers and the list, and checks each action against the rules."""
 
     def __init__(
         self,
@@ -154,26 +154,26 @@
         entry = self.listed[action.server]
         assert entry.state is ServerState.READY, "sent to a draining or removed server"
         assert action.server not in self.disabled, "sent to a disabled server"
-        assert not request.body_consumed, "sent again without its body"
+        assert not request.body_consumed, "sent again after its body was consumed"
         assert len(request.attempts) < self.settings.limits.max_attempts, "more attempts than allowed"
         if not self.settings.limits.may_hedge:
-            assert not any(attempt.pending for attempt in request.attempts), "two attempts at once"
+            assert not any(attempt.pending for attempt in request.attempts), "concurrent attempts"
         self.check_execution(request, entry)
         request.attempts.append(TrackedAttempt(action.server, entry, self.now))
 
     def check_execution(self, request: TrackedRequest, entry: ListedServer) -> None:
-        """Check that another attempt at this server can have no effect twice."""
+        """Check that another attempt at this server cannot execute the request twice."""
         executed = self.maybe_executed(request)
         service_class = request.service_class
         if executed and service_class.idempotency is Idempotency.NON_IDEMPOTENT:
             raise AssertionError("a non-idempotent request was sent again")
         if executed and service_class.idempotency is Idempotency.IDEMPOTENCY_KEY:
             window_end = executed[0].sent_at + service_class.deduplication_window_us
-            assert self.now < window_end, "sent after servers forgot the key"
+            assert self.now < window_end, "sent after the deduplication window of its key"
             scope = service_class.deduplication_scope
             for attempt in executed:
-                assert scope.value != "zone" or attempt.entry.zone == entry.zone, "left the zone"
-                assert scope.value != "cell" or attempt.entry.cell == entry.cell, "left the cell"
+                assert scope.value != "zone" or attempt.entry.zone == entry.zone, "sent to another zone"
+                assert scope.value != "cell" or attempt.entry.cell == entry.cell, "sent to another cell"
 
     def maybe_executed(self, request: TrackedRequest) -> list[TrackedAttempt]:
         return [
@@ -186,14 +186,14 @@
         request = self.requests[action.request]
         assert not request.answered, "two final answers"
         assert self.now < request.deadline or request.late_on_arrival, "answered after the deadline"
-        assert not any(attempt.response_started for attempt in request.attempts), "answered beside a response"
+        assert not any(attempt.response_started for attempt in request.attempts), "answered after a response"
         service_class = request.service_class
         if isinstance(action, Reject) and service_class.idempotency is not Idempotency.IDEMPOTENT:
             is_deduplicated = (
                 service_class.idempotency is Idempotency.IDEMPOTENCY_KEY
                 and service_class.deduplication_scope.value == "all"
             )
-            assert not self.maybe_executed(request) or is_deduplicated, "rejected, yet maybe executed"
+            assert not self.maybe_executed(request) or is_deduplicated, "rejected after it may have run"
         request.answered = True
 
     def check_in_flight(self) -> None:
@@ -241,7 +241,7 @@
         ]
 
     def start_response(self, choice: int) -> None:
-        """A response starts: it is the client's final answer, and ends in its own time."""
+        """Start a response, which is the client's final answer; a later step may end it."""
         pending = [each for each in self.pending_attempts() if not self.requests[each[0]].answered]
         if pending:
             number, index = pending[choice % len(pending)]
--- a/tests/policy/test_final_answers.py
+++ b/tests/policy/test_final_answers.py
@@ -96,11 +96,11 @@
     driver = BalancerDriver()
     driver.receive_list(server_names(4))
     request = driver.request()
-    live = driver.balancer.open_requests[request]
+    open_request = driver.balancer.open_requests[request]
     server = next(
-        server for server in driver.balancer.servers.values() if server is not live.attempts[0].server
+        server for server in driver.balancer.servers.values() if server is not open_request.attempts[0].server
     )
-    assert driver.balancer.components.gate.send(driver.now, live, server)
+    assert driver.balancer.components.gate.send(driver.now, open_request, server)
     driver.feed(ResponseStarted(request, 1, server.name, 30 * MS))
     assert [(action.request, action.attempt) for action in driver.actions_of(CancelAttempt)] == [(request, 0)]
     driver.end_attempt(request, Outcome.CANCELLED, attempt=0, answered=True)
@@ -108,11 +108,11 @@
     assert not driver.actions_of(Reject)
     assert not driver.actions_of(Fail)
     driver.feed(AttemptEnded(request, 1, server.name, Outcome.CONNECTION_LOST, 30 * MS, True))
-    assert len(live.attempts) == 2
+    assert len(open_request.attempts) == 2
     assert request not in driver.balancer.open_requests
 
 
-def test_a_started_response_is_no_load_and_its_duration_no_latency() -> None:
+def test_a_started_response_counts_neither_as_load_nor_as_latency() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(3))
     driver.serve_traffic(60)
@@ -141,7 +141,7 @@
     assert not driver.actions_of(Fail)
     assert not driver.balancer.ejected_servers
     driver.feed(RequestBodyEnded(number, 1 * S))
-    ended = driver.now
+    ended_at = driver.now
     driver.advance(2 * S)
     assert [action.request for action in driver.actions_of(Fail)] == [number]
-    assert ended < next(at for at, each in driver.timeline if isinstance(each, Fail)) <= ended + 1 * S
+    assert ended_at < next(at for at, each in driver.timeline if isinstance(each, Fail)) <= ended_at + 1 * S
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -56,8 +56,8 @@
         request = driver.request()
         driver.advance(90 * MS if driver.target_of(request) == slow else 30 * MS)
         driver.end_attempt(request)
-    late = Counter(attempt.server for _, attempt in driver.attempts()[500:])
-    assert late[slow] < 0.6 * sum(late.values()) / 12
+    later = Counter(attempt.server for _, attempt in driver.attempts()[500:])
+    assert later[slow] < 0.6 * sum(later.values()) / 12
 
 
 def test_an_abandoned_attempt_counts_as_load_for_a_while() -> None:
@@ -65,7 +65,7 @@
     driver.receive_list(server_names(2))
     request = driver.request("pay", remaining_us=400 * MS)
     unresponsive = driver.target_of(request)
-    driver.advance(395 * MS)  # answered by then, and cancelled
+    driver.advance(395 * MS)  # the final answer is given by then, and the attempt cancelled
     driver.end_attempt(request, Outcome.CANCELLED, answered=True)
     other = driver.request("pay")
     assert driver.target_of(other) != unresponsive
@@ -101,8 +101,8 @@
         request = driver.request()
         driver.advance(near_us if driver.target_of(request) in near else far_us)
         driver.end_attempt(request)
-    late = driver.attempts()[300:]
-    return sum(1 for _, attempt in late if attempt.server not in near) / len(late)
+    later = driver.attempts()[300:]
+    return sum(1 for _, attempt in later if attempt.server not in near) / len(later)
 
 
 def test_the_own_zone_is_preferred_while_it_is_as_fast_and_cross_zone_traffic_has_a_price() -> None:
@@ -125,19 +125,19 @@
             for name in server_names(5)
         ]
     )
-    seen: list[float] = []
+    relative_odds: list[float] = []
     sample = driver.balancer.components.selector.sample
 
-    def watch(pool: list[Server], odds: list[float], count: int) -> list[Server]:
-        by_name = {each.name: chance for each, chance in zip(pool, odds, strict=True)}
+    def recording_sample(pool: list[Server], odds: list[float], count: int) -> list[Server]:
+        by_name = {each.name: server_odds for each, server_odds in zip(pool, odds, strict=True)}
         slow = by_name.pop(server_names(5)[0])
-        seen.append(slow / max(by_name.values()))
+        relative_odds.append(slow / max(by_name.values()))
         return sample(pool, odds, count)
 
-    monkeypatch.setattr(driver.balancer.components.selector, "sample", watch)
+    monkeypatch.setattr(driver.balancer.components.selector, "sample", recording_sample)
     for cost in (20 * MS, 20 * MS, 100 * MS):
         driver.end_attempt(driver.request(cost_us=cost))
-    assert seen[2] < 0.5 * seen[0]
+    assert relative_odds[2] < 0.5 * relative_odds[0]
 
 
 def test_a_server_with_errors_in_every_other_response_is_selected_less_often() -> None:
--- a/tests/policy/test_send_gate.py
+++ b/tests/policy/test_send_gate.py
@@ -1,4 +1,4 @@
-"""The send gate, whatever the code around it decides."""
+"""The send gate enforces its rules whatever its callers decide."""
 
 from __future__ import annotations
 
