--- a/sidecar_balancer/policy/request_table.py
+++ b/sidecar_balancer/policy/request_table.py
@@ -24,7 +24,7 @@
         """Add a new request."""
         self.requests[request.request_id] = request
 
-    def finish(self, request: Request) -> None:
+    def reject_or_fail(self, request: Request) -> None:
         """Give the final answer to a request that gets no server's response; no other code does so.
 
         The request is rejected if a retry is harmless, else it fails.
