--- a/tests/lease/test_exploration.py
+++ b/tests/lease/test_exploration.py
@@ -1,4 +1,4 @@
-"""The lease protocol in every state within a bound: safe as it is, unsafe without each of its safeguards."""
+"""Exhaustive exploration of the lease protocol: safe, but not without the skew margin or the epoch query."""
 
 from __future__ import annotations
 
@@ -8,7 +8,9 @@
 from lease_model import Bound
 from sidecar_balancer.lease.protocol import LeaseProtocol, LeaseTiming
 
-STEADY_CLOCKS = Bound(ticks=5, crashes=1, drift=0, drift_steps=0, in_flight=2, timing=LeaseTiming(3, 1, 0, 2))
+BOUND_WITH_CRASH = Bound(
+    ticks=5, crashes=1, drift=0, drift_steps=0, in_flight=2, timing=LeaseTiming(3, 1, 0, 2)
+)
 
 
 def test_no_two_members_hold_a_lease_within_the_bound() -> None:
@@ -26,11 +28,11 @@
 
 
 def test_a_crash_does_not_grant_an_epoch_twice() -> None:
-    result = explore(STEADY_CLOCKS)
+    result = explore(BOUND_WITH_CRASH)
     assert result.violation == "", result.trace
     assert result.handovers > 0
 
 
 def test_without_the_epoch_query_an_epoch_is_granted_twice(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(LeaseProtocol, "knows_highest_epoch", lambda *_: True)
-    assert "holds token" in explore(STEADY_CLOCKS).violation
+    assert "holds token" in explore(BOUND_WITH_CRASH).violation
--- a/tools/lease_explorer.py
+++ b/tools/lease_explorer.py
@@ -1,8 +1,8 @@
-"""An exhaustive explorer of the lease protocol: it visits every state of `lease_model` within a bound.
+"""Exhaustive exploration of the lease protocol: visits every state of `lease_model` within a bound.
 
-It checks in each state:
+Checks in each state:
 
-- safety: never do two members hold the lease, and no member holds a token older than one held before;
+- safety: no two members hold the lease, and no member holds a token older than one held before;
 - liveness, from each state at the last tick: if faults stop (messages arrive in order, clocks keep their
   offsets, members see each other), some member holds the lease within `settle_ticks`.
 
@@ -18,38 +18,38 @@
 from lease_model import DEFAULT_TIMING, Bound, TierModel, TierState
 from sidecar_balancer.lease.protocol import NO_MEMBER
 
-_FAULT_OPTIONS = ("ticks", "drift", "drift_steps", "crashes", "duplicates", "suspicions", "in_flight")
+_BOUND_OPTIONS = ("ticks", "drift", "drift_steps", "crashes", "duplicates", "suspicions", "in_flight")
 
 
 @dataclass
 class Exploration:
-    """What an exploration found; `trace` leads to the violation, if any, by the fewest ticks."""
+    """The result of an exploration; `trace` is a path with the fewest ticks to the violation, if any."""
 
     states: int = 0
     transitions: int = 0
     deepest_tick: int = 0
-    handovers: int = 0  # states in which another member than before holds a newer token
+    handovers: int = 0  # states in which a different member than before holds a newer token
     violation: str = ""
     trace: list[str] = field(default_factory=list)
 
 
 @dataclass(frozen=True)
 class _Visit:
-    """How a state was first reached."""
+    """The step by which a state was first reached."""
 
     predecessor: TierState | None
     step: str
 
 
 class Explorer:
-    """Breadth-first by ticks, up to the first violation."""
+    """A breadth-first search by ticks that stops at the first violation."""
 
     def __init__(self, bound: Bound) -> None:
         self._bound = bound
         self._model = TierModel(bound)
 
     def explore(self, check_liveness: bool = True) -> Exploration:
-        """Visit every state within the bound."""
+        """Visit every state within the bound, up to the first violation."""
         start, result = self._model.start(), Exploration()
         visits = {start: _Visit(None, "start")}
         queue = deque([(start, 0)])
@@ -78,11 +78,11 @@
     def _safety_violation(self, state: TierState) -> str:
         holders = self._model.holders(state)
         if len(holders) > 1:
-            return f"two holders: {[tuple(holder) for holder in holders]}"
+            return f"two holders (member, token): {[tuple(holder) for holder in holders]}"
         highest, highest_holder = state.highest_token, state.highest_token_holder
         for member, token in holders:
             if token < highest or (token == highest and member != highest_holder):
-                return f"member {member} holds token {token}, after {highest} went to {highest_holder}"
+                return f"member {member} holds token {token} after {highest} was held by {highest_holder}"
         return ""
 
     def _liveness_violation(self, state: TierState) -> str:
@@ -94,7 +94,7 @@
             state = self._model.tick(state, state.clock_offsets)
         if self._model.holders(state):
             return ""
-        return f"no holder {self._bound.settle_ticks} ticks after faults stop"
+        return f"no holder within {self._bound.settle_ticks} ticks after faults stopped"
 
 
 def explore(bound: Bound, check_liveness: bool = True) -> Exploration:
@@ -112,11 +112,13 @@
 
 
 def main() -> None:
-    """Explore the bound that the command line gives."""
+    """Explore the bound given on the command line."""
     parser = argparse.ArgumentParser(description="explore every state of the lease protocol within a bound")
-    for name in _FAULT_OPTIONS:
+    for name in _BOUND_OPTIONS:
         parser.add_argument("--" + name.replace("_", "-"), type=int, default=getattr(Bound, name))
-    parser.add_argument("--no-margin", action="store_true", help="leave out the skew margin (finds the bug)")
+    parser.add_argument(
+        "--no-margin", action="store_true", help="set the skew margin to 0, which violates safety"
+    )
     options = vars(parser.parse_args())
     no_margin = options.pop("no_margin")
     timing = replace(DEFAULT_TIMING, skew_us=0) if no_margin else DEFAULT_TIMING
--- a/tools/lease_model.py
+++ b/tools/lease_model.py
@@ -1,10 +1,11 @@
-"""The state space of the lease protocol: one tier's states and steps, taken by the protocol's own code.
-
-Members run `LeaseProtocol` with one lease, on clocks that are real time plus an offset in `0 .. drift`,
-changed by one at a tick, `drift_steps` times in all: over any span a clock gains or loses at most `drift`
-against real time.  A message may be delivered in the tick it was sent or in the next, in any order, twice
-(`duplicates`), or never.  A member may crash and restart with nothing remembered.  At a tick one member
-may believe itself alone (`suspicions`), and so request the lease though another ranks first.
+"""The state space of the lease protocol for one tier, whose steps run the protocol's own code.
+
+Members run `LeaseProtocol` with one lease.  Their clocks show real time plus an offset in `0 .. drift`.
+An offset changes by one at a tick, `drift_steps` times in total, so over any span a clock gains or loses at
+most `drift` against real time.  A message may be delivered in the tick in which it was sent or in the next,
+in any order, twice (`duplicates`), or never.  A member may crash and restart without any remembered state.
+At a tick one member may believe that it is alone (`suspicions`), and then requests the lease although
+another member ranks first.
 """
 
 from __future__ import annotations
@@ -23,9 +24,9 @@
     OutgoingLeaseMessage,
 )
 
-_ENOUGH_EPOCH_SOURCES = frozenset(range(-9, 0))  # stands for any set of members that is large enough
-_OPEN_REQUEST_ID = 1  # of every open request: the number alone does not matter
-_KINDS_OF_A_REQUEST = (LeaseMessageKind.REQUEST, LeaseMessageKind.GRANT, LeaseMessageKind.REJECT)
+_SUFFICIENT_EPOCH_SOURCES = frozenset(range(-9, 0))  # stands for every sufficiently large set of members
+_OPEN_REQUEST_ID = 1  # of every open request: only whether one is open matters, not its number
+_REQUEST_RELATED_KINDS = (LeaseMessageKind.REQUEST, LeaseMessageKind.GRANT, LeaseMessageKind.REJECT)
 _KINDS_WITH_REPLY = (LeaseMessageKind.REQUEST, LeaseMessageKind.EPOCH_QUERY)
 
 
@@ -34,7 +35,7 @@
 
 @dataclass(frozen=True)
 class Bound:
-    """What part of the state space is explored."""
+    """The part of the state space to explore."""
 
     members: int = 3
     ticks: int = 7  # of real time
@@ -43,15 +44,16 @@
     crashes: int = 0
     duplicates: int = 0
     suspicions: int = 1
-    in_flight: int = 4  # messages beyond these are lost
-    settle_ticks: int = 24  # within which a holder must appear once faults stop
+    in_flight: int = 4  # further messages are lost
+    settle_ticks: int = 24  # a holder must appear within this time after faults stop
     timing: LeaseTiming = DEFAULT_TIMING
 
 
 class MemberState(NamedTuple):
-    """What decides a member's future; times count from its clock's present, those in the past are 0.
+    """The part of a member's state that determines its behaviour.
 
-    The fields but the first are those of `LeaseState`, in its order.
+    Times are relative to the current time of its clock, and expiry times in the past are 0.  All fields but
+    the first are those of `LeaseState`, in its order.
     """
 
     started: int
@@ -70,7 +72,7 @@
 
 
 class MessageInFlight(NamedTuple):
-    """A message that was sent in this tick (age 0) or in the one before."""
+    """A message that was sent in this tick (age 0) or in the previous one."""
 
     sender: int
     target: int
@@ -79,7 +81,7 @@
 
 
 class TierState(NamedTuple):
-    """A state of the tier, with what is left of the bound's faults."""
+    """A state of the tier, with the faults that the bound still allows."""
 
     clock_offsets: tuple[int, ...]
     members: tuple[MemberState, ...]
@@ -88,7 +90,7 @@
     duplicates: int
     drift_steps: int
     suspicions: int
-    highest_token: int  # held so far
+    highest_token: int  # the highest held so far
     highest_token_holder: int
 
 
@@ -100,7 +102,7 @@
 
 
 class Step(NamedTuple):
-    """A transition: how it comes about, the state after it, and whether a tick passes."""
+    """A transition: its cause, the state after it, and whether it is a tick."""
 
     description: str
     state: TierState
@@ -108,14 +110,14 @@
 
 
 class MemberStep(NamedTuple):
-    """A member's state after an event, and what it sent."""
+    """A member's state after an event, and the messages it sent."""
 
     state: MemberState
     sent: tuple[OutgoingLeaseMessage, ...]
 
 
 class MemberModel:
-    """The steps of one member, memoized, since few distinct ones occur."""
+    """The steps of one member, memoized because few distinct ones occur."""
 
     def __init__(self, size: int, timing: LeaseTiming) -> None:
         self._size = size
@@ -124,13 +126,13 @@
         self.receive = lru_cache(maxsize=None)(self._receive)
         self.token = lru_cache(maxsize=None)(self._token)
 
-    def established(self, member: int) -> MemberState:
-        """A member that has run for long enough to grant."""
-        state = self.restarted(member, -self._timing.restart_wait_us)
-        return state._replace(epoch_sources=_ENOUGH_EPOCH_SOURCES, epochs_queried=0)
+    def established_state(self, member: int) -> MemberState:
+        """Return the state of a member that has run for long enough to grant."""
+        state = self.restarted_state(member, -self._timing.restart_wait_us)
+        return state._replace(epoch_sources=_SUFFICIENT_EPOCH_SOURCES, epochs_queried=0)
 
-    def restarted(self, member: int, started: int = 0) -> MemberState:
-        """A member that remembers nothing."""
+    def restarted_state(self, member: int, started: int = 0) -> MemberState:
+        """Return the state of a member that started without any remembered state."""
         protocol = LeaseProtocol(member, self._size, 1, self._timing, started)
         return self._state(protocol, 0)
 
@@ -138,7 +140,9 @@
         protocol = self._protocol(member, state)
         alive = range(self._size) if sees_others else ()
         sent = protocol.tick(elapsed, alive)
-        return MemberStep(self._state(protocol, elapsed), tuple(_without_request_number(out) for out in sent))
+        return MemberStep(
+            self._state(protocol, elapsed), tuple(_with_common_request_id(outgoing) for outgoing in sent)
+        )
 
     def _receive(self, member: int, state: MemberState, sender: int, message: LeaseMessage) -> MemberStep:
         protocol = self._protocol(member, state)
@@ -169,7 +173,7 @@
             request_epoch=0,
             request_sent=0,
             grants=frozenset(),
-            epoch_sources=_ENOUGH_EPOCH_SOURCES,
+            epoch_sources=_SUFFICIENT_EPOCH_SOURCES,
             epochs_queried=0,
         )
         if lease.request_id:
@@ -193,10 +197,10 @@
         self._members = MemberModel(bound.members, bound.timing)
 
     def start(self) -> TierState:
-        """All members established, no lease held, no message in flight."""
+        """Return the initial state: all members may grant, no lease is held, no message is in flight."""
         return TierState(
             clock_offsets=(0,) * self.bound.members,
-            members=tuple(self._members.established(member) for member in range(self.bound.members)),
+            members=tuple(self._members.established_state(member) for member in range(self.bound.members)),
             in_flight=(),
             crashes=self.bound.crashes,
             duplicates=self.bound.duplicates,
@@ -207,12 +211,14 @@
         )
 
     def holders(self, state: TierState) -> list[Holder]:
-        """The members that hold the lease."""
-        tokens = (self._members.token(member, own) for member, own in enumerate(state.members))
+        """Return the members that hold the lease."""
+        tokens = (
+            self._members.token(member, member_state) for member, member_state in enumerate(state.members)
+        )
         return [Holder(member, token) for member, token in enumerate(tokens) if token]
 
     def steps(self, state: TierState, ticks: int) -> list[Step]:
-        """Each step from a state that `ticks` ticks have led to."""
+        """Return each step from a state that was reached in `ticks` ticks."""
         steps = self._deliveries(state)
         if ticks < self.bound.ticks:
             steps += self._ticks(state)
@@ -222,33 +228,33 @@
         return [step._replace(state=self._with_highest_token(step.state)) for step in steps]
 
     def deliver(self, state: TierState, index: int, *, keep: bool = False) -> TierState:
-        """Deliver a message in flight; `keep`: a duplicate of it remains in flight."""
+        """Deliver a message in flight; with `keep`, a duplicate of it remains in flight."""
         sender, target, message, _ = state.in_flight[index]
         in_flight = state.in_flight
         if not keep:
             in_flight = in_flight[:index] + in_flight[index + 1 :]
         step = self._members.receive(target, state.members[target], sender, message)
-        return self._after(state, target, step, in_flight)
+        return self._after_member_step(state, target, step, in_flight)
 
     def tick(self, state: TierState, clock_offsets: tuple[int, ...], isolated: int = NO_MEMBER) -> TierState:
-        """Real time advances by one and every member ticks; `isolated` believes that it is alone."""
+        """Advance real time by one and tick every member; `isolated` believes that it is alone."""
         delayed = tuple(flight._replace(age_ticks=1) for flight in state.in_flight if not flight.age_ticks)
         offsets_before = state.clock_offsets
         state = state._replace(clock_offsets=clock_offsets, in_flight=delayed)
         for member in range(self.bound.members):
             elapsed = 1 + clock_offsets[member] - offsets_before[member]
             step = self._members.tick(member, state.members[member], elapsed, member != isolated)
-            state = self._after(state, member, step, state.in_flight, ticked=True)
+            state = self._after_member_step(state, member, step, state.in_flight, ticked=True)
         return state
 
     def _deliveries(self, state: TierState) -> list[Step]:
         steps: list[Step] = []
         for index, (sender, target, message, _) in enumerate(state.in_flight):
-            name = f"deliver {sender}->{target} {message.kind.name} {message.epoch}"
-            steps.append(Step(name, self.deliver(state, index), False))
+            description = f"deliver {sender}->{target} {message.kind.name} {message.epoch}"
+            steps.append(Step(description, self.deliver(state, index), False))
             if state.duplicates:
                 after = self.deliver(state, index, keep=True)._replace(duplicates=state.duplicates - 1)
-                steps.append(Step(name + " and keep it", after, False))
+                steps.append(Step(description + " and keep a duplicate", after, False))
         return steps
 
     def _ticks(self, state: TierState) -> list[Step]:
@@ -263,22 +269,22 @@
         return steps
 
     def _next_clock_offsets(self, state: TierState) -> list[tuple[int, ...]]:
-        present = state.clock_offsets
+        current = state.clock_offsets
         if not state.drift_steps:
-            return [present]
+            return [current]
         changed = [
-            (*present[:member], offset + change, *present[member + 1 :])
-            for member, offset in enumerate(present)
+            (*current[:member], offset + change, *current[member + 1 :])
+            for member, offset in enumerate(current)
             for change in (-1, 1)
             if 0 <= offset + change <= self.bound.drift
         ]
-        return [present, *changed]
+        return [current, *changed]
 
     def _crash(self, state: TierState, member: int) -> TierState:
-        members = _replaced(state.members, member, self._members.restarted(member))
+        members = _replaced(state.members, member, self._members.restarted_state(member))
         return state._replace(members=members, crashes=state.crashes - 1)
 
-    def _after(
+    def _after_member_step(
         self,
         state: TierState,
         member: int,
@@ -290,16 +296,16 @@
         if before != step.state and before.request_id:
             new_request = ticked and _has_request(step.sent)
             if new_request or not step.state.request_id:
-                in_flight = tuple(_outdated(member, flight) for flight in in_flight)
+                in_flight = tuple(_mark_outdated(member, flight) for flight in in_flight)
         in_flight += tuple(MessageInFlight(member, target, message, 0) for target, message in step.sent)
         state = state._replace(members=_replaced(state.members, member, step.state))
-        relevant = sorted(self._without_ineffective(state, in_flight))
+        relevant = sorted(self._effective_messages(state, in_flight))
         return state._replace(in_flight=tuple(relevant)[: self.bound.in_flight])
 
-    def _without_ineffective(
+    def _effective_messages(
         self, state: TierState, in_flight: tuple[MessageInFlight, ...]
     ) -> tuple[MessageInFlight, ...]:
-        """Without replies that would change nothing, now or later; after a crash they might."""
+        """Drop replies that have no effect now or later; while a crash may follow, they could have one."""
         if state.crashes:
             return in_flight
         return tuple(
@@ -327,16 +333,16 @@
     return any(message.kind is LeaseMessageKind.REQUEST for _, message in sent)
 
 
-def _without_request_number(outgoing: OutgoingLeaseMessage) -> OutgoingLeaseMessage:
+def _with_common_request_id(outgoing: OutgoingLeaseMessage) -> OutgoingLeaseMessage:
     if outgoing.message.kind is not LeaseMessageKind.REQUEST:
         return outgoing
     return outgoing._replace(message=outgoing.message._replace(request_id=_OPEN_REQUEST_ID))
 
 
-def _outdated(member: int, flight: MessageInFlight) -> MessageInFlight:
-    """Mark a message that belongs to a request of `member` which is no longer open."""
+def _mark_outdated(member: int, flight: MessageInFlight) -> MessageInFlight:
+    """Set `request_id` to 0 if the message belongs to a request of `member`, which is no longer open."""
     message = flight.message
-    if message.kind not in _KINDS_OF_A_REQUEST or not message.request_id:
+    if message.kind not in _REQUEST_RELATED_KINDS or not message.request_id:
         return flight
     requester = flight.sender if message.kind is LeaseMessageKind.REQUEST else flight.target
     return flight._replace(message=message._replace(request_id=0)) if requester == member else flight
