--- a/bench/earlier.py
+++ b/bench/bench_support.py
@@ -1,4 +1,4 @@
-"""For the benchmarks: the tests' support on the import path, earlier versions' files, CPU of a process."""
+"""Helpers of the benchmarks; importing this puts tests/support and tools on the import path."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 
 
 @contextlib.contextmanager
-def sources(revision: str) -> Iterator[Path]:
-    """The files of a commit, in a temporary folder; raises CalledProcessError for no such commit."""
+def source_tree(revision: str) -> Iterator[Path]:
+    """Yield a temporary folder with the files of a commit; raise CalledProcessError if it does not exist."""
     with tempfile.TemporaryDirectory() as folder:
         archive = subprocess.run(["git", "archive", revision], cwd=ROOT, check=True, capture_output=True)
         subprocess.run(["tar", "-x", "-C", folder], input=archive.stdout, check=True)
@@ -27,12 +27,12 @@
 
 
 def revision() -> str:
-    """The abbreviated hash of the commit that is measured."""
+    """Return the abbreviated hash of the commit that is measured."""
     command = ["git", "rev-parse", "--short", "HEAD"]
     return subprocess.run(command, cwd=ROOT, capture_output=True, text=True).stdout.strip()
 
 
 def cpu_s(pid: int) -> float:
-    """Seconds of CPU that a process has used so far, user and system."""
+    """Return the CPU time in seconds that a process has used so far, user and system."""
     fields = Path(f"/proc/{pid}/stat").read_text(encoding="ascii").rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / _TICKS_PER_S
--- a/bench/logging_cost.py
+++ b/bench/logging_cost.py
@@ -1,8 +1,8 @@
-"""CPU per request of one sidecar with the log of an earlier version, with plain text now and with JSON now.
+"""CPU time of a sidecar per request: an earlier version's log, and this version's as plain text and as JSON.
 
-Two loads: healthy servers, and servers that fail a class, so that requests fail and are logged at the highest
-rate that closed-loop clients reach.  Variants take turns; a figure is the median of the rounds, in us of CPU
-a request, and its ratio to the earlier version.  Run from the repository's root:
+Two loads: healthy servers, and servers that fail a service class, so that requests fail and are logged at the
+highest rate that closed-loop clients reach.  Variants run alternately; a figure is the median of the
+rounds, in us of CPU per request, with its ratio to the earlier version.  Run from the repository's root:
 
     .venv/bin/python bench/logging_cost.py [--before REV] [--rounds K] [--requests N]
 """
@@ -19,27 +19,27 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from earlier import ROOT, cpu_s, sources
+from bench_support import ROOT, cpu_s, source_tree
 
 from sidecar_balancer.observability.logs import LogConfig, configure_logging
 from stub_cluster import running_cluster
 from stub_servers import StubServer
 
 log = logging.getLogger(__name__)
-BEFORE = "51ec53d"  # the last version that logged plain text only
-UNLIMITED_LINES = 100_000
+BASELINE_REVISION = "51ec53d"  # the last version that logged plain text only
+UNLIMITED_LINES_PER_S = 100_000
 
 
 class Variant(NamedTuple):
-    """A version of the program, and what its configuration has beside the usual."""
+    """A version of the program and the changes to its configuration."""
 
     name: str
     root: Path
-    changes: dict[str, Any]
+    config_changes: dict[str, Any]
 
 
 class Cost(NamedTuple):
-    """What serving took."""
+    """The cost of serving requests."""
 
     cpu_us_per_request: float
     log_lines_per_s: float
@@ -57,32 +57,32 @@
             servers,
             "a",
             clients=16,
-            config_changes=variant.changes,
+            config_changes=variant.config_changes,
             program_folder=variant.root,
         ) as cluster:
             pid = cluster.tier.processes[0].pid
             cluster.load.requests_per_payment = 3
             cluster.load.start()
-            await cluster.load.wait_for_responses(requests // 4)  # past the start
+            await cluster.load.wait_for_responses(requests // 4)  # excludes the start
             loop = asyncio.get_running_loop()
-            began, cpu_before, count = loop.time(), cpu_s(pid), len(cluster.load.responses)
+            started_s, cpu_before, count = loop.time(), cpu_s(pid), len(cluster.load.responses)
             await cluster.load.wait_for_responses(requests)
-            took_s, spent_s = loop.time() - began, cpu_s(pid) - cpu_before
-            answered = len(cluster.load.responses) - count
+            elapsed_s, cpu_spent_s = loop.time() - started_s, cpu_s(pid) - cpu_before
+            response_count = len(cluster.load.responses) - count
             await cluster.load.stop()
         lines = (Path(folder) / "n0" / "log").read_bytes().count(b"\n")
-        return Cost(1e6 * spent_s / answered, lines / took_s)
+        return Cost(1e6 * cpu_spent_s / response_count, lines / elapsed_s)
 
 
 def cpu_us_per_line(log_format: str, lines: int = 5000) -> float:
-    """CPU us to render one line of the log, with the fields of a request that failed."""
+    """Return the CPU us to render one log line with the fields of a failed request."""
     configure_logging(
-        LogConfig(format=log_format, lines_per_s=UNLIMITED_LINES, repeats_per_s=UNLIMITED_LINES)
+        LogConfig(format=log_format, lines_per_s=UNLIMITED_LINES_PER_S, repeats_per_s=UNLIMITED_LINES_PER_S)
     )
     handler = logging.getLogger().handlers[0]
     assert isinstance(handler, logging.StreamHandler)
     handler.setStream(io.StringIO())
-    began = time.process_time()
+    started_s = time.process_time()
     for number in range(lines):
         log.info(
             "%s from port %d -> %s",
@@ -99,7 +99,7 @@
             },
         )
     logging.getLogger().handlers.clear()
-    return 1e6 * (time.process_time() - began) / lines
+    return 1e6 * (time.process_time() - started_s) / lines
 
 
 def compare(variants: list[Variant], failing: bool, rounds: int, requests: int) -> None:
@@ -107,28 +107,28 @@
     for _ in range(rounds):
         for variant in variants:
             costs[variant.name].append(asyncio.run(measure(variant, failing, requests)))
-    print("servers that fail a class" if failing else "healthy servers")
-    base_us = 0.0
+    print("servers that fail a service class" if failing else "healthy servers")
+    baseline_us = 0.0
     for name, measured in costs.items():
         cpu_us = statistics.median(cost.cpu_us_per_request for cost in measured)
         lines_per_s = statistics.median(cost.log_lines_per_s for cost in measured)
-        base_us = base_us or cpu_us
+        baseline_us = baseline_us or cpu_us
         print(
-            f"  {name:26} {cpu_us:7.0f} us a request  ratio {cpu_us / base_us:.3f}"
+            f"  {name:26} {cpu_us:7.0f} us per request  ratio {cpu_us / baseline_us:.3f}"
             f"  {lines_per_s:5.0f} lines/s"
         )
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__.split("\n\n")[0])
-    parser.add_argument("--before", default=BEFORE)
+    parser.add_argument("--before", default=BASELINE_REVISION)
     parser.add_argument("--rounds", type=int, default=5)
     parser.add_argument("--requests", type=int, default=4000)
     args = parser.parse_args()
     for log_format in ("plain", "json"):
         cpu_us = cpu_us_per_line(log_format)
-        print(f"a line, {log_format:5} {cpu_us:5.1f} us; 50 a second {50 * cpu_us / 1e6:.3%} of a core")
-    with sources(args.before) as earlier_root:
+        print(f"one line, {log_format:5} {cpu_us:5.1f} us; 50 per second {50 * cpu_us / 1e6:.3%} of a core")
+    with source_tree(args.before) as earlier_root:
         variants = [
             Variant(f"before ({args.before}), plain", earlier_root, {}),
             Variant("now, plain", ROOT, {"logging": {"format": "plain"}}),
--- a/bench/scale_edge.py
+++ b/bench/scale_edge.py
@@ -1,6 +1,7 @@
-"""What the endpoint list costs one sidecar: a changed entry, a full list, memory.
+"""Cost of the endpoint list for one sidecar: a changed entry, a full list, memory.
 
-The real sidecar without its discovery client, each size in a process of its own, for its peak of memory.
+Runs the real sidecar without its discovery client.  Each size runs in a process of its own, so that its
+peak memory can be measured.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-import earlier  # noqa: F401  # makes the tests' stand-ins known
+import bench_support  # noqa: F401  # puts tests/support on the import path
 from scale_fit import Series
 
 from helpers import settings
@@ -31,7 +32,7 @@
 
 @dataclass(frozen=True)
 class Cost:
-    """Of one size; times in microseconds of CPU, memory in bytes."""
+    """The costs at one list size: times in microseconds of CPU, memory in bytes."""
 
     change_us: list[float]
     snapshot_us: list[float]
@@ -39,9 +40,9 @@
     list_bytes: int
 
 
-def entry(number: int, **changes: Any) -> dict[str, Any]:
-    """Return an entry as a registry of that size lists it, some 140 bytes."""
-    members = {
+def endpoint_entry(number: int, **changes: Any) -> dict[str, Any]:
+    """Return an entry of about 140 bytes, as a large registry lists it."""
+    fields = {
         "name": f"s-{number:08x}",
         "address": f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:8443",
         "zone": f"zone-{number % ZONE_COUNT:02d}",
@@ -51,15 +52,15 @@
         "weight": 1.0,
         "since_ms": 0,
     }
-    return members | changes
+    return fields | changes
 
 
 def snapshot_body(size: int) -> bytes:
-    listed = [entry(number) for number in range(size)]
+    listed = [endpoint_entry(number) for number in range(size)]
     return json.dumps({"index": 1, "snapshot": True, "endpoints": listed}).encode()
 
 
-def change(index: int, *entries: dict[str, Any]) -> ListUpdate:
+def delta_update(index: int, *entries: dict[str, Any]) -> ListUpdate:
     return parse_list({"index": index, "snapshot": False, "endpoints": list(entries)})
 
 
@@ -73,8 +74,8 @@
 
 
 async def _measure(size: int) -> Cost:
-    no_servers = ListUpdate(0, True, [])
-    config = SidecarConfig(("127.0.0.1", 0), ("127.0.0.1", 1), 7, 256, settings(zone="zone-00"), no_servers)
+    empty_list = ListUpdate(0, True, [])
+    config = SidecarConfig(("127.0.0.1", 0), ("127.0.0.1", 1), 7, 256, settings(zone="zone-00"), empty_list)
     sidecar = Sidecar(config)
     body = snapshot_body(size)
     gc.collect()
@@ -85,18 +86,18 @@
         sidecar.endpoint_updates.apply(ListKind.SNAPSHOT, decode_list(body))
         snapshot_us.append(1e6 * (time.process_time() - started_at))
     memory = resident_bytes() - before
-    change_us = [_microseconds_per_change(sidecar, size, trial) for trial in range(TRIALS)]
+    change_us = [_change_cpu_us(sidecar, size, trial) for trial in range(TRIALS)]
     await sidecar._close()
     return Cost(change_us, snapshot_us, memory, len(body))
 
 
-def _microseconds_per_change(sidecar: Sidecar, size: int, trial: int) -> float:
-    """Return the CPU time of a changed entry: drains and returns in turn."""
+def _change_cpu_us(sidecar: Sidecar, size: int, trial: int) -> float:
+    """Return the CPU time per changed entry; servers alternately start draining and become active again."""
     updates = []
     for number in range(CHANGES_PER_TRIAL):
         server = (trial * CHANGES_PER_TRIAL + number // 2) * 7919 % size
         status = "leaving" if number % 2 == 0 else "active"
-        updates.append(change(2, entry(server, status=status)))
+        updates.append(delta_update(2, endpoint_entry(server, status=status)))
     started_at = time.process_time()
     for update in updates:
         sidecar.endpoint_updates.apply(ListKind.DELTA, update)
@@ -104,7 +105,7 @@
 
 
 def run(sizes: list[int]) -> list[Series]:
-    """Measure each size; return the series that the capacity page quotes."""
+    """Measure each size and return the series that the capacity page quotes."""
     context = multiprocessing.get_context("spawn")
     costs: dict[int, Cost] = {}
     for size in sizes:
--- a/bench/scale_fanout.py
+++ b/bench/scale_fanout.py
@@ -1,6 +1,6 @@
-"""How a change of the list reaches many sidecars: time, processor, bytes and the registry's calls.
+"""Propagation of endpoint list changes to many sidecars: latency, CPU, bytes and registry requests.
 
-The registry, the relays and the hollow sidecars are processes on loopback; relays are the real program.
+The registry, the relays and the hollow sidecars are processes on loopback; the relays are the real program.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from pathlib import Path
 from typing import Any
 
-from earlier import ROOT, cpu_s
+from bench_support import ROOT, cpu_s
 
-SIDECARS_PER_RELAY = 458  # 22,000 over 54 machines, with a region's relays lost
+SIDECARS_PER_RELAY = 458  # 22,000 over 54 machines, when one region's relays are lost
 SIDECARS_PER_PROCESS = 200
-LISTED_SERVERS = 200  # what a sidecar calls, not the fleet
-CHANGE_INTERVAL_S = 1.25  # 0.8 changes a second
-SETTLE_S = 6.0  # after the start
-LAST_CHANGE_TIMEOUT_S = 8.0  # then it is counted as missing
+LISTED_SERVERS = 200  # the servers that one sidecar calls, not the whole fleet
+CHANGE_INTERVAL_S = 1.25  # 0.8 changes per second
+SETTLE_S = 6.0  # wait after the start
+LAST_CHANGE_TIMEOUT_S = 8.0  # a sidecar without the last change by then counts as missing
 REPLY_TIMEOUT_S = 120.0
 STEADY_PHASE = "0.8 changes/s"
 DIRECT_PHASE = "without relays"
@@ -34,7 +34,7 @@
 
 @dataclass
 class Worker:
-    """A process of the bench; it reads commands and writes JSON, a line each."""
+    """A worker process; it reads commands and writes JSON replies, one per line."""
 
     process: asyncio.subprocess.Process
 
@@ -56,17 +56,17 @@
 
 @dataclass
 class Outcome:
-    """One phase at one size."""
+    """The results of one phase at one size."""
 
     phase: str
     sidecars: int
     relays: int
     latencies_s: list[float] = field(default_factory=list)
-    missing: int = 0  # sidecars that did not have the last change in time
-    registry_calls_s: float = 0.0
-    relay_core: float = 0.0  # the busiest relay's part of a core
-    sidecar_core: float = 0.0  # a hollow sidecar's part of a core, on average
-    sidecar_bytes_s: float = 0.0  # bodies that relays sent, by sidecar
+    missing: int = 0  # sidecars that did not apply the last change in time
+    registry_calls_per_s: float = 0.0
+    relay_cpu_share: float = 0.0  # share of a core, of the busiest relay
+    sidecar_cpu_share: float = 0.0  # share of a core, mean of the hollow sidecars
+    sidecar_bytes_per_s: float = 0.0  # response bodies sent by relays, per sidecar
 
     def row(self) -> str:
         latencies_s = sorted(self.latencies_s) or [math.nan]
@@ -74,8 +74,8 @@
         return (
             f"{self.phase:<22}{self.sidecars:>7}{self.relays:>7}"
             f"{1000 * statistics.median(latencies_s):>9.0f}{1000 * p99_s:>9.0f}"
-            f"{1000 * latencies_s[-1]:>9.0f}{self.missing:>9}{self.registry_calls_s:>10.1f}"
-            f"{self.relay_core:>9.1%}{self.sidecar_core:>10.2%}{self.sidecar_bytes_s:>9.0f}"
+            f"{1000 * latencies_s[-1]:>9.0f}{self.missing:>9}{self.registry_calls_per_s:>10.1f}"
+            f"{self.relay_cpu_share:>9.1%}{self.sidecar_cpu_share:>10.2%}{self.sidecar_bytes_per_s:>9.0f}"
         )
 
 
@@ -86,7 +86,7 @@
 
 
 class Fleet:
-    """The registry, its relays (none: sidecars poll it themselves) and the hollow sidecars."""
+    """The registry, its relays (without any, sidecars poll the registry) and the hollow sidecars."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -169,7 +169,7 @@
 
 
 @contextlib.asynccontextmanager
-async def fleet(sidecars: int, relays: int) -> AsyncIterator[Fleet]:
+async def running_fleet(sidecars: int, relays: int) -> AsyncIterator[Fleet]:
     with tempfile.TemporaryDirectory() as folder:
         started = Fleet(Path(folder))
         try:
@@ -182,91 +182,91 @@
 
 @dataclass
 class Usage:
-    """What the processes of a fleet have used at one moment."""
+    """The resources that the processes of a fleet have used so far."""
 
-    at: float
+    at_s: float
     registry_requests: int
     relay_cpu_s: list[float]
     sidecar_cpu_s: float
     relay_bytes: int
 
 
-async def usage(of: Fleet) -> Usage:
+async def read_usage(fleet: Fleet) -> Usage:
     return Usage(
-        at=asyncio.get_running_loop().time(),
-        registry_requests=(await of.registry.command("calls"))["calls"],
-        relay_cpu_s=[cpu_s(relay.process.pid) for relay in of.relays],
-        sidecar_cpu_s=sum(cpu_s(group.process.pid) for group in of.sidecar_groups),
-        relay_bytes=await of.relay_bytes(),
+        at_s=asyncio.get_running_loop().time(),
+        registry_requests=(await fleet.registry.command("calls"))["calls"],
+        relay_cpu_s=[cpu_s(relay.process.pid) for relay in fleet.relays],
+        sidecar_cpu_s=sum(cpu_s(group.process.pid) for group in fleet.sidecar_groups),
+        relay_bytes=await fleet.relay_bytes(),
     )
 
 
-async def phase(of: Fleet, name: str, changes: list[int], kill: bool = False) -> Outcome:
+async def run_phase(fleet: Fleet, name: str, changes: list[int], kill_relay: bool = False) -> Outcome:
     """Make changes at the planned fleet's rate, `changes[n]` at once; measure until all are applied."""
-    outcome = Outcome(name, of.sidecars, len(of.relays))
-    for group in of.sidecar_groups:
-        await group.command("report")  # what came before does not count
-    before = await usage(of)
+    outcome = Outcome(name, fleet.sidecars, len(fleet.relays))
+    for group in fleet.sidecar_groups:
+        await group.command("report")  # discards updates from before this phase
+    before = await read_usage(fleet)
     changed_at: dict[int, float] = {}
-    for turn, count in enumerate(changes):
-        if kill and turn == len(changes) // 2:
-            await of.relays.pop().end()
-            of.admin_addresses.pop()
+    for number, count in enumerate(changes):
+        if kill_relay and number == len(changes) // 2:
+            await fleet.relays.pop().end()
+            fleet.admin_addresses.pop()
             before.relay_cpu_s.pop()
-            before.relay_bytes = await of.relay_bytes()
-        reply = await of.registry.command(f"change {count}")
-        changed_at |= {int(index): at for index, at in reply["changed"].items()}
+            before.relay_bytes = await fleet.relay_bytes()
+        reply = await fleet.registry.command(f"change {count}")
+        changed_at |= {int(index): at_s for index, at_s in reply["changed"].items()}
         await asyncio.sleep(CHANGE_INTERVAL_S)
-    record_usage(outcome, before, await usage(of))
-    await collect_latencies(of, outcome, changed_at)
+    record_usage(outcome, before, await read_usage(fleet))
+    await collect_latencies(fleet, outcome, changed_at)
     return outcome
 
 
 def record_usage(outcome: Outcome, before: Usage, after: Usage) -> None:
-    elapsed_s = after.at - before.at
+    elapsed_s = after.at_s - before.at_s
     relay_cpu_s = [now - then for now, then in zip(after.relay_cpu_s, before.relay_cpu_s, strict=True)]
     sidecar_s = elapsed_s * outcome.sidecars
-    outcome.relay_core = max(relay_cpu_s, default=0.0) / elapsed_s
-    outcome.sidecar_core = (after.sidecar_cpu_s - before.sidecar_cpu_s) / sidecar_s
-    outcome.registry_calls_s = (after.registry_requests - before.registry_requests) / elapsed_s
-    outcome.sidecar_bytes_s = (after.relay_bytes - before.relay_bytes) / sidecar_s
+    outcome.relay_cpu_share = max(relay_cpu_s, default=0.0) / elapsed_s
+    outcome.sidecar_cpu_share = (after.sidecar_cpu_s - before.sidecar_cpu_s) / sidecar_s
+    outcome.registry_calls_per_s = (after.registry_requests - before.registry_requests) / elapsed_s
+    outcome.sidecar_bytes_per_s = (after.relay_bytes - before.relay_bytes) / sidecar_s
 
 
-async def collect_latencies(of: Fleet, outcome: Outcome, changed_at: dict[int, float]) -> None:
-    """Collect the sidecars' reports until all have the last change, or it is late."""
+async def collect_latencies(fleet: Fleet, outcome: Outcome, changed_at: dict[int, float]) -> None:
+    """Collect the sidecars' reports until all have applied the last change or the timeout expires."""
     last_index = max(changed_at)
     loop = asyncio.get_running_loop()
-    late_at = loop.time() + LAST_CHANGE_TIMEOUT_S
+    deadline_s = loop.time() + LAST_CHANGE_TIMEOUT_S
     while True:
         indexes: list[int] = []
-        for group in of.sidecar_groups:
+        for group in fleet.sidecar_groups:
             reply = await group.command("report")
             indexes += reply["index"]
-            for at, from_index, to_index in (update for applied in reply["applied"] for update in applied):
+            for at_s, from_index, to_index in (update for applied in reply["applied"] for update in applied):
                 applied_indexes = changed_at.keys() & set(range(from_index + 1, to_index + 1))
-                outcome.latencies_s += [at - changed_at[index] for index in applied_indexes]
+                outcome.latencies_s += [at_s - changed_at[index] for index in applied_indexes]
         outcome.missing = sum(index < last_index for index in indexes)
-        if not outcome.missing or loop.time() > late_at:
+        if not outcome.missing or loop.time() > deadline_s:
             return
         await asyncio.sleep(0.5)
 
 
 async def run(sizes: list[int], max_without_relays: int) -> list[Outcome]:
-    """Measure each size with relays, and the smaller ones without; print a row a phase as it ends."""
+    """Measure each size with relays, and the smaller ones also without; print a row after each phase."""
     outcomes = []
     print(HEADER)
     for size in sizes:
         relays = max(math.ceil(size / SIDECARS_PER_RELAY), 2)
-        async with fleet(size, relays) as of:
-            for name, changes, kill in (
+        async with running_fleet(size, relays) as fleet:
+            for name, changes, kill_relay in (
                 (STEADY_PHASE, [1] * 8, False),
                 ("burst of 1,050", [1050, 1, 1, 1], False),
                 ("a relay killed", [1] * 8, True),
             ):
-                outcomes.append(await phase(of, name, changes, kill))
+                outcomes.append(await run_phase(fleet, name, changes, kill_relay))
                 print(outcomes[-1].row(), flush=True)
         if size <= max_without_relays:
-            async with fleet(size, 0) as of:
-                outcomes.append(await phase(of, DIRECT_PHASE, [1] * 8))
+            async with running_fleet(size, 0) as fleet:
+                outcomes.append(await run_phase(fleet, DIRECT_PHASE, [1] * 8))
                 print(outcomes[-1].row(), flush=True)
     return outcomes
--- a/bench/scale_fit.py
+++ b/bench/scale_fit.py
@@ -1,4 +1,4 @@
-"""Slopes of the scale bench: a line through the medians of each size, and the spread of single trials."""
+"""Linear fits for the scale benchmarks: a line through the medians, and its spread over single trials."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True)
 class Series:
-    """A measured quantity by size; each size has one value a trial, in the same order."""
+    """A measured quantity by size; each size has one value per trial, in the same order."""
 
     name: str
     unit: str
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class Fit:
-    """A line through the medians; `min_slope` and `max_slope` are those of single trials."""
+    """A line through the medians; `min_slope` and `max_slope` are the extremes over single trials."""
 
     slope: float
     intercept: float
--- a/bench/scale_hollow.py
+++ b/bench/scale_hollow.py
@@ -1,10 +1,10 @@
-"""Parts of the fan-out bench that run as processes of their own: the registry, and many hollow sidecars.
+"""Worker processes of the fan-out benchmark: the registry, and many hollow sidecars.
 
     scale_hollow.py registry SERVERS           # reads commands, writes JSON lines
     scale_hollow.py sidecars COUNT FIRST SERVERS ADDRESS...
 
-A hollow sidecar is the real balancer, the real discovery client and the list, without clients and servers.
-Clocks are the system's monotonic one, the same in all processes of a machine.
+A hollow sidecar consists of the real balancer, the real discovery client and the endpoint list, without
+clients and servers.  Times are from the system's monotonic clock, which all processes of a machine share.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-import earlier  # noqa: F401  # makes the tests' stand-ins known
-from scale_edge import change, entry
+import bench_support  # noqa: F401  # puts tests/support on the import path
+from scale_edge import delta_update, endpoint_entry
 
 from helpers import settings
 from registry import FakeRegistry
@@ -32,11 +32,11 @@
 from sidecar_balancer.policy.events import EndpointListReceived
 from sidecar_balancer.policy.types import ListKind
 
-START_SPREAD_S = 3.0  # over which the sidecars of a process start
-RETRY_S = 3.0  # after all sources failed, as the balancer bounds it
+START_SPREAD_S = 3.0  # the sidecars of a process start at random times within this span
+MAX_RETRY_DELAY_S = 3.0  # after all sources failed; the same bound as in the balancer
 
 
-def report(**values: Any) -> None:
+def print_json(**values: Any) -> None:
     print(json.dumps(values), flush=True)
 
 
@@ -48,36 +48,36 @@
 
 
 async def run_registry(servers: int) -> None:
-    """Serve a list until the input ends: `change N` changes N entries in turn, `calls` reports requests."""
-    registry = FakeRegistry([entry(number) for number in range(servers)], index=1)
+    """Serve a list until the input ends: `change N` makes N changes in turn, `calls` reports requests."""
+    registry = FakeRegistry([endpoint_entry(number) for number in range(servers)], index=1)
     await registry.start()
-    report(address="{}:{}".format(*registry.address))
+    print_json(address="{}:{}".format(*registry.address))
     reader, change_count = await input_lines(), 0
     while command := (await reader.readline()).decode().split():
         if command[0] == "calls":
-            report(calls=registry.request_count, cpu_s=time.process_time())
+            print_json(calls=registry.request_count, cpu_s=time.process_time())
             continue
         changed_at = {}
         for _ in range(int(command[1])):
             change_count += 1
             status = "leaving" if (change_count // servers) % 2 == 0 else "active"
-            index = registry.change(entry(change_count * 7919 % servers, status=status))
+            index = registry.change(endpoint_entry(change_count * 7919 % servers, status=status))
             changed_at[index] = time.monotonic()
-        report(changed=changed_at)
+        print_json(changed=changed_at)
     await registry.end()
 
 
 class AppliedUpdate(NamedTuple):
-    """When a sidecar went from one index to another."""
+    """The time at which a sidecar went from one index to another."""
 
-    at: float
+    at_s: float
     from_index: int
     to_index: int
 
 
 @dataclass
 class HollowSidecar:
-    """A sidecar without clients and servers, and when it applied which index."""
+    """A sidecar without clients and servers, which records when it applied which index."""
 
     number: int
     sources: list[Address]
@@ -94,7 +94,7 @@
         loop = asyncio.get_running_loop()
         if not isinstance(event, ListUpdate):
             assert self.client is not None
-            loop.call_later(RETRY_S * random.random(), self.client.set_watching, True)
+            loop.call_later(MAX_RETRY_DELAY_S * random.random(), self.client.set_watching, True)
             return
         kind = ListKind.SNAPSHOT if event.complete else ListKind.DELTA
         servers = [listed.server for listed in event.entries]
@@ -105,24 +105,24 @@
 
 
 async def run_sidecars(count: int, first: int, servers: int, addresses: list[Address]) -> None:
-    """Run hollow sidecars; at each line of input they report what each applied since the last report."""
+    """Run hollow sidecars; each line of input is answered with the updates applied since the last report."""
     relays = [RelayAddress(address) for address in addresses]
     balancer_settings = settings(fleet_size=count)
-    known = [entry(number) for number in range(servers)]
-    servers_known = [listed.server for listed in change(1, *known).entries]
+    initial_entries = [endpoint_entry(number) for number in range(servers)]
+    initial_servers = [listed.server for listed in delta_update(1, *initial_entries).entries]
     sidecars = []
     for number in range(first, first + count):
         balancer = Balancer(balancer_settings, number)
-        balancer.handle(0, EndpointListReceived(ListKind.CACHED, servers_known, 1))
+        balancer.handle(0, EndpointListReceived(ListKind.CACHED, initial_servers, 1))
         sidecars.append(HollowSidecar(number, rank_relays(relays, f"n{number}", ""), balancer))
     loop = asyncio.get_running_loop()
     for sidecar in sidecars:
         loop.call_later(START_SPREAD_S * random.random(), sidecar.start)
-    report(started=count)
+    print_json(started=count)
     reader = await input_lines()
     while await reader.readline():
         applied = [sidecar.applied for sidecar in sidecars]
-        report(applied=applied, cpu_s=time.process_time(), index=[sidecar.index for sidecar in sidecars])
+        print_json(applied=applied, cpu_s=time.process_time(), index=[sidecar.index for sidecar in sidecars])
         for sidecar in sidecars:
             sidecar.applied = []
 
--- a/bench/scale_membership.py
+++ b/bench/scale_membership.py
@@ -1,4 +1,4 @@
-"""What the membership plane costs one sidecar by the size of its tier, in CPU of a protocol period."""
+"""CPU cost of the membership plane for one sidecar per protocol period, by the size of its tier."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 def run(sizes: list[int]) -> list[Series]:
-    """Measure one member of a tier of each size, its peers sending nothing."""
+    """Measure one member of a tier of each size, whose peers send nothing."""
     ticks: dict[int, list[float]] = {}
     for size in sizes:
         ticks[size] = [_period_cpu_us(size, seed) for seed in range(TRIALS)]
-    return [Series("a period of the peer plane's member", "us of CPU", ticks)]
+    return [Series("one protocol period of a member", "us of CPU", ticks)]
 
 
 def _period_cpu_us(size: int, seed: int) -> float:
--- a/bench/zones.py
+++ b/bench/zones.py
@@ -1,10 +1,10 @@
-"""Zones before and after, on real processes: the same tier, servers, load and seeds, run by two versions.
+"""Benchmark of zones on real processes: two versions with the same tier, servers, load and seeds.
 
-Two sidecars, one in each of two zones, four servers a zone.  Scenarios: steady; a zone that fails for some
-seconds and restarts; a zone that becomes unresponsive; a zone that flaps.  Printed for each: requests
-answered from another zone, p50 and p99 latency in ms, failed requests, the most that a server which warms
-up was sent of what overloads it (`over`; at 1.0 it is overloaded), and for this version how long the
-sidecar of the failed zone took to evacuate it.
+Two sidecars, one in each of two zones, four servers per zone.  Scenarios: steady; a zone that fails for some
+seconds and restarts; a zone that becomes unresponsive; a zone that flaps.  Printed for each: share of
+requests answered from another zone, p50 and p99 latency in ms, failed requests, the peak load of a server
+that is warming up as a ratio of the load that overloads it (`over`; at 1.0 it is overloaded), and for this
+version how long the sidecar of the failed zone took to evacuate it.
 
     .venv/bin/python bench/zones.py [--before REV] [--seeds K] [--span S]
 """
@@ -20,14 +20,14 @@
 from pathlib import Path
 from typing import Any
 
-from earlier import ROOT, sources
+from bench_support import ROOT, source_tree
 
 from harness import MEMBERSHIP_ON
 from load_generator import ResponseRecord
 from stub_cluster import Cluster, running_cluster
 from stub_servers import StubServer
 
-BEFORE = "51ec53d"  # the last version without zones
+BASELINE_REVISION = "51ec53d"  # the last version without zone support
 ZONES_ON: dict[str, Any] = {"locality": {"on": True, "ramp_ms": 4000}}
 ZONES = "ab"  # of the sidecars, in order
 SERVERS_PER_ZONE = 4
@@ -49,7 +49,7 @@
 
 @dataclass
 class Figures:
-    """What one run of a scenario gave."""
+    """The results of one run of a scenario."""
 
     cross_zone_ratio: float
     p50_ms: float
@@ -60,7 +60,7 @@
     evacuation_ms: float | None
 
     def row(self) -> str:
-        """The figures as columns."""
+        """Format the figures as columns."""
         evacuation = "-" if self.evacuation_ms is None else f"{self.evacuation_ms:.0f} ms"
         failed = f"{self.failed} of {self.requests}"
         return (
@@ -70,13 +70,13 @@
 
 
 async def steady(_cluster: Cluster, span_s: float) -> float | None:
-    """No fault."""
+    """Run without a fault."""
     await asyncio.sleep(2 * span_s)
     return None
 
 
 async def failed_zone(cluster: Cluster, span_s: float) -> float | None:
-    """The servers of zone b crash and restart."""
+    """Crash the servers of zone b, then restart them."""
     await cluster.crash_zone("b")
     evacuation_ms = await evacuation_time(cluster, span_s)
     await cluster.restart_zone("b")
@@ -85,7 +85,7 @@
 
 
 async def unresponsive_zone(cluster: Cluster, span_s: float) -> float | None:
-    """The servers of zone b answer nothing for a while."""
+    """Make the servers of zone b unresponsive for a while."""
     for server in cluster.servers_in("b"):
         server.unresponsive = True
     evacuation_ms = await evacuation_time(cluster, span_s)
@@ -96,7 +96,7 @@
 
 
 async def flapping_zone(cluster: Cluster, span_s: float) -> float | None:
-    """The servers of zone b crash and restart four times."""
+    """Crash and restart the servers of zone b four times."""
     for _ in range(4):
         await cluster.crash_zone("b")
         await asyncio.sleep(span_s / 4)
@@ -114,22 +114,22 @@
 
 
 async def evacuation_time(cluster: Cluster, span_s: float) -> float | None:
-    """Wait `span_s` seconds; the ms after which sidecar 1 evacuated zone b, by its own account."""
+    """Wait `span_s` seconds and return the ms until sidecar 1 evacuated zone b, as its admin server shows."""
     loop = asyncio.get_running_loop()
-    started_s, found_ms = loop.time(), None
+    started_s, evacuation_ms = loop.time(), None
     while loop.time() < started_s + span_s:
         view = (await cluster.zones(1)).get("zones", {}).get("b")
-        if found_ms is None and view and view["left_for_ms"] is not None:
-            found_ms = 1000 * (loop.time() - started_s) - view["left_for_ms"]
+        if evacuation_ms is None and view and view["left_for_ms"] is not None:
+            evacuation_ms = 1000 * (loop.time() - started_s) - view["left_for_ms"]
         await asyncio.sleep(POLL_INTERVAL_S)
-    return found_ms
+    return evacuation_ms
 
 
 async def measure(version: Version, scenario: Scenario, seed: int, span_s: float) -> Figures:
     """Run one scenario with one version."""
     servers = [StubServer(f"{zone}-{number}", zone) for zone in ZONES for number in range(SERVERS_PER_ZONE)]
     with tempfile.TemporaryDirectory() as folder:
-        starting = running_cluster(
+        cluster_context = running_cluster(
             Path(folder),
             len(ZONES),
             servers,
@@ -140,7 +140,7 @@
             version.config_changes,
             program_folder=version.program_folder,
         )
-        async with starting as cluster:
+        async with cluster_context as cluster:
             cluster.load.start()
             await cluster.load.wait_for_responses(WARM_UP_RESPONSES)
             started_s = asyncio.get_running_loop().time()
@@ -153,7 +153,7 @@
 def figures(
     responses: list[ResponseRecord], servers: list[StubServer], evacuation_ms: float | None
 ) -> Figures:
-    """Sum up a run."""
+    """Compute the figures of a run."""
     successes = [response for response in responses if response.status == 200]
     times_ms = sorted(1000 * response.took_s for response in successes)
     cross_zone = sum(response.server[0] != ZONES[response.sidecar] for response in successes)
@@ -171,13 +171,15 @@
 def main() -> None:
     """Run every scenario with both versions."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n\n")[0])
-    parser.add_argument("--before", default=BEFORE)
+    parser.add_argument("--before", default=BASELINE_REVISION)
     parser.add_argument("--seeds", type=int, default=2)
-    parser.add_argument("--span", type=float, default=4.0, help="seconds of a fault, and again after it")
+    parser.add_argument(
+        "--span", type=float, default=4.0, help="seconds of a fault, and of the time after it"
+    )
     args = parser.parse_args()
-    columns = f"{'cross':>6} {'p50':>5} {'p99':>6} {'failed':>12} {'over':>5} leave"
-    print(f"{'scene':8} {'version':16} {'seed':>4} {columns}")
-    with sources(args.before) as before_folder:
+    columns = f"{'cross':>6} {'p50':>5} {'p99':>6} {'failed':>12} {'over':>5} evacuation"
+    print(f"{'scenario':8} {'version':16} {'seed':>4} {columns}")
+    with source_tree(args.before) as before_folder:
         versions = [
             Version(f"before {args.before}", before_folder, {}),
             Version("now, on", ROOT, ZONES_ON),
