--- a/tests/lease/test_exploration.py
+++ b/tests/lease/test_exploration.py
@@ -1,4 +1,4 @@
-"""Exhaustive exploration of the lease protocol: safe, but not without the skew margin or the epoch query."""
+"""The lease protocol in every state within a bound: it is safe, and unsafe without each safeguard."""
 
 from __future__ import annotations
 
