--- a/sidecar_balancer/policy/admission.py
+++ b/sidecar_balancer/policy/admission.py
@@ -13,7 +13,7 @@
 from sidecar_balancer.policy.stalls import StallDetector
 from sidecar_balancer.policy.window import UNRESTRICTED_RATIO, ConcurrencyWindow
 
-PRESSURE_AT_FULL = 4.0  # at a full window: one in fifty requests of middle rank is admitted
+PRESSURE_AT_FULL = 4.0  # pressure at a full window: one in fifty requests of middle rank is admitted
 RANK_SLOPE = 2.0  # factor on the pressure at the lowest rank, falling to almost none at the highest
 LOW_TRAFFIC_OBJECTIVES = 4.0  # with few requests, outcomes are counted over this many longest objectives
 LOW_TRAFFIC_HEADROOM_RATIO = 1.2  # requests admitted for each one answered in time
@@ -41,7 +41,7 @@
         self._received = received
         self._stalls = stalls
         self._rng = rng
-        self._longest_remaining_us: dict[str, int] = {}  # longest of any request so far, by class
+        self._longest_remaining_us: dict[str, int] = {}  # maximum of all requests so far, by class
         self._low_traffic_span_us = LOW_TRAFFIC_OBJECTIVES * longest_objective_us
         self._in_time = Rate(self._low_traffic_span_us)
         self._late = Rate(self._low_traffic_span_us)
@@ -97,7 +97,7 @@
         return False
 
     def _is_stale(self, now: int, service_class: ServiceClass, remaining_us: int) -> bool:
-        """Return whether a request missed its objective in a stall here and is worthless when late."""
+        """Return whether a request missed its objective in a stall and is worthless when late."""
         name = service_class.name
         longest_us = self._longest_remaining_us[name] = max(
             self._longest_remaining_us.get(name, 0), remaining_us
--- a/sidecar_balancer/policy/balancer.py
+++ b/sidecar_balancer/policy/balancer.py
@@ -150,7 +150,7 @@
 
     @property
     def capacity_per_us(self) -> float:
-        """Latest estimate of what a warm server serves for this balancer, in requests of mean cost."""
+        """Latest estimate of a warm server's capacity for this balancer, in requests of mean cost."""
         return self._slow_start.capacity_per_us
 
     @property
--- a/sidecar_balancer/policy/class_rejections.py
+++ b/sidecar_balancer/policy/class_rejections.py
@@ -17,10 +17,10 @@
 class ClassRejections:
     """Backoff of a class and tenant from servers that reject or fail just their requests."""
 
-    def __init__(self, longest_objective_us: int, verdicts: VerdictExchange, jitter: random.Random) -> None:
+    def __init__(self, longest_objective_us: int, verdicts: VerdictExchange, rng: random.Random) -> None:
         self._longest_objective_us = longest_objective_us
         self._verdicts = verdicts
-        self._jitter = jitter
+        self._rng = rng
 
     def rejected(self, now: int, request: Request, server: Server) -> None:
         """Back off from a server that has rejected the request."""
@@ -46,7 +46,7 @@
         previous = server.rejections.get(request.flow)
         count = previous.rejections if previous is not None else 0
         wait_us = min(BACKOFF_OBJECTIVES * 2**count, BACKOFF_MAX_OBJECTIVES) * self._longest_objective_us
-        if not request.may_be_sent_again():
+        if not request.permits_another_attempt():
             wait_us = BACKOFF_MAX_OBJECTIVES * self._longest_objective_us  # a failed trial fails its request
-        until = now + int(wait_us * (0.75 + 0.5 * self._jitter.random()))
+        until = now + int(wait_us * (0.75 + 0.5 * self._rng.random()))
         server.rejections[request.flow] = RejectionBackoff(until, min(count + 1, REJECTIONS_MAX_COUNTED))
--- a/sidecar_balancer/policy/components.py
+++ b/sidecar_balancer/policy/components.py
@@ -44,7 +44,7 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         self._settings = settings
         self._rng = random.Random(seed)
-        self._secondary_rng = random.Random(seed + 1)  # own stream: start times must not shift other draws
+        self._secondary_rng = random.Random(seed + 1)  # separate: start times must not shift other draws
         objectives_us = [service_class.latency_objective_us for service_class in settings.classes]
         self._longest_objective_us = max(objectives_us)
         rate_span_us = RATE_WINDOWS * settings.rules.overload_window_us
@@ -76,7 +76,7 @@
             zones=self.zones,
             load=self.load,
             verdicts=self.verdicts,
-            jitter=self._rng,
+            rng=self._rng,
             actions=self.actions,
         )
         self.slow_start = SlowStart(
@@ -85,14 +85,14 @@
             load=self.load,
             received=self._requests_received,
             served=self._served_by_warm,
-            start_jitter=self._secondary_rng,
+            secondary_rng=self._secondary_rng,
         )
 
     def _build_endpoint_table(self) -> None:
         self.discovery = DiscoverySchedule(
             self._settings,
-            jitter=self._rng,
-            start_jitter=self._secondary_rng,
+            rng=self._rng,
+            secondary_rng=self._secondary_rng,
             timers=self.timers,
             actions=self.actions,
         )
@@ -105,7 +105,7 @@
             slow_start=self.slow_start,
             verdicts=self.verdicts,
             disabled=self.disabled,
-            order=self._rng,
+            rng=self._rng,
             actions=self.actions,
         )
 
@@ -184,7 +184,7 @@
             zones=self.zones,
             outliers=self.outliers,
             admission=self.admission,
-            choices=self._secondary_rng,
+            secondary_rng=self._secondary_rng,
             actions=self.actions,
         )
         self.attempts = AttemptTracker(
--- a/sidecar_balancer/policy/discovery_schedule.py
+++ b/sidecar_balancer/policy/discovery_schedule.py
@@ -10,8 +10,8 @@
 from sidecar_balancer.policy.timer_queue import TimerKind, TimerQueue
 from sidecar_balancer.policy.types import ListKind
 
-CONCURRENT_CALLS = 8  # so many simultaneous calls take discovery no longer than one
-SPREAD_INTERVAL_RATIO = 0.01  # added spread of calls per further balancer, by the poll interval
+CONCURRENT_CALLS = 8  # discovery answers this many simultaneous calls as fast as one
+SPREAD_INTERVAL_RATIO = 0.01  # spread of calls added by each further balancer, over the poll interval
 RETRY_MIN_INTERVAL_RATIO = 0.05  # first backoff, as a part of the poll interval
 RETRY_MAX_INTERVAL_RATIO = 0.25
 RETRY_MAX_US = 3_000_000  # changes must be known 6 s after they are available, and a call takes up to 2 s
@@ -25,15 +25,15 @@
     def __init__(
         self,
         settings: Settings,
-        jitter: random.Random,
-        start_jitter: random.Random,
+        rng: random.Random,
+        secondary_rng: random.Random,
         timers: TimerQueue,
         actions: ActionQueue,
     ) -> None:
         self._polls = settings.discovery is DiscoveryMode.POLL
         self._poll_interval_us = settings.rules.poll_interval_us
-        self._jitter = jitter
-        self._start_jitter = start_jitter
+        self._rng = rng
+        self._secondary_rng = secondary_rng
         self._timers = timers
         self._actions = actions
         excess_balancers = max(settings.fleet_size - CONCURRENT_CALLS, 0)
@@ -45,7 +45,7 @@
 
     def start(self, now: int) -> None:
         """Schedule the first call."""
-        self._schedule(now, self._spread_us * self._start_jitter.random())
+        self._schedule(now, self._spread_us * self._secondary_rng.random())
 
     def timer_fired(self, now: int) -> None:
         """Make the call that is due, if any."""
@@ -78,7 +78,7 @@
         first_us = max(RETRY_MIN_INTERVAL_RATIO * self._poll_interval_us, self._spread_us)
         wait_us = min(first_us * 2**self.failed_calls, longest_us)
         self.failed_calls = min(self.failed_calls + 1, RETRY_MAX_EXPONENT)
-        self._schedule(now, wait_us * (0.25 + 0.75 * self._jitter.random()))
+        self._schedule(now, wait_us * (0.25 + 0.75 * self._rng.random()))
 
     def _schedule(self, now: int, wait_us: float) -> None:
         """Schedule the next call after this delay, replacing any call scheduled earlier."""
--- a/sidecar_balancer/policy/endpoint_table.py
+++ b/sidecar_balancer/policy/endpoint_table.py
@@ -42,7 +42,7 @@
         slow_start: SlowStart,
         verdicts: VerdictExchange,
         disabled: DisabledServers,
-        order: random.Random,
+        rng: random.Random,
         actions: ActionQueue,
     ) -> None:
         self.servers: dict[str, Server] = {}
@@ -55,7 +55,7 @@
         self._slow_start = slow_start
         self._verdicts = verdicts
         self._disabled = disabled
-        self._order = order
+        self._rng = rng
         self._actions = actions
 
     def list_received(self, now: int, event: EndpointListReceived) -> None:
@@ -66,10 +66,10 @@
             listed = {entry.server for entry in event.servers}
             for server in [server for server in self.servers.values() if server.name not in listed]:
                 server.state = ServerState.REMOVED
-                self._update_pool(server)
+                self._update_ready_zone(server)
         for entry in event.servers:
             self._apply_entry(now, entry)
-        self._forget_removed()
+        self._drop_removed()
 
     def override_requested(self, now: int, event: ServerOverrideRequested) -> None:
         """Disable or enable one server; a name that was never listed is ignored."""
@@ -83,7 +83,7 @@
         self._set_disabled(now, frozenset(event.servers))
 
     def _set_disabled(self, now: int, names: frozenset[str]) -> None:
-        """Disable exactly these servers; one enabled again was restarted in the meantime, so it warms up."""
+        """Disable exactly these servers; one enabled again warms up, as it was restarted in the meantime."""
         enabled = self._disabled.replace(names)
         for server in self.servers.values():
             if server.name in names and not server.disabled:
@@ -95,46 +95,46 @@
                     self._slow_start.start(now, server, now)
                 if server.ejected_until is not None:
                     self._outliers.readmit(now, server)
-            self._update_pool(server)
-        self._forget_removed()
+            self._update_ready_zone(server)
+        self._drop_removed()
         self._actions.append(ApplyDisabledServers(names))
 
     def _apply_entry(self, now: int, entry: ListedServer) -> None:
         server = self.servers.get(entry.server)
         if server is None:
-            server = Server(entry.server, self._order.random())
+            server = Server(entry.server, self._rng.random())
             self.servers[entry.server] = server
             server.disabled = entry.server in self._disabled.names
         server.zone = entry.zone or self._server_zones.get(entry.server, "")
         if server.state is ServerState.REMOVED:
-            server.relative_latency = 1.0  # until responses show it: the list does not tell a server's size
+            server.relative_latency = 1.0  # until responses show it: the list does not state a server's size
         server.state = entry.state
         if entry.started_at is not None and entry.started_at != server.started_at:
             server.started_at = entry.started_at
             self._slow_start.start(now, server, entry.started_at)
             if server.ejected_until is not None and entry.state is ServerState.READY:
                 self._outliers.readmit(now, server)  # the failures were those of the previous process
-        self._update_pool(server)
+        self._update_ready_zone(server)
 
-    def _update_pool(self, server: Server) -> None:
-        """Update the pool of ready servers after a change of a server."""
+    def _update_ready_zone(self, server: Server) -> None:
+        """Update the ready servers of the zones after a change of a server."""
         zone = server.zone if server.is_ready() else None
-        if server.pooled_zone != zone:
-            self._zones.set_pool_zone(server, zone)
+        if server.ready_zone != zone:
+            self._zones.set_ready_zone(server, zone)
         self._removed.pop(server, None)
         if server.state is ServerState.REMOVED:
             self._removed[server] = None
 
-    def _forget_removed(self) -> None:
-        """Forget servers that have left the list: each deploy brings new names."""
+    def _drop_removed(self) -> None:
+        """Drop servers that have left the list, as each deploy brings new names."""
         for server in list(self._removed):
             if server.in_flight or server.disabled:
                 continue
             del self.servers[server.name], self._removed[server]
-            server.forgotten = True
+            server.removed_from_table = True
             self.former_names[server.name] = None
             if len(self.former_names) > FORMER_NAMES_MAX:
                 del self.former_names[next(iter(self.former_names))]
             self._disabled.server_used(server)
             self._verdicts.withdraw_all(server)
-            self._outliers.forget(server)
+            self._outliers.drop(server)
--- a/sidecar_balancer/policy/events.py
+++ b/sidecar_balancer/policy/events.py
@@ -189,7 +189,7 @@
 
     servers: Mapping[str, RestoredServer] = field(default_factory=dict)
     baselines_us: Mapping[tuple[str, int], float] = field(default_factory=dict)  # by class and cost exponent
-    capacity_per_us: float = 0.0  # of a server, as seen by this balancer, in requests of mean cost
+    capacity_per_us: float = 0.0  # of a server for this balancer, in requests of mean cost
 
 
 Event = (
--- a/sidecar_balancer/policy/intake.py
+++ b/sidecar_balancer/policy/intake.py
@@ -80,8 +80,8 @@
         self._start_deadline(now, request, event.remaining_us)
         for attempt in request.attempts:
             if attempt.pending:
-                attempt.sent_at, attempt.stalled_us_before = now, self._stalls.stalled_us
-                attempt.responses_before = self._outliers.responses
+                attempt.sent_at, attempt.stalled_us_at_send = now, self._stalls.stalled_us
+                attempt.responses_at_send = self._outliers.responses
                 overdue_at = now + self._latency.overdue_after_us(request, attempt.server)
                 self._timers.schedule(
                     overdue_at, TimerKind.ATTEMPT_OVERDUE, request.request_id, attempt.index
@@ -94,5 +94,5 @@
             self._table.mark_answered(request)
 
     def _start_deadline(self, now: int, request: Request, remaining_us: int) -> None:
-        request.answer_by = now + remaining_us - self._deadline_margin_us
-        self._timers.schedule(request.answer_by, TimerKind.REQUEST_DEADLINE, request.request_id)
+        request.answer_deadline = now + remaining_us - self._deadline_margin_us
+        self._timers.schedule(request.answer_deadline, TimerKind.REQUEST_DEADLINE, request.request_id)
--- a/sidecar_balancer/policy/latency.py
+++ b/sidecar_balancer/policy/latency.py
@@ -12,13 +12,13 @@
 from sidecar_balancer.policy.verdicts import VerdictExchange
 
 BASELINE_STEP_RATIO = 0.02  # a baseline averages about its last fifty responses
-INITIAL_BASELINE_OBJECTIVE_RATIO = 0.3  # the baseline before any response, as a part of the latency objective
+INITIAL_BASELINE_OBJECTIVE_RATIO = 0.3  # baseline before any response, as a part of the latency objective
 RELATIVE_STEP_RATIO = 0.1  # a server's relative latency averages about its last ten responses
-RELATIVE_LATENCY_MAX = 4.0  # maximum that one response counts for: heavy requests say little about a server
+RELATIVE_LATENCY_MAX = 4.0  # maximum for one response: heavy requests say little about a server
 SLOW_RELATIVE_LATENCY = 2.5  # above this, a server is published as slow
 SLOW_CLEARED_RELATIVE_LATENCY = 1.5  # below this, that verdict is cleared
 OVERDUE_BASELINE_RATIO = 2.5  # multiple of the expected latency after which an attempt is overdue
-OVERDUE_MIN_OBJECTIVE_RATIO = 0.1  # minimum of that time, by the objective: shorter times are jitter
+OVERDUE_MIN_OBJECTIVE_RATIO = 0.1  # minimum time until then, over the objective: shorter delays are jitter
 
 
 class LatencyTracker:
--- a/sidecar_balancer/policy/load.py
+++ b/sidecar_balancer/policy/load.py
@@ -9,7 +9,7 @@
 
 SUBSET_MIN = 4.0  # size of the server subset of a balancer without traffic
 SUBSET_PER_LOAD = 1.0  # further servers for each request in flight, so that as many again may be idle
-RELIABLE_LOAD = 8.0  # with fewer in flight, chance is a large part of any measurement
+RELIABLE_LOAD = 8.0  # with fewer in flight, noise is a large part of any measurement
 AVERAGING_FACTOR_MAX = 4.0
 
 
@@ -19,7 +19,7 @@
     def __init__(self, longest_objective_us: int) -> None:
         self._longest_objective_us = longest_objective_us
         self.pending = 0  # attempts whose response has not started
-        self.pending_at_ejected = 0  # those of them at ejected servers
+        self.pending_at_ejected = 0  # the part of `pending` at ejected servers
         self.mean = 0.0
         self._abandoned_until: list[int] = []  # heap of clock times
         self._averaged_at = 0
@@ -42,7 +42,7 @@
             self.mean += (load - self.mean) * (1.0 - math.exp(-elapsed_us / span_us))
 
     def averaging_factor(self) -> float:
-        """Return how many times longer than a busy balancer to average, to tell a change from noise."""
+        """Return the factor by which to average longer than a busy balancer, to tell a change from noise."""
         return max(1.0, min(RELIABLE_LOAD / max(self.mean, 1e-9), AVERAGING_FACTOR_MAX))
 
     def subset_size(self) -> int:
--- a/sidecar_balancer/policy/locality.py
+++ b/sidecar_balancer/policy/locality.py
@@ -20,8 +20,8 @@
 TRIAL_MAX_OBJECTIVES = 8.0
 TRIALS_MAX_COUNTED = 8
 RECOVERY_MIN_WEIGHT = 0.1  # weight of a zone or a server at the start of its recovery ramp
-FAILURES_PER_PEER = 2  # own failures replaced by one peer's evacuation; one own is always required
-HEALTH_CHECKS_TO_RECOVER = 2  # consecutive successful ones
+FAILURES_PER_PEER = 2  # own failures that one peer's evacuation replaces; one own failure is always required
+HEALTH_CHECKS_TO_RECOVER = 2  # consecutive successful health checks that end an evacuation
 
 _OWN_ZONE, _OWN_REGION, _ANYWHERE = range(3)  # levels, the nearest first
 
@@ -32,14 +32,14 @@
 
 @dataclass(slots=True, eq=False)
 class Zone:
-    """State of one zone as seen by this balancer.  Times are clock times in microseconds."""
+    """State that this balancer keeps about one zone.  Times are clock times in microseconds."""
 
     name: str
     failures: Rate
     override: ZoneOverride | None
     ready_count: int = 0  # ready servers in the zone
-    failing: set[str] = field(default_factory=set)  # names of those that failed and have not responded since
-    last_response_at: dict[str, int] = field(default_factory=dict)  # by name of the other servers
+    failing: set[str] = field(default_factory=set)  # servers that failed and have not responded since
+    last_response_at: dict[str, int] = field(default_factory=dict)  # by server, except those in `failing`
     peers_evacuated: int = 0  # number of peers that have evacuated it
     evacuated_at: int | None = None  # None: not evacuated
     trials: int = 0  # consecutive evacuations and failed trials
@@ -87,9 +87,9 @@
         self._shares: list[float] | None = None  # of all levels except the last; None: to be computed
         self._own_trials_at = 0  # no own trials before this time: the tier's health checker comes first
 
-    def set_pool_zone(self, server: Server, name: str | None) -> None:
+    def set_ready_zone(self, server: Server, name: str | None) -> None:
         """Count a server as ready in that zone, or in none; zones without ready servers are dropped."""
-        old, server.pooled_zone = server.pooled_zone, name
+        old, server.ready_zone = server.ready_zone, name
         if old is not None:
             zone = self.by_name[old]
             zone.ready_count -= 1
@@ -127,7 +127,7 @@
         return zone if self._must_evacuate(now, zone) else None
 
     def failure_ratio(self, now: int, zone: Zone) -> float:
-        """Return the part of the zone's servers in use that failed and has not responded since."""
+        """Return the fraction of the zone's servers in use that failed and have not responded since."""
         since = now - int(FAILURE_SPAN_OBJECTIVES * self._longest_objective_us)
         responding = sum(at >= since for at in zone.last_response_at.values())
         return len(zone.failing) / max(len(zone.failing) + responding, 1)
@@ -234,14 +234,14 @@
         self.load_shares()
         return zone.override is not ZoneOverride.DRAIN and self.is_panicking
 
-    def candidates(self, roll: float, strength: float) -> Sequence[Server]:
-        """Return the servers to sample an attempt's server from; `roll` in 0..1 picks the level.
+    def candidates(self, point: float, local_preference: float) -> Sequence[Server]:
+        """Return the servers to sample an attempt's server from; `point` in 0..1 picks the level.
 
-        The own zone gets `strength` times its share of the requests.  The own region gets, by the same
-        measure, what the own zone leaves, and the remaining requests go to any zone.
+        The own zone gets `local_preference` times its share of the requests.  The own region then gets what
+        remains up to `local_preference` times its own share, and any zone gets the rest.
         """
         for level, share in zip(self._levels, self.load_shares(), strict=False):
-            if roll < strength * share:
+            if point < local_preference * share:
                 return level
         return self._levels[_ANYWHERE]
 
@@ -257,7 +257,7 @@
     def _compute_shares(self) -> list[float]:
         healthy, sizes = [0, 0, 0], [0, 0, 0]
         for zone in self.by_name.values():
-            ejected = sum(server.pooled_zone == zone.name for server in self._ejected)
+            ejected = sum(server.ready_zone == zone.name for server in self._ejected)
             for level in self._levels_of(zone.name):
                 healthy[level] += (zone.ready_count - ejected) * zone.is_in_use()
                 sizes[level] += zone.ready_count * (zone.override is not ZoneOverride.DRAIN)
--- a/sidecar_balancer/policy/outliers.py
+++ b/sidecar_balancer/policy/outliers.py
@@ -19,7 +19,7 @@
 EJECTION_MAX_OBJECTIVES = 16.0
 EJECTIONS_MAX_COUNTED = 8
 EJECTED_MAX_RATIO = 0.6  # maximum ejected part of the list: more would overload the rest
-UNRESPONSIVE_MAX_RATIO = 0.34  # the same for unresponsive servers: more of them mean overload, not outliers
+UNRESPONSIVE_MAX_RATIO = 0.34  # maximum of unresponsive ones: more indicate overload, not outliers
 
 FAILURES = (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST, Outcome.CONNECT_FAILED, Outcome.APPLICATION_ERROR)
 
@@ -39,7 +39,7 @@
         zones: Zones,
         load: LoadTracker,
         verdicts: VerdictExchange,
-        jitter: random.Random,
+        rng: random.Random,
         actions: ActionQueue,
     ) -> None:
         self.ejected = ejected
@@ -48,7 +48,7 @@
         self._zones = zones
         self._load = load
         self._verdicts = verdicts
-        self._jitter = jitter
+        self._rng = rng
         self._actions = actions
 
     def attempt_ended(self, now: int, request: Request, attempt: Attempt, outcome: Outcome) -> bool | None:
@@ -80,14 +80,14 @@
         server.last_response_at = now
         self.responses += 1
         self._verdicts.response_received(server, request.service_class.name)
-        if server.ejected_until is not None and not server.forgotten:
+        if server.ejected_until is not None and not server.removed_from_table:
             self.readmit(now, server)
 
     def eject(self, now: int, server: Server, reason: str, max_ratio: float = EJECTED_MAX_RATIO) -> None:
         """Extend a server's ejection, or eject it unless more than `max_ratio` would be ejected then."""
         if server.ejected_until is None:
             limit = max_ratio * min(len(self._zones.ready_servers), self._load.subset_size())
-            if server.forgotten or len(self.ejected) + 1 > limit:
+            if server.removed_from_table or len(self.ejected) + 1 > limit:
                 return
             self.ejected.append(server)
             self._load.server_ejected(server)
@@ -96,7 +96,7 @@
             self._zones.invalidate_shares()
         objectives = min(EJECTION_OBJECTIVES * 2**server.ejections, EJECTION_MAX_OBJECTIVES)
         server.ejections = min(server.ejections + 1, EJECTIONS_MAX_COUNTED)
-        jitter_factor = 0.75 + 0.5 * self._jitter.random()
+        jitter_factor = 0.75 + 0.5 * self._rng.random()
         server.ejected_until = now + int(objectives * self._longest_objective_us * jitter_factor)
 
     def readmit(self, now: int, server: Server) -> None:
@@ -115,7 +115,7 @@
         for server in [server for server in self.ejected if server.zone == zone]:
             self.readmit(now, server)
 
-    def forget(self, server: Server) -> None:
+    def drop(self, server: Server) -> None:
         """Drop a server that has left the endpoint list."""
         if server in self.ejected:
             self.ejected.remove(server)
--- a/sidecar_balancer/policy/overdue.py
+++ b/sidecar_balancer/policy/overdue.py
@@ -11,24 +11,24 @@
 from sidecar_balancer.policy.stalls import StallDetector
 from sidecar_balancer.policy.timer_queue import TimerKind, TimerQueue
 
-UNRESPONSIVE_OVERDUE_RATIO = (
-    2.0  # multiple of the overdue time after which a server without a response counts as unresponsive
-)
-UNRESPONSIVE_MIN_OBJECTIVE_RATIO = 0.5  # minimum of that time, as a part of the latency objective
-RESPONSES_FROM_OTHERS = 4  # since the attempt was sent; they show that only this server does not respond
+# Multiple of the overdue time after which a server without a response counts as unresponsive
+UNRESPONSIVE_OVERDUE_RATIO = 2.0
+UNRESPONSIVE_MIN_OBJECTIVE_RATIO = 0.5  # minimum time until then, as a part of the latency objective
+# Responses of other servers since the attempt was sent, which show that only its server does not respond
+RESPONSES_FROM_OTHERS = 4
 
 
 @unique
 class OverdueFinding(Enum):
     """Finding about the server of an overdue attempt."""
 
-    NOTHING = "nothing"  # its server answered other attempts meanwhile, or the balancer itself stalled
-    UNANSWERED = "unanswered"  # no response from its server since it was sent
-    UNRESPONSIVE = "unresponsive"  # first found now: no response for long, while other servers responded
+    NOTHING = "nothing"  # the server has answered other attempts since, or the balancer itself stalled
+    UNANSWERED = "unanswered"  # no response from the server since the attempt was sent
+    UNRESPONSIVE = "unresponsive"  # newly found: no response for long, while other servers responded
 
 
 class OverdueMonitor:
-    """Monitor of attempts that take far longer than expected."""
+    """Monitor of attempts that take much longer than expected."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
             return OverdueFinding.NOTHING
         server = attempt.server
         is_unanswered = server.last_response_at <= attempt.sent_at
-        waited_us = now - attempt.sent_at - (self._stalls.stalled_us - attempt.stalled_us_before)
+        waited_us = now - attempt.sent_at - (self._stalls.stalled_us - attempt.stalled_us_at_send)
         self._check_objective(now, request, attempt, waited_us)
         if not is_unanswered:
             return OverdueFinding.NOTHING
@@ -69,7 +69,7 @@
         if attempt.unresponsive:
             return OverdueFinding.UNANSWERED
         attempt.unresponsive = self._zones_enabled  # a response to a hedge in another zone will confirm it
-        if self._outliers.responses - attempt.responses_before < RESPONSES_FROM_OTHERS:
+        if self._outliers.responses - attempt.responses_at_send < RESPONSES_FROM_OTHERS:
             return OverdueFinding.UNANSWERED
         if server.ejected_until is None:
             self._outliers.eject(now, server, "silent", UNRESPONSIVE_MAX_RATIO)
--- a/sidecar_balancer/policy/overrides.py
+++ b/sidecar_balancer/policy/overrides.py
@@ -10,20 +10,21 @@
 
     Attributes:
         names: names of all disabled servers, listed or not.
-        unused: servers enabled again that no request has used since, in the order they were enabled.
+        awaiting_first_request: servers enabled again that no request has used since, in the order they were
+            enabled.
     """
 
     def __init__(self) -> None:
         self.names = frozenset[str]()
-        self.unused: dict[Server, None] = {}
+        self.awaiting_first_request: dict[Server, None] = {}
 
     def server_enabled(self, server: Server) -> None:
-        """Make the next eligible request use the server: its odds are low when there are few requests."""
-        self.unused[server] = None
+        """Make the next eligible request use the server; with few requests it is rarely sampled."""
+        self.awaiting_first_request[server] = None
 
     def server_used(self, server: Server) -> None:
-        """Remove a server from `unused`: a request uses it, or it is forgotten."""
-        self.unused.pop(server, None)
+        """Remove a server from `awaiting_first_request`: a request uses it, or it was dropped."""
+        self.awaiting_first_request.pop(server, None)
 
     def replace(self, names: frozenset[str]) -> frozenset[str]:
         """Replace the set of disabled servers; return the names of those that this enables."""
--- a/sidecar_balancer/policy/placement.py
+++ b/sidecar_balancer/policy/placement.py
@@ -40,7 +40,7 @@
 
     def retry(self, now: int, request: Request) -> bool:
         """Send another attempt after a failed one; return whether class, body and budget permit it."""
-        if not self._budget.has_token() or not request.may_be_sent_again():
+        if not self._budget.has_token() or not request.permits_another_attempt():
             return False
         self._budget.spend()
         self.place(now, request)
@@ -49,7 +49,7 @@
     def hedge(self, now: int, request: Request, attempt: Attempt) -> None:
         """Hedge an attempt that is unlikely to get a response; cancel it if hedging is not permitted."""
         limits = self._limits
-        if not request.may_be_sent_again() or len(request.attempts) >= limits.max_attempts:
+        if not request.permits_another_attempt() or len(request.attempts) >= limits.max_attempts:
             return
         if not self._budget.has_token():
             return
--- a/sidecar_balancer/policy/request.py
+++ b/sidecar_balancer/policy/request.py
@@ -18,8 +18,8 @@
     index: int
     server: Server
     sent_at: int
-    stalled_us_before: int  # total stall time of the balancer when the attempt was sent
-    responses_before: int  # responses from all servers before the attempt was sent
+    stalled_us_at_send: int  # total stall time of the balancer when the attempt was sent
+    responses_at_send: int  # responses from all servers before the attempt was sent
     is_trial: bool = False  # whether it may end its server's ejection
     pending: bool = True
     may_have_run: bool = True  # until an outcome proves that the server did not execute it
@@ -34,7 +34,7 @@
 
     request_id: int
     service_class: ServiceClass
-    answer_by: int  # clock time; NO_DEADLINE while its body still arrives
+    answer_deadline: int  # clock time; NO_DEADLINE while its body still arrives
     cost: float  # relative to the mean of its class
     flow: Flow
     cost_exponent: int  # binary exponent of the cost
@@ -56,7 +56,7 @@
         """Return whether a server may have executed the request."""
         return any(attempt.may_have_run for attempt in self.attempts)
 
-    def may_be_sent_again(self) -> bool:
+    def permits_another_attempt(self) -> bool:
         """Return whether its class and body permit another attempt now.
 
         Classes with idempotency keys are treated as non-idempotent.
--- a/sidecar_balancer/policy/selection.py
+++ b/sidecar_balancer/policy/selection.py
@@ -1,6 +1,6 @@
 """Selection of the server for an attempt: best of k random candidates, with a larger k after rejections.
 
-Of k distinct servers, sampled by their odds, the one with the lowest load is selected.
+Samples k distinct servers by their weights and selects the one with the lowest load.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 from sidecar_balancer.policy.verdicts import VerdictExchange, peer_verdict_count
 from sidecar_balancer.policy.window import LATE_MAX_RATIO, UNRESTRICTED_RATIO, ConcurrencyWindow
 
-CANDIDATES = 4  # k: loads are mostly small here, where two candidates are too few
-COST_POWER_MAX = 3.0  # exponent of relative latency in the odds, from four times the mean cost
-PEER_VERDICT_FACTOR = 0.5  # factor on a server's odds for each peer with a verdict against it
-REMOTE_MIN_ODDS = 0.25  # factor on the odds of other zones while the own zone is as fast
-REMOTE_EVEN_RATIO = 0.3  # with the own zone slower by this ratio, all zones have even odds
+CANDIDATES = 4  # k; two candidates are too few for the small loads that are usual here
+COST_POWER_MAX = 3.0  # maximum exponent of relative latency in a weight, from four times the mean cost
+PEER_VERDICT_FACTOR = 0.5  # factor on a server's weight for each peer with a verdict against it
+REMOTE_WEIGHT_MIN = 0.25  # factor on the weights of other zones while the own zone is as fast
+REMOTE_EVEN_RATIO = 0.3  # if the own zone is slower by this ratio, all zones have equal weights
 
 
 class EndpointSelector:
@@ -54,8 +54,8 @@
         self._disabled = disabled
         self._rng = rng
         self._secondary_rng = secondary_rng
-        self._remote_odds = 1.0  # factor for servers in other zones
-        self._remote_odds_at = -1  # clock time of the computation
+        self._remote_weight = 1.0  # factor on the weights of servers in other zones
+        self._remote_weight_at = -1  # clock time when that factor was computed
 
     def select(self, now: int, request: Request) -> Server | None:
         """Return the server for the next attempt, None if there is none."""
@@ -65,30 +65,33 @@
         pool = self._pool(now, request)
         if not pool:
             return None
-        odds = self._odds(now, pool, request)
-        sampled = self.sample(pool, odds, CANDIDATES << request.rejections)
-        if self._zones.enabled:  # the lower its recovery weight, the more loaded a server counts
-            weight = self._zones.weight
+        weights = self._sampling_weights(now, pool, request)
+        sampled = self.sample(pool, weights, CANDIDATES << request.rejections)
+        if self._zones.enabled:  # a lower recovery weight makes a server count as more loaded
+            recovery_weight = self._zones.weight
             return min(
                 sampled,
-                key=lambda server: ((server.load(now) + 1) / weight(now, server), server.relative_latency),
+                key=lambda server: (
+                    (server.load(now) + 1) / recovery_weight(now, server),
+                    server.relative_latency,
+                ),
             )
         return min(sampled, key=lambda server: (server.load(now), server.relative_latency))
 
-    def sample(self, pool: list[Server], odds: list[float], count: int) -> list[Server]:
-        """Sample distinct servers by their odds, in random order, so that ties are broken at random."""
-        sampled, remaining, total = list[Server](), list(range(len(pool))), sum(odds)
+    def sample(self, pool: list[Server], weights: list[float], count: int) -> list[Server]:
+        """Sample distinct servers by their weights, in random order, so that ties are broken at random."""
+        sampled, remaining, total = list[Server](), list(range(len(pool))), sum(weights)
         for _ in range(min(count, len(pool))):
             point, index = self._rng.random() * total, 0
-            while index < len(remaining) - 1 and point >= odds[remaining[index]]:
-                point, index = point - odds[remaining[index]], index + 1
-            total -= odds[remaining[index]]
+            while index < len(remaining) - 1 and point >= weights[remaining[index]]:
+                point, index = point - weights[remaining[index]], index + 1
+            total -= weights[remaining[index]]
             sampled.append(pool[remaining.pop(index)])
         return sampled
 
     def _trial_due(self, now: int, request: Request) -> Server | None:
         """Return a server due for a trial: just enabled again, in an evacuated zone, or ejected."""
-        for server in self._disabled.unused:
+        for server in self._disabled.awaiting_first_request:
             if server.is_ready() and self._is_eligible(now, server, request):
                 self._disabled.server_used(server)
                 return server
@@ -121,12 +124,13 @@
 
     def _pool(self, now: int, request: Request) -> list[Server]:
         """Return the servers to sample from: near ones if zones are enabled and enough are eligible."""
-        if self._remote_odds_at != now:
-            self._remote_odds_at, self._remote_odds = now, self._compute_remote_odds(now)
+        if self._remote_weight_at != now:
+            self._remote_weight_at, self._remote_weight = now, self._compute_remote_weight(now)
         zones = self._zones
         if zones.enabled:
-            strength = (1.0 - self._remote_odds) / (1.0 - REMOTE_MIN_ODDS)  # headroom of the own zone
-            near = self._subset(now, zones.candidates(self._secondary_rng.random(), strength), request)
+            # 1 while the own zone is as fast as the others, 0 when all zones have equal weights
+            preference = (1.0 - self._remote_weight) / (1.0 - REMOTE_WEIGHT_MIN)
+            near = self._subset(now, zones.candidates(self._secondary_rng.random(), preference), request)
             if len(near) >= 2:
                 return near
         return self._subset(now, zones.ready_servers, request)
@@ -155,30 +159,30 @@
             return False
         return server.warming_since is None or self._slow_start.has_capacity(now, server, request.cost)
 
-    def _odds(self, now: int, pool: list[Server], request: Request) -> list[float]:
-        """Return the odds: lower for slow servers, more so for costly requests, and scaled in slow start."""
+    def _sampling_weights(self, now: int, pool: list[Server], request: Request) -> list[float]:
+        """Return the weights: lower in slow start and for slow servers, more so for costly requests."""
         power = min(max(1.0, float(request.cost_exponent)), COST_POWER_MAX)
-        own_zone, remote_odds = self._zones.own_zone, self._remote_odds
-        odds = [
-            self._server_odds(now, server, power) * (1.0 if server.zone == own_zone else remote_odds)
+        own_zone, remote_weight = self._zones.own_zone, self._remote_weight
+        weights = [
+            self._server_weight(now, server, power) * (1.0 if server.zone == own_zone else remote_weight)
             for server in pool
         ]
         if self._verdicts.has_peer_verdicts:
             name = request.service_class.name
-            odds = [
-                odd * PEER_VERDICT_FACTOR ** peer_verdict_count(server, name)
-                for odd, server in zip(odds, pool, strict=True)
+            weights = [
+                weight * PEER_VERDICT_FACTOR ** peer_verdict_count(server, name)
+                for weight, server in zip(weights, pool, strict=True)
             ]
-        return odds
+        return weights
 
-    def _server_odds(self, now: int, server: Server, power: float) -> float:
+    def _server_weight(self, now: int, server: Server, power: float) -> float:
         latency = math.pow(max(server.relative_latency, 1.0 / RELATIVE_LATENCY_MAX), power)
         if server.warming_since is None:
             return 1.0 / latency
         return self._slow_start.weight(now, server) / latency
 
-    def _compute_remote_odds(self, now: int) -> float:
-        """Return the odds factor of other zones: lower while the own zone is as fast and little is late."""
+    def _compute_remote_weight(self, now: int) -> float:
+        """Return the factor of other zones: lower if the own zone is as fast and few responses are late."""
         if not self._weighs_zones:
             return 1.0
         if self._window.late_ratio >= LATE_MAX_RATIO or self._window.fill(now) > UNRESTRICTED_RATIO:
@@ -187,16 +191,16 @@
         servers = self._zones.ready_servers
         if self._outliers.ejected:
             servers = [server for server in servers if server.ejected_until is None]
-        near = [server.relative_latency for server in servers if server.zone == own_zone]
-        far = [server.relative_latency for server in servers if server.zone != own_zone]
-        if not near or not far or sum(far) <= 0.0:
+        local = [server.relative_latency for server in servers if server.zone == own_zone]
+        remote = [server.relative_latency for server in servers if server.zone != own_zone]
+        if not local or not remote or sum(remote) <= 0.0:
             return 1.0
-        excess = (sum(near) / len(near)) / (sum(far) / len(far)) - 1.0
-        return max(REMOTE_MIN_ODDS, min(excess / REMOTE_EVEN_RATIO, 1.0))
+        excess = (sum(local) / len(local)) / (sum(remote) / len(remote)) - 1.0
+        return max(REMOTE_WEIGHT_MIN, min(excess / REMOTE_EVEN_RATIO, 1.0))
 
 
 def _is_untried(server: Server, request: Request) -> bool:
-    """Return whether no attempt has failed there, is pending there or has found its zone unresponsive."""
+    """Return whether no attempt has failed or is pending at the server, or found its zone unresponsive."""
     if server in request.failed_servers:
         return False
     for attempt in request.attempts:
--- a/sidecar_balancer/policy/send_gate.py
+++ b/sidecar_balancer/policy/send_gate.py
@@ -57,17 +57,17 @@
         self._load.attempt_sent(server)
         if server.ejected_until is not None:
             attempt.is_trial = server.trial_pending = True
-        if request.answer_by != NO_DEADLINE:
+        if request.answer_deadline != NO_DEADLINE:
             overdue_at = now + self._latency.overdue_after_us(request, server)
             self._timers.schedule(overdue_at, TimerKind.ATTEMPT_OVERDUE, request.request_id, attempt.index)
-        self._actions.append(SendAttempt(request.request_id, server.name, request.answer_by))
+        self._actions.append(SendAttempt(request.request_id, server.name, request.answer_deadline))
         return True
 
     def _is_permitted(self, now: int, request: Request, server: Server) -> bool:
-        if request.answered or now >= request.answer_by:
+        if request.answered or now >= request.answer_deadline:
             return False
         if not self._limits.may_hedge and request.has_pending_attempt():
             return False
-        if len(request.attempts) >= self._limits.max_attempts or not request.may_be_sent_again():
+        if len(request.attempts) >= self._limits.max_attempts or not request.permits_another_attempt():
             return False
         return server.is_ready() and self._slow_start.has_capacity(now, server, request.cost)
--- a/sidecar_balancer/policy/slow_start.py
+++ b/sidecar_balancer/policy/slow_start.py
@@ -25,7 +25,7 @@
         load: LoadTracker,
         received: Rate,
         served: Rate,
-        start_jitter: random.Random,
+        secondary_rng: random.Random,
     ) -> None:
         self._rules = rules
         self._duration_us = rules.slow_start_us
@@ -33,7 +33,7 @@
         self._load = load
         self._received = received  # requests, regardless of their server
         self._served_by_warm = served  # responses of warm servers, by cost
-        self._start_jitter = start_jitter
+        self._secondary_rng = secondary_rng
         self.capacity_per_us = 0.0  # of a warm server, for this balancer's requests of mean cost
         self._capacity_at = -1  # time of that estimate
 
@@ -44,14 +44,14 @@
         send at once.
         """
         server.warming_since = since
-        server.slow_start_tokens, server.slow_start_tokens_at = self._start_jitter.random(), now
+        server.slow_start_tokens, server.slow_start_tokens_at = self._secondary_rng.random(), now
 
     def is_warming_up(self, now: int, server: Server) -> bool:
         """Return whether the server is in slow start."""
         return server.warming_since is not None and now < server.warming_since + self._duration_us
 
     def weight(self, now: int, server: Server) -> float:
-        """Return the part of its full capacity that a server has at least; 1.0 after its slow start."""
+        """Return the least fraction of its full capacity that a server has; 1.0 after its slow start."""
         if server.warming_since is None or not self.is_warming_up(now, server):
             return 1.0
         minimum = self._rules.slow_start_min_ratio
@@ -80,12 +80,12 @@
             self._served_by_warm.add(now, cost)
 
     def estimate_capacity(self, now: int) -> float:
-        """Return what a warm server serves for this balancer, or has served recently, per microsecond."""
+        """Return the cost per microsecond that a warm server serves for this balancer, or recently served."""
         if self._capacity_at != now:
             decay = math.exp((self._capacity_at - now) / self._duration_us)
             self._capacity_at = now
             warm = [server for server in self._ready_servers if not self.is_warming_up(now, server)]
-            counted = warm or self._ready_servers  # with ejected ones, which served a part of what is counted
+            counted = warm or self._ready_servers  # ejected ones too: they served a part of what is counted
             served = self._served_by_warm if warm else self._received
             rate = served.per_us(now) / max(min(len(counted), self._load.subset_size()), 1)
             self.capacity_per_us = max(rate, self.capacity_per_us * decay)
--- a/sidecar_balancer/policy/stalls.py
+++ b/sidecar_balancer/policy/stalls.py
@@ -5,7 +5,7 @@
 from sidecar_balancer.policy.timer_queue import TimerKind, TimerQueue
 
 TICK_OBJECTIVE_RATIO = 0.1  # tick interval over the shortest latency objective
-STALL_TICKS = 1.0  # a tick later than this many intervals shows a stall
+STALL_TICKS = 1.0  # a tick that is late by more than this many intervals shows a stall
 
 
 class StallDetector:
--- a/sidecar_balancer/policy/types.py
+++ b/sidecar_balancer/policy/types.py
@@ -21,7 +21,7 @@
 
     DELTA = "delta"  # changed entries only
     SNAPSHOT = "snapshot"  # complete: servers without an entry are removed
-    CACHED = "cached"  # complete, as of before a restart
+    CACHED = "cached"  # complete, stored before a restart
     FAILED = "failed"  # a call failed or the watch broke; no entries
     TIMED_OUT = "timed_out"  # a watch got no answer within its wait time; no entries
     SOURCE_CHANGED = "source_changed"  # discovery has a different address from now on; no entries
--- a/sidecar_balancer/policy/window.py
+++ b/sidecar_balancer/policy/window.py
@@ -9,9 +9,9 @@
 
 TARGET_RATIO = 0.3  # target of the median latency, over the latency objective
 TARGET_LOW_TRAFFIC_RATIO = 0.4  # the target while too few are in flight for a reliable median
-TARGET_MAX_RATIO = 0.5  # upper bound however slow an idle fleet is: else overload would pass for normal
+TARGET_MAX_RATIO = 0.5  # upper bound however slow an idle fleet is, or overload would pass for normal
 TARGET_FLOOR_RATIO = 1.2  # the target is at least this many times the median of an idle fleet
-MEDIAN_MAX_RATIO = 1.0  # upper bound of the running median, which has to come back down from there
+MEDIAN_MAX_RATIO = 1.0  # upper bound of the running median, which has to fall again from there
 MEDIAN_STEP = 0.04  # step of the running median: some 25 responses reverse it
 FLOOR_RISE_RATIO = 0.02  # rise of the floor at each response, over the median's step
 FLOOR_RISE_SHEDDING_RATIO = 0.002
--- a/sidecar_balancer/policy/zone_evacuation.py
+++ b/sidecar_balancer/policy/zone_evacuation.py
@@ -23,14 +23,14 @@
         zones: Zones,
         outliers: OutlierDetector,
         admission: AdmissionControl,
-        choices: random.Random,
+        secondary_rng: random.Random,
         actions: ActionQueue,
     ) -> None:
         self._may_health_check = may_health_check
         self._zones = zones
         self._outliers = outliers
         self._admission = admission
-        self._choices = choices
+        self._secondary_rng = secondary_rng
         self._actions = actions
 
     def outcome_recorded(self, now: int, server: Server, sent_at: int, success: bool) -> Zone | None:
@@ -59,7 +59,7 @@
         for zone in self._zones.evacuated_by_self_or_peers():
             names = [server.name for server in self._zones.ready_servers if server.zone == zone.name]
             if names:
-                self._actions.append(HealthCheck(self._choices.choice(names)))
+                self._actions.append(HealthCheck(self._secondary_rng.choice(names)))
 
     def health_check_ended(self, now: int, server: Server, success: bool) -> None:
         """Let the server's zone recover after enough successful health checks."""
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -23,7 +23,7 @@
 
 
 def _overload(driver: BalancerDriver, ticks: int) -> None:
-    """Send four requests for each response, so that responses come ever later."""
+    """Send four requests for each response, so that latency keeps growing."""
     driver.receive_list(server_names(4))
     outstanding: list[int] = []
     for tick in range(ticks):
@@ -47,9 +47,8 @@
     driver.serve_traffic(200)
     _overload(driver, 600)
     rejected_requests = {action.request for action in driver.actions_of(Reject)}
-    rejected_looks = sum(
-        1 for each in rejected_requests if each % 2
-    )  # classes alternate, so half of them would show no preference
+    # Classes alternate, so half of the rejected requests would show no preference.
+    rejected_looks = sum(1 for each in rejected_requests if each % 2)
     assert len(rejected_requests) > 300
     assert rejected_looks > 0.5 * len(rejected_requests)
     unsent = [action.request for action in driver.actions_of(Reject) if not driver.attempts(action.request)]
--- a/tests/policy/test_any_sequence.py
+++ b/tests/policy/test_any_sequence.py
@@ -63,7 +63,7 @@
 
 @dataclass
 class TrackedAttempt:
-    """An attempt as its server sees it."""
+    """State of an attempt at its server."""
 
     server: str
     entry: ListedServer
@@ -75,7 +75,7 @@
 
 @dataclass
 class TrackedRequest:
-    """A request as its client sees it."""
+    """State of a request at its client."""
 
     service_class: ServiceClass
     deadline: int
--- a/tests/policy/test_discovery_schedule.py
+++ b/tests/policy/test_discovery_schedule.py
@@ -99,15 +99,12 @@
     driver = BalancerDriver(settings(fleet_size=200))
     driver.receive_list(server_names(3))
     before = len(driver.actions_of(WatchEndpoints))
-    for unanswered in (
-        1,
-        2,
-    ):  # the call after an unanswered watch may get no answer either, and missed changes soon count as known
+    # The call after an unanswered watch may get no answer either, and missed changes soon count as known.
+    for unanswered in (1, 2):
         driver.feed(EndpointListReceived(ListKind.TIMED_OUT))
         assert len(driver.actions_of(WatchEndpoints)) == before + unanswered
-    driver.feed(
-        EndpointListReceived(ListKind.TIMED_OUT)
-    )  # further calls back off, so that the fleet does not call an overloaded service simultaneously
+    # Further calls back off, so that the fleet does not call an overloaded service simultaneously.
+    driver.feed(EndpointListReceived(ListKind.TIMED_OUT))
     assert len(driver.actions_of(WatchEndpoints)) == before + 2
     driver.receive_list(server_names(3))
     driver.feed(EndpointListReceived(ListKind.TIMED_OUT))
--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -40,9 +40,9 @@
     driver = BalancerDriver()
     unresponsive, unanswered = _with_one_unresponsive_server(driver, 20)
     assert any(event.text.startswith(f"ejected {unresponsive}") for event in driver.actions_of(LogEvent))
-    copies = [attempt.server for _, attempt in driver.attempts(unanswered[0])]
-    assert len(copies) > 1
-    assert unresponsive not in copies[1:]
+    targets = [attempt.server for _, attempt in driver.attempts(unanswered[0])]
+    assert len(targets) > 1
+    assert unresponsive not in targets[1:]
 
 
 def test_an_ejected_server_is_readmitted_by_a_single_successful_trial() -> None:
--- a/tests/policy/test_overrides.py
+++ b/tests/policy/test_overrides.py
@@ -119,7 +119,7 @@
         driver.end_attempt(request)
     sent = [attempt.server for _, attempt in driver.timeline[before:] if isinstance(attempt, SendAttempt)]
     assert server.name in sent
-    assert server not in driver.balancer.components.disabled.unused
+    assert server not in driver.balancer.components.disabled.awaiting_first_request
 
 
 def test_an_enabled_server_has_the_state_that_the_list_gives_it() -> None:
@@ -137,7 +137,7 @@
     driver = driver_with_servers()
     for disabled in (True, False):
         assert not override(driver, "10.9.9.9:80", disabled)
-    driver.receive_list(SERVERS[1:])  # the first is removed and forgotten
+    driver.receive_list(SERVERS[1:])  # the first is removed and dropped
     assert SERVERS[0] not in driver.balancer.servers
     assert override(driver, SERVERS[0], True)
     driver.receive_list(SERVERS)
--- a/tests/policy/test_placement.py
+++ b/tests/policy/test_placement.py
@@ -73,7 +73,7 @@
 
 
 def test_a_request_with_an_idempotency_key_that_may_have_run_is_not_retried() -> None:
-    # Classes with idempotency keys are held to the strictest reading, as this deployment has none.
+    # This deployment has no classes with idempotency keys, so they are treated as non-idempotent.
     driver = BalancerDriver()
     driver.receive_list(server_names(5))
     request = driver.request("amend", remaining_us=4 * S)
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -1,4 +1,4 @@
-"""Selection of servers: best of k by load, odds, subsets and zones."""
+"""Selection of servers: best of k by load, sampling weights, subsets and zones."""
 
 from __future__ import annotations
 
@@ -117,7 +117,7 @@
     assert _cross_zone_ratio(BalancerDriver(settings(prices={"cross_zone": 0.03})), 90 * MS, 40 * MS) > 0.5
 
 
-def test_slow_servers_have_lower_odds_for_heavy_requests(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_slow_servers_have_lower_weights_for_heavy_requests(monkeypatch: pytest.MonkeyPatch) -> None:
     driver = BalancerDriver()
     driver.receive_list(
         [
@@ -125,19 +125,19 @@
             for name in server_names(5)
         ]
     )
-    relative_odds: list[float] = []
+    relative_weights: list[float] = []
     sample = driver.balancer.components.selector.sample
 
-    def recording_sample(pool: list[Server], odds: list[float], count: int) -> list[Server]:
-        by_name = {each.name: server_odds for each, server_odds in zip(pool, odds, strict=True)}
+    def recording_sample(pool: list[Server], weights: list[float], count: int) -> list[Server]:
+        by_name = {each.name: weight for each, weight in zip(pool, weights, strict=True)}
         slow = by_name.pop(server_names(5)[0])
-        relative_odds.append(slow / max(by_name.values()))
-        return sample(pool, odds, count)
+        relative_weights.append(slow / max(by_name.values()))
+        return sample(pool, weights, count)
 
     monkeypatch.setattr(driver.balancer.components.selector, "sample", recording_sample)
     for cost in (20 * MS, 20 * MS, 100 * MS):
         driver.end_attempt(driver.request(cost_us=cost))
-    assert relative_odds[2] < 0.5 * relative_odds[0]
+    assert relative_weights[2] < 0.5 * relative_weights[0]
 
 
 def test_a_server_with_errors_in_every_other_response_is_selected_less_often() -> None:
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -15,8 +15,8 @@
 from sidecar_balancer.policy.types import ListKind
 
 
-@pytest.mark.parametrize(("every_us", "burst"), [(10 * MS, 1), (200 * MS, 20), (500 * MS, 1)])
-def test_a_warming_server_gets_no_more_than_its_share(every_us: int, burst: int) -> None:
+@pytest.mark.parametrize(("interval_us", "burst"), [(10 * MS, 1), (200 * MS, 20), (500 * MS, 1)])
+def test_a_warming_server_gets_no_more_than_its_share(interval_us: int, burst: int) -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(6))
     driver.serve_traffic(300, every_us=10 * MS)
@@ -26,7 +26,7 @@
     driver.receive_list([warming], ListKind.DELTA)
     while driver.now < joined_at + 10 * S:
         requests = [driver.request() for _ in range(burst)]
-        driver.advance(every_us)
+        driver.advance(interval_us)
         for each in requests:
             if driver.attempts(each):
                 driver.end_attempt(each)
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -40,27 +40,27 @@
 
 def arrivals(drivers: list[BalancerDriver], per_s: float, seed: int, until: int) -> list[tuple[int, int]]:
     """Return requests of the whole fleet as (time, driver): a Poisson process with a few busy sidecars."""
-    source = random.Random(seed)
+    rng = random.Random(seed)
     weights = [4.0 if index % 10 == 0 else 1.0 for index in range(len(drivers))]
     schedule, at = [], float(drivers[0].now)
     while at < until:
-        at += source.expovariate(per_s) * S
-        schedule.append((int(at), source.choices(range(len(drivers)), weights)[0]))
+        at += rng.expovariate(per_s) * S
+        schedule.append((int(at), rng.choices(range(len(drivers)), weights)[0]))
     return schedule
 
 
 def run_fleet(drivers: list[BalancerDriver], requests: list[tuple[int, int]], until: int) -> None:
     """Advance all balancers together; each request is delivered after the same latency."""
-    ends: list[tuple[int, int, int]] = []
+    pending_responses: list[tuple[int, int, int]] = []
     while requests and requests[0][0] <= until:
         now, index = requests.pop(0)
-        while ends and ends[0][0] <= now:
-            due, other, request_id = ends.pop(0)
+        while pending_responses and pending_responses[0][0] <= now:
+            due, other, request_id = pending_responses.pop(0)
             drivers[other].advance(due - drivers[other].now)
             if drivers[other].attempts(request_id):
                 drivers[other].end_attempt(request_id)
         drivers[index].advance(now - drivers[index].now)
-        ends.append((now + LATENCY_US, index, drivers[index].request()))
+        pending_responses.append((now + LATENCY_US, index, drivers[index].request()))
 
 
 @pytest.mark.parametrize("seed", range(2))
@@ -72,24 +72,24 @@
 def test_all_balancers_together_stay_within_the_budget_of_a_warming_server(
     processes: int, per_s: float, burst: float, seed: int
 ) -> None:
-    given = settings(
+    fleet_settings = settings(
         fleet_size=processes, rules={"slow_start_min_ratio": WARMING_MIN_RATIO, "slow_start_us": WARMING_US}
     )
-    drivers = [BalancerDriver(given, seed=100 * seed + number) for number in range(processes)]
+    drivers = [BalancerDriver(fleet_settings, seed=100 * seed + number) for number in range(processes)]
     warm_servers = server_names(10)
     for driver in drivers:
         driver.receive_list(warm_servers)
-    joined = START + 15 * S
-    run_fleet(drivers, arrivals(drivers, per_s, seed, joined), joined)
+    joined_at = START + 15 * S
+    run_fleet(drivers, arrivals(drivers, per_s, seed, joined_at), joined_at)
     for driver in drivers:
-        driver.advance(joined - driver.now)
-        driver.receive_list([ListedServer(WARMING_SERVER, zone="east", started_at=joined)], ListKind.DELTA)
-    end = joined + WARMING_US
+        driver.advance(joined_at - driver.now)
+        driver.receive_list([ListedServer(WARMING_SERVER, zone="east", started_at=joined_at)], ListKind.DELTA)
+    end = joined_at + WARMING_US
     run_fleet(drivers, arrivals(drivers, burst * per_s, seed + 50, end), end)
     sent = sorted(at for driver in drivers for at, each in driver.attempts() if each.server == WARMING_SERVER)
     assert sent, "it is used while it warms up"
     for at in sent:
         # The budget follows the usual load, as a burst does not raise a server's capacity.
-        bound = budget(at - joined, per_s / len(warm_servers))
+        bound = budget(at - joined_at, per_s / len(warm_servers))
         sent_in_window = sum(at - OVERLOAD_WINDOW_US < each <= at for each in sent)
         assert sent_in_window <= bound + chance_margin(bound)
--- a/tests/policy/test_zone_evacuation.py
+++ b/tests/policy/test_zone_evacuation.py
@@ -45,7 +45,7 @@
 
 
 def serve_zones(
-    driver: BalancerDriver, count: int, failing: str = "", every_us: int = 20 * MS
+    driver: BalancerDriver, count: int, failing: str = "", interval_us: int = 20 * MS
 ) -> Counter[str]:
     """Send requests one by one and count the attempts by zone.
 
@@ -53,7 +53,7 @@
     """
     requests_by_zone: Counter[str] = Counter()
     for _ in range(count):
-        driver.advance(every_us)
+        driver.advance(interval_us)
         request = driver.request()
         while driver.attempts(request) and zone_of(driver, request) == failing:
             requests_by_zone[failing] += 1
@@ -86,7 +86,7 @@
 
 def test_an_own_zone_of_one_server_does_not_get_all_traffic() -> None:
     requests_by_zone = serve_zones(driver_with_zones({"a": 1, "b": 6}), 300)
-    # at least two servers are sampled
+    # At least two servers are sampled.
     assert requests_by_zone["a"] > 0
     assert requests_by_zone["b"] >= 100
 
@@ -169,9 +169,8 @@
     driver = driver_with_zones({"a": 3, "b": 3}, panic=0.6)
     serve_zones(driver, 50)
     serve_zones(driver, 30, failing="a")
-    assert (
-        evacuated_zones(driver) == set()
-    )  # without zone a, half of the servers would remain, which is below the threshold
+    # Without zone a, half of the servers would remain, which is below the threshold.
+    assert evacuated_zones(driver) == set()
 
 
 def test_the_health_checker_recovers_a_zone_and_others_wait_for_its_report() -> None:
@@ -180,7 +179,7 @@
     driver.feed(ZoneHealthCheckerChanged(False))
     serve_zones(driver, 30, failing="a")
     before = len(driver.attempts())
-    # no own trial
+    # The balancer sends no trials itself.
     assert serve_zones(driver, 20) == Counter(b=20)
     assert len(driver.attempts()) == before + 20
     driver.feed(ZoneRecovered("a"))
@@ -215,12 +214,12 @@
     driver = driver_with_zones({"a": 4, "b": 4})
     serve_zones(driver, 50)
     while not evacuated_zones(driver):
-        serve_zones(driver, 1, failing="a", every_us=1 * MS)
+        serve_zones(driver, 1, failing="a", interval_us=1 * MS)
     driver.feed(ZoneRecovered("a"))
     assert evacuated_zones(driver) == {"a"}
 
 
-def test_a_peer_verdict_lowers_odds_until_an_own_response_and_makes_one_failure_eject() -> None:
+def test_a_peer_verdict_lowers_the_weight_until_an_own_response_and_makes_one_failure_eject() -> None:
     def requests_to_first_server(peers: int, seed: int) -> int:
         driver = BalancerDriver(settings(), seed=seed)
         driver.receive_list([f"s-{n}" for n in range(8)])
