--- a/sidecar_balancer/proxy/__init__.py
+++ b/sidecar_balancer/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""Requests in flight: from the client's request to its one response."""
+"""Forwarding of client requests to servers: exactly one response for each request."""
--- a/sidecar_balancer/proxy/forwarding.py
+++ b/sidecar_balancer/proxy/forwarding.py
@@ -1,4 +1,4 @@
-"""What is forwarded between clients and servers: the heads of attempts and the headers of responses."""
+"""Request heads forwarded to servers and response headers forwarded to clients."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 def content_headers(headers: Iterable[tuple[bytes, bytes]]) -> Headers:
-    """Return the headers of a server's response that go to the client."""
+    """Return the headers of a server's response that are forwarded to the client."""
     return [header for header in headers if header[0] in _CONTENT_HEADERS]
 
 
 def attempt_head(client_request: ClientRequest, remaining_s: float) -> h11.Request:
-    """Return the head of an attempt: the client's, with the seconds that remain for it."""
+    """Return the request head of an attempt: the client's headers and the remaining time in seconds."""
     remaining_s = min(remaining_s, client_request.remaining_us / 1e6)
     headers = [*client_request.headers, (b"X-Budget", b"%.6f" % remaining_s)]
     if not any(name == b"host" for name, _ in headers):
--- a/sidecar_balancer/proxy/in_flight.py
+++ b/sidecar_balancer/proxy/in_flight.py
@@ -1,4 +1,4 @@
-"""Requests in flight: what is known of each until its response is sent and its attempts have ended."""
+"""State of a request in flight, kept until its response is sent and its attempts have ended."""
 
 from __future__ import annotations
 
@@ -11,20 +11,22 @@
 
 @dataclass(slots=True, eq=False)
 class InFlightRequest:
-    """A request that is unanswered or has attempts in flight; times are the engine's, in microseconds.
+    """A request that has no response yet or has attempts in flight.
+
+    Times are in microseconds on the engine's clock.
 
     Attributes:
-        request_id: The number that the balancer knows the request by.
-        client_request: What the client sent, and where its response goes.
-        received_at: When the last byte was received; before that, the first.
-        deadline: When the client stops waiting; None while the body is still coming.
-        answered: Whether the response was sent or begun, or nobody waits for it any more.
-        attempts_started: How many attempts there were.
+        request_id: The number that identifies the request to the balancer.
+        client_request: The request as received, with the writer of its response.
+        received_at: When the last byte was received; until then, when the first was.
+        deadline: When the client stops waiting; None while the body is still arriving.
+        answered: Whether the response was sent or started, or the client no longer waits for it.
+        attempts_started: The number of attempts started so far.
         attempts: Attempts that have not ended, by their index; None while one is being started.
         failsafe_timer: Fails the request at its deadline if the balancer does not.
         streamed_attempt: The index of the attempt whose response is streamed.
-        first_byte_us: The time to the first byte of that response.
-        attempt_outcomes: How the attempts ended, for the log.
+        first_byte_us: The time to the first byte of the streamed response.
+        attempt_outcomes: Descriptions of how the attempts ended, for the log.
     """
 
     request_id: int
--- a/sidecar_balancer/proxy/proxy.py
+++ b/sidecar_balancer/proxy/proxy.py
@@ -1,4 +1,4 @@
-"""Requests in flight: from the client's request to its one response, through the attempts at servers."""
+"""The proxy: executes the balancer's decisions on requests and reports the results back to it."""
 
 from __future__ import annotations
 
@@ -39,13 +39,13 @@
 
 
 class Proxy:
-    """The requests in flight, and what is owed for each: one response, and an end to each attempt.
+    """The requests in flight; each gets one response, and each of its attempts is ended.
 
     Attributes:
-        in_flight: The requests by the number that the balancer knows them by.
-        by_client_request: Those whose client waits for the response or is receiving it.
+        in_flight: The requests by the number that identifies them to the balancer.
+        by_client_request: The requests whose client waits for the response or is receiving it.
         response_counts: The number of responses by status.
-        request_log: Logs requests that ended badly.
+        request_log: Logs unsuccessful and late requests.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         endpoint_pool: EndpointPool,
         latencies: LatencyHistograms | None,
     ) -> None:
-        """Register with the engine as executor of the actions on requests and attempts."""
+        """Register with the engine as executor of the actions on requests, attempts and health checks."""
         self.in_flight: dict[int, InFlightRequest] = {}
         self.by_client_request: dict[ClientRequest, InFlightRequest] = {}
         self.response_counts: Counter[int] = Counter()
@@ -70,7 +70,7 @@
         }
         self._longest_deadline_s = max(service_class.deadline_us for service_class in classes) / 1e6
         self._request_ids = itertools.count(1)
-        engine.on_defect = self.abandon
+        engine.on_exception = self.abandon
         engine.executors |= {
             SendAttempt: self.send,
             Reject: self.reject,
@@ -82,7 +82,7 @@
     # -- Clients
 
     def request_received(self, client_request: ClientRequest) -> None:
-        """Let the balancer decide on a request; the rest of its body may still come, if it is streamed."""
+        """Pass a request to the balancer; if its body is streamed, the rest may still be arriving."""
         now = self._engine.clock.now()
         request = InFlightRequest(next(self._request_ids), client_request, now, None)
         self.in_flight[request.request_id] = self.by_client_request[client_request] = request
@@ -102,7 +102,7 @@
         )
 
     def _start_deadline(self, request: InFlightRequest) -> None:
-        """Start the time that the client waits, as the request's last byte has come."""
+        """Start the deadline of a request whose last byte has arrived."""
         clock = self._engine.clock
         request.received_at = clock.now()
         request.deadline = request.received_at + request.client_request.remaining_us
@@ -111,7 +111,7 @@
         )
 
     def body_completed(self, client_request: ClientRequest) -> None:
-        """Note that the last byte of a streamed body has come."""
+        """Record that the last byte of a streamed body has arrived."""
         request = self.by_client_request.get(client_request)
         if request is None or request.answered:
             return
@@ -124,7 +124,7 @@
         self._engine.handle(RequestBodyEnded(request.request_id, client_request.remaining_us))
 
     def client_disconnected(self, client_request: ClientRequest) -> None:
-        """Note that nobody waits for the response any more."""
+        """Record that the client no longer waits for the response."""
         request = self.by_client_request.pop(client_request, None)
         if request is None:
             return
@@ -142,7 +142,7 @@
         if self._settings.limits.may_cancel:
             self._endpoint_pool.cancel(attempt)
         elif attempt.connection is not None:
-            attempt.connection.resume()  # the response comes to its end, and nobody reads it
+            attempt.connection.resume()  # reads the response to its end, though no client receives it
             deadline = asyncio.get_running_loop().time() + self._longest_deadline_s
             self._endpoint_pool.set_deadline(attempt, deadline)
 
@@ -170,9 +170,9 @@
         for attempt_index, attempt in list(request.attempts.items()):
             if attempt is not None and attempt_index != request.streamed_attempt:
                 self._endpoint_pool.cancel_unsent(attempt)
-        self._forget_if_over(request)
+        self._remove_if_finished(request)
 
-    def _forget_if_over(self, request: InFlightRequest) -> None:
+    def _remove_if_finished(self, request: InFlightRequest) -> None:
         if request.answered and not request.attempts:
             self.in_flight.pop(request.request_id, None)
             self.by_client_request.pop(request.client_request, None)
@@ -180,7 +180,7 @@
     # -- The balancer's actions
 
     def reject(self, action: Reject) -> None:
-        """Respond that the request was not executed."""
+        """Send a response that the request was rejected and not executed."""
         request = self.in_flight.get(action.request)
         if request is not None:
             headers = []
@@ -189,18 +189,18 @@
             self.respond(request, 503, headers, b"")
 
     def fail(self, action: Fail) -> None:
-        """Respond that the request failed."""
+        """Send a response that the request failed."""
         request = self.in_flight.get(action.request)
         if request is not None:
             self.respond(request, 500, [], b"")
 
     def fail_all(self) -> None:
-        """Respond to all requests in flight that they failed: the process ends."""
+        """Send a failure response to all requests in flight, as the process is shutting down."""
         for request in list(self.by_client_request.values()):
             self.respond(request, 500, [], b"")
 
     def send(self, action: SendAttempt) -> None:
-        """Start an attempt, unless the request is over by now."""
+        """Start an attempt, unless the request has ended in the meantime."""
         request = self.in_flight.get(action.request)
         if request is not None and not request.answered:
             request.client_request.response_writer.check_connected()
@@ -216,13 +216,13 @@
         sent_at = self._engine.clock.now()
         on_outcome = partial(self._attempt_ended, request, attempt_index, action.server, sent_at)
         upstream_request = self._upstream_request(request, attempt_index, action.server, sent_at)
-        deadline = math.inf  # before the end of the body
+        deadline = math.inf  # until the body has ended
         if request.deadline is not None:
             deadline_us = min(action.deadline or request.deadline, request.deadline)
             deadline = self._engine.clock.to_loop_time(deadline_us)
         try:
             exchange = self._endpoint_pool.send(action.server, upstream_request, deadline, on_outcome)
-        except Exception:  # a defect: the request may have been executed
+        except Exception:  # unexpected: the request may have been executed
             on_outcome(Outcome.CONNECTION_LOST, None)
             raise
         if attempt_index in request.attempts:
@@ -265,9 +265,9 @@
         self._engine.handle(HealthCheckEnded(server, outcome, elapsed_us, report))
 
     def abandon(self, request_id: int | None) -> None:
-        """Fail a request that a defect would leave unanswered, and tell the balancer.
+        """Fail a request that would remain without a response after an error, and inform the balancer.
 
-        Attempts are cancelled where the settings allow it, and else end at their own time.
+        Its attempts are cancelled if the settings allow that; otherwise they end at their own deadlines.
         """
         request = self.in_flight.get(request_id) if request_id is not None else None
         if request is None:
@@ -280,7 +280,7 @@
         if not was_answered:
             self._engine.handle(ClientDisconnected(request.request_id))
 
-    # -- Servers
+    # -- Responses of servers
 
     def _start_streaming(
         self,
@@ -292,7 +292,7 @@
         length: int | None,
         source: ResponseSource,
     ) -> ResponseSink | None:
-        """Stream a long response; from here on, no other attempt may answer the request."""
+        """Start streaming a long response; from then on, no other attempt can provide the response."""
         attempt = request.attempts.get(attempt_index)
         if request.answered or attempt is None:
             return None
@@ -304,7 +304,8 @@
         first_byte_us = self._engine.clock.now() - max(sent_at, request.received_at)
         request.streamed_attempt, request.first_byte_us = attempt_index, first_byte_us
         self.response_counts[200] += 1
-        # A hedged attempt that this ends must not end the request, and so cancel this very attempt.
+        # The end of an unsent hedge must reach the balancer after ResponseStarted, or the balancer could end
+        # the request and cancel this attempt.
         with self._engine.handle_first(
             ResponseStarted(request.request_id, attempt_index, server, first_byte_us)
         ):
@@ -335,7 +336,7 @@
                 self._latencies.record_attempt(server, elapsed_us)
             self.respond(request, 200, content_headers(response.headers), response.body)
         report = self._load_report(response)
-        self._forget_if_over(request)
+        self._remove_if_finished(request)
         upload = request.client_request.upload
         self._engine.handle(
             AttemptEnded(
@@ -357,5 +358,5 @@
 
 
 def count_by_status(response_counts: Counter[int]) -> dict[str, int]:
-    """Return counts of responses by their status, in its order."""
+    """Return the number of responses by status, ordered by status."""
     return {str(status): count for status, count in sorted(response_counts.items())}
--- a/sidecar_balancer/proxy/request_log.py
+++ b/sidecar_balancer/proxy/request_log.py
@@ -1,4 +1,4 @@
-"""Logs requests that were rejected, failed, late or abandoned by their client."""
+"""Log lines for requests that were rejected, failed, late or abandoned by their client."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 log = logging.getLogger(__name__)
 
-_MAX_LOGGED_FAILURES = 20  # between resets: a line for each would cost more than the rejections themselves
+_MAX_LOGGED_FAILURES = 20  # between resets; logging every rejection would cost more than the rejections
 _MAX_NAME_LENGTH = 40
 
 
 class RequestLog:
-    """Logs requests that ended badly, up to a quota."""
+    """Logger of unsuccessful and late requests, with a quota of lines."""
 
     def __init__(self, clock: Clock) -> None:
-        """Tell the time by the engine's clock."""
+        """Measure elapsed times on the engine's clock."""
         self._clock = clock
         self._logged_failures = 0
 
     def reset_quota(self) -> None:
-        """Let failures be logged again."""
+        """Allow as many lines as the quota again."""
         self._logged_failures = 0
 
     def log_failure(self, request: InFlightRequest, end: str) -> None:
-        """Log how a request ended, if the quota allows."""
+        """Log how a request ended, if the quota is not used up."""
         self._logged_failures += 1
         if self._logged_failures > _MAX_LOGGED_FAILURES:
             return
@@ -38,7 +38,7 @@
         if request.attempts:
             attempts += f" ({len(request.attempts)} in flight)"
         log.info(
-            "%s %s from port %d, %.3f s given: %s -> %s after %.1f ms",
+            "request %s (%s) from port %d, %.3f s remaining: attempts [%s], ended with %s after %.1f ms",
             request_id,
             service_class,
             client_request.client_port,
--- a/sidecar_balancer/runtime/clock.py
+++ b/sidecar_balancer/runtime/clock.py
@@ -7,7 +7,11 @@
 
 
 class Clock:
-    """Unix time in microseconds, anchored once: monotonic, and comparable with the list's start times."""
+    """Monotonic Unix time in microseconds.
+
+    Its offset from the monotonic clock is set once, so that times are comparable with the start times in the
+    endpoint list.
+    """
 
     def __init__(self) -> None:
         self._offset_us = time.time_ns() // 1000 - time.monotonic_ns() // 1000
@@ -18,10 +22,10 @@
         return time.monotonic_ns() // 1000 + self._offset_us
 
     def turn_time(self) -> int:
-        """Return the time of the event loop's current turn in microseconds, one for all of its input.
+        """Return the time of the event loop's current turn in microseconds, the same for all of its input.
 
-        After a stall, input of one turn came at unknown times; equal times keep the balancer from learning
-        from them.
+        After a stall, the input of one turn arrived at unknown times; equal times keep the balancer from
+        learning from them.
         """
         if self._turn_time_us is None:
             self._turn_time_us = self.now()
--- a/sidecar_balancer/runtime/engine.py
+++ b/sidecar_balancer/runtime/engine.py
@@ -1,4 +1,4 @@
-"""Passes events to the balancer and executes its actions; nothing is awaited between the two."""
+"""Passing of events to the balancer and execution of its actions, without awaiting in between."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 log = logging.getLogger(__name__)
 
-_WAKE_AFTER_DEFECT_S = 0.05  # what was due must not wait for another event
+_WAKE_AFTER_EXCEPTION_S = 0.05  # without it, actions that were due would wait for the next event
 
 
 class Engine:
@@ -26,29 +26,29 @@
     Attributes:
         clock: The balancer's clock.
         balancer: The balancer.
-        executors: What executes an action, by its type.
-        on_defect: Called with the request that an event or action was about, if any, when the balancer or an
-            executor raised an exception.
+        executors: The function that executes an action, by the action's type.
+        on_exception: Called when the balancer or an executor has raised an exception, with the request that
+            the event or action refers to, if any.
     """
 
     def __init__(self, settings: Settings, seed: int, timers: Timers) -> None:
-        """Create the balancer; `timers` run what it schedules."""
+        """Create the balancer; `timers` schedule its timer events."""
         self.clock = Clock()
         self.balancer = Balancer(settings, seed)
         self.executors: dict[type[Any], Callable[[Any], None]] = {SetTimer: self._set_timer}
-        self.on_defect: Callable[[int | None], None] | None = None
+        self.on_exception: Callable[[int | None], None] | None = None
         self._timers = timers
         self._events: deque[Event] = deque()
         self._is_handling = False
 
     def handle(self, event: Event) -> None:
-        """Pass an event to the balancer, and those that its actions cause, in order."""
+        """Pass an event to the balancer, then the events that its actions cause, in order."""
         self._events.append(event)
         self._handle_queued()
 
     @contextlib.contextmanager
     def handle_first(self, event: Event) -> Iterator[None]:
-        """Pass an event to the balancer after the block, before the events that the block causes."""
+        """Pass an event to the balancer after the block, ahead of the events that the block causes."""
         was_handling, self._is_handling = self._is_handling, True
         self._events.append(event)
         try:
@@ -72,27 +72,27 @@
         try:
             actions: Sequence[Action] = self.balancer.handle(self.clock.turn_time(), event)
         except Exception:
-            log.exception("the balancer failed on %.200r", event, extra={"event": "balancer_failed"})
-            # The balancer counts on the actions that it had decided on by then.
+            log.exception("balancer raised an exception on %.200r", event, extra={"event": "balancer_failed"})
+            # The balancer's state assumes that the actions decided before the exception are executed.
             actions = self.balancer.actions if self.balancer.actions is not actions_before else []
-            self._timers.call_later(_WAKE_AFTER_DEFECT_S, self.handle, TimerFired("agenda"))
+            self._timers.call_later(_WAKE_AFTER_EXCEPTION_S, self.handle, TimerFired("agenda"))
             self.execute(actions)
-            self._report_defect(event)
+            self._report_exception(event)
         else:
             self.execute(actions)
 
     def execute(self, actions: Sequence[Action]) -> None:
-        """Execute actions in order; an exception in one stops no other."""
+        """Execute actions in order; an exception in one does not prevent the others."""
         for action in actions:
             try:
                 self.executors[type(action)](action)
             except Exception:
-                log.exception("could not execute %.200r", action, extra={"event": "action_failed"})
-                self._report_defect(action)
+                log.exception("failed to execute %.200r", action, extra={"event": "action_failed"})
+                self._report_exception(action)
 
-    def _report_defect(self, subject: Event | Action) -> None:
-        if self.on_defect is not None:
-            self.on_defect(getattr(subject, "request", None))
+    def _report_exception(self, subject: Event | Action) -> None:
+        if self.on_exception is not None:
+            self.on_exception(getattr(subject, "request", None))
 
     def _set_timer(self, action: SetTimer) -> None:
         self._timers.call_later(action.delay_us / 1e6, self.handle, TimerFired(action.token))
--- a/sidecar_balancer/runtime/errors.py
+++ b/sidecar_balancer/runtime/errors.py
@@ -1,16 +1,16 @@
-"""Errors that are answered with an HTTP status."""
+"""Errors that are reported to the client with an HTTP status."""
 
 from __future__ import annotations
 
 
 class RequestError(Exception):
-    """A request that is rejected.
+    """A request is rejected with an HTTP status.
 
     Attributes:
         status: The HTTP status of the response.
     """
 
     def __init__(self, status: int, reason: str) -> None:
-        """Reject with this status, for a reason that the client may read."""
+        """Create an error with the status and the reason that are sent to the client."""
         super().__init__(reason)
         self.status = status
--- a/sidecar_balancer/runtime/headers.py
+++ b/sidecar_balancer/runtime/headers.py
@@ -1,4 +1,4 @@
-"""HTTP headers as lists of names and values, and which of them a proxy forwards."""
+"""HTTP headers as lists of names and values, and the selection of those that a proxy forwards."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def end_to_end_headers(headers: Iterable[tuple[bytes, bytes]], *dropped: bytes) -> Headers:
-    """Return the headers to forward: without those of one connection and without those named."""
+    """Return the headers to forward, without the hop-by-hop headers and those named in `dropped`."""
     return [(name, value) for name, value in headers if name not in _HOP_BY_HOP and name not in dropped]
 
 
 def content_length(headers: Iterable[tuple[bytes, bytes]]) -> int | None:
-    """Return the length of the body in bytes; None where the headers do not announce it."""
+    """Return the value of Content-Length in bytes; None if the header is missing."""
     for name, value in headers:
         if name == b"content-length":
             return int(value)
--- a/sidecar_balancer/runtime/queueing.py
+++ b/sidecar_balancer/runtime/queueing.py
@@ -1,7 +1,7 @@
 """Queueing delay: bounds on how long input waited in the kernel before this process read it.
 
-A client counts its time from the moment it sends a request.  A process that was busy or stopped, or that had
-paused accepting or reading, reads the request later and subtracts that delay from the time that remains.
+A client's deadline starts when it sends a request.  A process that was busy or stopped, or that had paused
+accepting or reading, reads the request later and subtracts that delay from the remaining time.
 Times are in seconds on the event loop's clock.
 """
 
@@ -14,30 +14,30 @@
 import struct
 import time
 
-_IMMEDIATE_POLL_S = 0.001  # a poll that returns within this did not wait: its input may be older
-_OVERSLEPT_S = 0.01  # a poll that returns so much after its time-out was held up
-_TCP_INFO_BYTES = 104  # as much of Linux' struct tcp_info as is read
-_TCP_INFO_STATE_OFFSET = 0  # of tcpi_state, one byte; 0 is no state, so nothing was filled in
+_IMMEDIATE_POLL_S = 0.001  # a poll that returns within this time did not wait, so its input may be older
+_LATE_RETURN_S = 0.01  # a poll that returns this long after its timeout was delayed
+_TCP_INFO_BYTES = 104  # the part of Linux' struct tcp_info that is read
+_TCP_INFO_STATE_OFFSET = 0  # of tcpi_state, one byte; 0 is not a valid state: the kernel filled in nothing
 _TCP_INFO_LAST_DATA_RECV_OFFSET = 52  # of tcpi_last_data_recv: milliseconds, 32 bits
 _UINT32 = struct.Struct("=I")
 
 
 class PollTimes:
-    """When the event loop last polled, which bounds the age of the input of its current turn."""
+    """Times of the event loop's latest polls, which bound the age of the input of its current turn."""
 
     def __init__(self, now: float = 0.0) -> None:
         self._last_return = now
         self.unread_since = now  # the input of the current turn arrived after this
 
     def record_poll(self, entered: float, returned: float, timeout: float | None) -> None:
-        """Note when a poll began and returned, and its time-out in seconds (None: it has none)."""
+        """Record when a poll was entered and returned, and its timeout in seconds (None: no timeout)."""
         waited_s = returned - entered
         if waited_s < _IMMEDIATE_POLL_S:
             self.unread_since = self._last_return
-        elif timeout is not None and waited_s > timeout + _OVERSLEPT_S:
+        elif timeout is not None and waited_s > timeout + _LATE_RETURN_S:
             self.unread_since = entered
         else:
-            self.unread_since = returned  # the input ended the wait
+            self.unread_since = returned  # the poll was waiting when the input arrived
         self._last_return = returned
 
 
@@ -49,7 +49,7 @@
         self.times = PollTimes(time.monotonic())
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Poll, and note when."""
+        """Poll, and record the times."""
         entered = time.monotonic()
         events = super().select(timeout)
         self.times.record_poll(entered, time.monotonic(), timeout)
@@ -66,33 +66,35 @@
 
 
 def running_poll_times() -> PollTimes:
-    """Return the poll times of the running loop; without any, no input is known to have waited."""
+    """Return the poll times of the running loop; if it has none, input never counts as delayed."""
     poll_times: PollTimes | None = getattr(asyncio.get_running_loop(), "poll_times", None)
     return poll_times or PollTimes(math.inf)
 
 
 class BacklogAge:
-    """Bounds how long connections waited in the backlog of a listening socket, which is a queue.
+    """Bound on how long connections waited in the backlog of a listening socket, a first-in-first-out queue.
 
-    While the backlog was last seen empty, its connections are as old as other input.  Where some were left in
-    it, they may be as old as that moment, until as many have been accepted as it can hold.
+    If the backlog was empty when it was last checked, its connections are no older than other input.
+    If connections remained in it, the next ones may be as old as that moment, until as many have been
+    accepted as it can hold.
     """
 
     def __init__(self, capacity: int) -> None:
         self._capacity = capacity
-        self._oldest_arrival: float | None = None  # of the next connections; None: the queue was emptied
-        self._next_oldest_arrival = 0.0  # once `_to_accept` more connections are accepted
+        self._oldest_arrival: float | None = None  # of the next connections; None: the backlog was emptied
+        self._next_oldest_arrival = 0.0  # applies once `_to_accept` more connections are accepted
         self._to_accept = 0
 
     def oldest_arrival(self, unread_since: float) -> float:
         """Return the earliest time at which the next connection can have arrived.
 
-        `unread_since` is that of the poll which found it.
+        Args:
+            unread_since: The bound from the poll that reported the connection.
         """
         return unread_since if self._oldest_arrival is None else self._oldest_arrival
 
     def record_accepted(self, now: float) -> None:
-        """Note that a connection was accepted."""
+        """Record that a connection was accepted."""
         if self._oldest_arrival is None:
             return
         self._to_accept -= 1
@@ -101,11 +103,11 @@
             self._start_round(now)
 
     def record_emptied(self) -> None:
-        """Note that the queue was seen empty."""
+        """Record that the backlog was found empty."""
         self._oldest_arrival = None
 
     def record_remaining(self, unread_since: float, now: float) -> None:
-        """Note that accepting stopped with connections remaining in the queue."""
+        """Record that accepting stopped while connections remained in the backlog."""
         if self._oldest_arrival is None:
             self._oldest_arrival = min(unread_since, now)
             self._start_round(now)
@@ -115,9 +117,9 @@
 
 
 def since_last_data_s(sock: socket.socket) -> float | None:
-    """Return how long ago the kernel received data on a TCP socket; None where that is not known.
+    """Return the seconds since the kernel last received data on a TCP socket; None if that is unknown.
 
-    Zero counts as not known: a kernel without the value returns the same.
+    Zero counts as unknown, because a kernel that does not provide the value returns zero too.
     """
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO_BYTES)
--- a/sidecar_balancer/runtime/sockets.py
+++ b/sidecar_balancer/runtime/sockets.py
@@ -1,4 +1,4 @@
-"""Peeks at sockets: what the kernel has received for them, without reading it."""
+"""Checks of what the kernel has received on a socket, without reading it."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def has_no_unread_input(sock: socket.socket) -> bool:
-    """Return whether a connection has nothing unread: no byte, no end of input, no error."""
+    """Return whether a connection has nothing unread: no data, no end of input, no error."""
     try:
         sock.recv(1, socket.MSG_PEEK)
     except (BlockingIOError, InterruptedError):
@@ -18,14 +18,14 @@
 
 
 def is_readable(sock: socket.socket) -> bool:
-    """Return whether a socket has something to read, or a listening one a connection to accept."""
+    """Return whether a socket has input to read or, if it is listening, a connection to accept."""
     poller = select.poll()
     poller.register(sock, select.POLLIN)
     return bool(poller.poll(0))
 
 
 def peer_has_closed(sock: socket.socket) -> bool:
-    """Return whether the peer has ended its side, be it behind bytes that are still unread."""
+    """Return whether the peer has closed its side, even if data sent before that is still unread."""
     try:
         if not sock.recv(1, socket.MSG_PEEK):
             return True
--- a/sidecar_balancer/runtime/streams.py
+++ b/sidecar_balancer/runtime/streams.py
@@ -1,7 +1,7 @@
-"""Streaming of long bodies within a bounded memory, and the parsing that both sides of the proxy share.
+"""Streaming of long bodies in bounded memory, and the parsing shared by both sides of the proxy.
 
-A peer that sends faster than the other side reads is not read for a while.  So each stream buffers a few
-reads at most, and a read is smaller the more streams there are.
+Reading from a peer pauses while the other side reads more slowly than the peer sends.  So each stream buffers
+a few reads at most; the more streams there are, the smaller each read is.
 """
 
 from __future__ import annotations
@@ -10,35 +10,35 @@
 from collections.abc import Callable
 from typing import Protocol
 
-MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a body up to this size is buffered, so that its request can be retried
+MAX_BUFFERED_BODY_BYTES = 64 * 1024  # bodies up to this size are buffered, so that the request can be retried
 MAX_REQUEST_BODY_BYTES = 32 * 1024 * 1024
 MAX_EVENTS_PER_TURN = 200  # one read may contain thousands of tiny chunks
-STALL_TIMEOUT_S = 10.0  # slow peers pause for seconds
+STALL_TIMEOUT_S = 10.0  # slow peers may pause for seconds
 _MAX_READ_BYTES = 64 * 1024
 _MIN_READ_BYTES = 4 * 1024
-_BUFFERS_PER_STREAM = 4  # one read, one parsed, one waiting to be written, and copies between them
-_BODY_MEMORY_RATIO = 0.125  # of the memory limit for streams, and as much for buffered bodies
+_BUFFERS_PER_STREAM = 4  # the data read, parsed and waiting to be written, and copies between these stages
+_BODY_MEMORY_RATIO = 0.125  # share of the memory limit for streams, and the same share for buffered bodies
 _DEFAULT_MEMORY_MB = 64
 
 
 class BodyMemory:
-    """The memory that the bodies of one sidecar may take.
+    """The memory that the bodies of one sidecar may occupy.
 
     Attributes:
-        active_streams: Long bodies that are being streamed.
-        buffered_bytes: Bytes of bodies that are buffered.
-        read_view: Where all connections are read into, one at a time; valid until the next read.
+        active_streams: The number of long bodies that are being streamed.
+        buffered_bytes: The total size of the buffered bodies.
+        read_view: The buffer that all connections read into, one at a time; valid until the next read.
     """
 
     def __init__(self, memory_mb: int = _DEFAULT_MEMORY_MB) -> None:
-        """Divide a memory limit in MiB."""
+        """Derive the limits from the sidecar's memory limit in MiB."""
         self._max_bytes = int(memory_mb * 1024 * 1024 * _BODY_MEMORY_RATIO)
         self.read_view = memoryview(bytearray(_MAX_READ_BYTES))
         self.active_streams = 0
         self.buffered_bytes = 0
 
     def read_size(self) -> int:
-        """Return how many bytes may be read from one peer at a time."""
+        """Return the maximum number of bytes to read from one peer at a time."""
         fair_share = self._max_bytes // (_BUFFERS_PER_STREAM * max(self.active_streams, 1))
         return max(_MIN_READ_BYTES, min(_MAX_READ_BYTES, fair_share))
 
@@ -48,21 +48,21 @@
 
 
 class BufferedReceiver(asyncio.BufferedProtocol):
-    """A connection that is read and parsed in bounded steps, with its body in the shared memory."""
+    """A connection that is read and parsed in bounded steps, and whose bodies count in the shared memory."""
 
     def __init__(self, body_memory: BodyMemory) -> None:
         """Count the bodies of this connection in `body_memory`."""
         self.body_memory = body_memory
         self._transport: asyncio.Transport | None = None
         self._body = bytearray()  # of the message that is being received
-        self._parse_scheduled = False  # more events are parsed in the next turn
+        self._parse_scheduled = False  # parsing continues in the next turn
 
     def get_buffer(self, _sizehint: int) -> memoryview:
-        """Return where asyncio writes the next bytes."""
+        """Return the buffer for the next bytes received."""
         return self.body_memory.read_view[: self.body_memory.read_size()]
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Take the bytes that asyncio has written."""
+        """Handle the bytes that were received into the buffer."""
         self.data_received(bytes(self.body_memory.read_view[:nbytes]))
 
     def data_received(self, data: bytes) -> None:
@@ -70,15 +70,15 @@
         raise NotImplementedError
 
     def _handle_next_event(self) -> bool:
-        """Handle one event of the parser; return whether more may follow."""
+        """Handle one event of the parser; return whether to handle another."""
         raise NotImplementedError
 
     def _continue_parsing(self) -> None:
-        """Go on in the turn after one that reached its bound."""
+        """Continue parsing in the turn after one that reached MAX_EVENTS_PER_TURN."""
         raise NotImplementedError
 
     def _update_reading(self) -> None:
-        """Pause or resume reading as the state demands."""
+        """Pause or resume reading according to the current state."""
         raise NotImplementedError
 
     def _handle_events(self) -> None:
@@ -100,17 +100,17 @@
 
 
 class ResponseSource(Protocol):
-    """The connection that a streamed response is read from."""
+    """The server connection that a streamed response is read from."""
 
     def pause(self) -> None:
-        """Stop reading: the sink is full."""
+        """Pause reading, because the sink can't take more."""
 
     def resume(self) -> None:
-        """Read on."""
+        """Resume reading."""
 
 
 class ResponseSink(Protocol):
-    """The connection that a streamed response is written to."""
+    """The client connection that a streamed response is written to."""
 
     def write_body(self, data: bytes) -> None:
         """Write a part of the body."""
@@ -119,7 +119,7 @@
         """End the complete response."""
 
     def abort_response(self) -> None:
-        """End a response that can't be completed, in a way that the client can tell."""
+        """End a response that can't be completed, so that the client can detect that it is incomplete."""
 
 
 def _ignore() -> None:
@@ -127,17 +127,17 @@
 
 
 class Upload:
-    """A request's body on its way to a server; what has been read from it is gone.
+    """The body of a request that is streamed to a server; data that was read is not kept.
 
     Attributes:
-        length: The length in bytes; None where the client has not announced it.
-        consumed: Whether something was read, so that the request can't be retried.
-        is_complete: Whether the last byte was fed.
+        length: The length in bytes; None if the client did not announce it.
+        consumed: Whether data was read, in which case the request can't be retried.
+        is_complete: Whether the last byte was received.
         on_data: Called when there is more to read or the body is complete.
     """
 
     def __init__(self, length: int | None, on_drained: Callable[[], None]) -> None:
-        """Call `on_drained` each time that the buffer was emptied."""
+        """Create an empty body; `on_drained` is called each time that a read has emptied the buffer."""
         self.length = length
         self.consumed = False
         self.is_complete = False
@@ -146,7 +146,7 @@
         self._buffer = bytearray()
 
     def is_full(self) -> bool:
-        """Return whether the client must not be read for now."""
+        """Return whether reading from the client must pause."""
         return len(self._buffer) > MAX_BUFFERED_BODY_BYTES
 
     def feed(self, data: bytes | bytearray) -> None:
@@ -160,7 +160,7 @@
         self.on_data()
 
     def read(self) -> bytes:
-        """Return and remove all that is buffered."""
+        """Return and remove all buffered data."""
         data = bytes(self._buffer)
         self._buffer.clear()
         if data:
@@ -169,6 +169,6 @@
         return data
 
     def discard(self) -> None:
-        """Drop what is buffered: nobody reads the rest."""
+        """Discard the buffered data, as the rest of the body will not be read."""
         self._buffer.clear()
         self.on_data = _ignore
