--- a/sidecar_balancer/sidecar/endpoint_updates.py
+++ b/sidecar_balancer/sidecar/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Applies updates of the endpoint list to the balancer and the connections to servers."""
+"""Application of endpoint list updates to the balancer and to the connections to servers."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 
 class EndpointUpdates:
-    """Applies updates of the endpoint list.
+    """The receiver of endpoint list updates.
 
     Attributes:
-        current: The list as it is now; it stays empty unless it is tracked.
+        current: The current endpoint list; it stays empty unless the list is tracked.
     """
 
     def __init__(self, engine: Engine, endpoint_pool: EndpointPool, tracks_list: bool) -> None:
-        """Apply to these; `tracks_list`: keep the whole list, to persist it."""
+        """Apply updates to `engine` and `endpoint_pool`; with `tracks_list`, keep the list to persist it."""
         self.current = EndpointList()
         self._engine = engine
         self._endpoint_pool = endpoint_pool
         self._tracks_list = tracks_list
 
     def apply(self, kind: ListKind, update: ListUpdate) -> None:
-        """Apply an update: the addresses first, as the balancer may send on receiving the list.
+        """Apply an update to the pool first, as the balancer may send requests on receiving the list.
 
-        The balancer receives the list before the outcomes that it causes, such as of a dial to a draining
-        server: else it could retry by a list that is out of date.
+        The balancer receives the list before the outcomes that the update causes, such as that of a dial to a
+        draining server; otherwise it could retry according to an outdated list.
         """
         servers = [entry.server for entry in update.entries]
         with self._engine.handle_first(EndpointListReceived(kind, servers, update.version)):
--- a/sidecar_balancer/sidecar/membership_setup.py
+++ b/sidecar_balancer/sidecar/membership_setup.py
@@ -1,4 +1,4 @@
-"""Creates the membership bridge and reads from the balancer what it sends to peers."""
+"""Creation of the membership bridge, and the balancer's state that it sends to peers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def create_membership(config: SidecarConfig, engine: Engine) -> MembershipBridge | None:
-    """Create the bridge where membership is configured; its modules are loaded only then."""
+    """Create the bridge if membership is configured; its modules are loaded only then."""
     if config.membership is None or config.membership_address is None:
         return None
     from sidecar_balancer.membership.bridge import MembershipBridge
@@ -44,7 +44,10 @@
 
 
 def _healthy_server_latencies(balancer: Balancer) -> dict[str, float]:
-    """Return relative latencies for starting peers, of servers that responded and are not suspected."""
+    """Return relative latencies for peers that are starting up.
+
+    Only of servers that have responded, have no published verdict and are not ejected.
+    """
     return {
         server.name: server.relative_latency
         for server in balancer.ready_servers
--- a/sidecar_balancer/sidecar/shutdown.py
+++ b/sidecar_balancer/sidecar/shutdown.py
@@ -1,4 +1,4 @@
-"""The graceful shutdown of the clients' side."""
+"""Graceful shutdown of the client connections."""
 
 from __future__ import annotations
 
@@ -11,24 +11,25 @@
 
 log = logging.getLogger(__name__)
 
-_ACCEPT_WHILE_DRAINING_S = 0.5  # clients connect for up to 0.4 s after SIGTERM
-_UNUSED_CONNECTION_GRACE_S = 0.65  # from then on, connections that carried no request are closed too
-_MAX_DEADLINE_S = 3.0  # the platform waits for no longer deadline than this
-_DRAIN_MARGIN_S = 0.62  # after the longest deadline; the platform kills after 0.7 s
-_FLUSH_TIMEOUT_S = 0.05  # for the last responses, from there on
+_ACCEPT_WHILE_DRAINING_S = 0.5  # clients open connections for up to 0.4 s after SIGTERM
+_UNUSED_CONNECTION_GRACE_S = 0.65  # after this, connections that have carried no request are closed too
+_MAX_DEADLINE_S = 3.0  # the platform does not wait for longer deadlines
+_DRAIN_MARGIN_S = 0.62  # after the longest deadline; the platform kills the process 0.7 s after it
+_FLUSH_TIMEOUT_S = 0.05  # after the drain, for writing the last responses
 _POLL_S = 0.02
 
 
 async def drain_clients(
     frontend: Frontend, proxy: Proxy, longest_deadline_s: float, is_takeover: bool
 ) -> None:
-    """Serve the requests in flight and those of clients that connect late, then end all connections.
+    """Serve the requests in flight and those of clients that connect late, then close all connections.
 
     Args:
-        frontend: The clients' connections.
+        frontend: The client connections.
         proxy: The requests in flight; those without a response at the end are failed.
         longest_deadline_s: The longest deadline of a service class.
-        is_takeover: Whether the next process shares the listening socket: nothing more is accepted here then.
+        is_takeover: Whether the listening socket is shared with the next process, which accepts new
+            connections from now on.
     """
     loop = asyncio.get_running_loop()
     started_at = loop.time()
@@ -48,4 +49,4 @@
             frontend.close_idle(only_used=False)
     proxy.fail_all()
     await frontend.close(_FLUSH_TIMEOUT_S)
-    log.info("drained", extra={"event": "drain_completed"})
+    log.info("drain completed", extra={"event": "drain_completed"})
--- a/sidecar_balancer/sidecar/sidecar.py
+++ b/sidecar_balancer/sidecar/sidecar.py
@@ -1,4 +1,4 @@
-"""One sidecar: assembles the balancer, sockets and subsystems, and runs them from start to shutdown."""
+"""A sidecar: the assembly of balancer, sockets and subsystems, and their run from start to shutdown."""
 
 from __future__ import annotations
 
@@ -38,34 +38,34 @@
 from sidecar_balancer.sidecar.status_log import StatusLog
 from sidecar_balancer.upstream.endpoint_pool import EndpointPool
 
-if TYPE_CHECKING:  # optional subsystems are loaded where they are configured
+if TYPE_CHECKING:  # optional subsystems are loaded only if they are configured
     from sidecar_balancer.observability.latency import LatencyHistograms
 
 log = logging.getLogger(__name__)
 
-_TAKEOVER_LIST_TIMEOUT_S = 2.0  # beside a process that still serves; a start must be ready within 6 s
+_TAKEOVER_LIST_TIMEOUT_S = 2.0  # the old process still serves; a start must be ready within 6 s
 _OVERRIDES_POLL_INTERVAL_S = 0.1  # another process may have stored an override
-_WATCH_RESTART_RATIO = 2.5  # of the poll interval, after which a watch that ended restarts by itself
-_PUSH_RETRY_DELAY_S = 0.5  # after a failed call to the agent that pushes lists
+_WATCH_RESTART_RATIO = 2.5  # multiple of the poll interval after which an ended watch restarts by itself
+_PUSH_RETRY_DELAY_S = 0.5  # after a failed call to the agent that pushes endpoint lists
 _RESERVED_DESCRIPTORS = 64  # for discovery, logs and the interpreter
 
 
 class Sidecar:
-    """One sidecar: a balancer and the sockets around it.
+    """A sidecar: a balancer with its connections and subsystems.
 
     Attributes:
-        engine: The balancer and the execution of its actions.
-        discovery: The watch of the endpoint list.
+        engine: Runs the balancer and executes its actions.
+        discovery: The client that watches the endpoint list.
         endpoint_pool: The connections to servers.
-        endpoint_updates: Applies endpoint lists to balancer and pool.
+        endpoint_updates: Applies endpoint lists to the balancer and the pool.
         proxy: The requests in flight.
-        frontend: The clients' connections.
+        frontend: The client connections.
         admin_handlers: The handlers of the admin API.
-        admin_server: The admin server, where it is configured.
+        admin_server: The admin server; None if it is not configured.
     """
 
     def __init__(self, config: SidecarConfig) -> None:
-        """Assemble a sidecar, which listens and serves nothing yet.
+        """Assemble a sidecar; it listens, but serves nothing until `run`.
 
         Raises:
             OSError: If a listening socket can't be opened.
@@ -74,7 +74,7 @@
         self._timers = Timers()
         self.engine = Engine(settings, config.seed, self._timers)
         body_memory = BodyMemory(config.memory_mb)
-        max_connections = max((config.max_sockets - _RESERVED_DESCRIPTORS) // 2, 1)  # on either side
+        max_connections = max((config.max_sockets - _RESERVED_DESCRIPTORS) // 2, 1)  # on each side
         poll_times = running_poll_times()
         limits = settings.limits
         self.endpoint_pool = EndpointPool(
@@ -96,7 +96,7 @@
         self._membership = create_membership(config, self.engine)
         self._state_persistence = create_state_persistence(config)
         self._initial_endpoints = config.initial_endpoints
-        self._endpoints_received = asyncio.Event()  # discovery has answered
+        self._endpoints_received = asyncio.Event()  # set when discovery has sent an endpoint list
         self.endpoint_updates = EndpointUpdates(
             self.engine, self.endpoint_pool, tracks_list=self._state_persistence is not None
         )
@@ -131,7 +131,7 @@
     # -- From start to shutdown
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Serve until `stop`, then answer all requests in flight and close everything."""
+        """Serve until `stop` is set, then respond to all requests in flight and close everything."""
         status_log = asyncio.get_running_loop().create_task(self._status_log.run())
         try:
             await self._start(stop)
@@ -145,23 +145,27 @@
             await self._close()
 
     def reload(self, config: SidecarConfig) -> None:
-        """Apply what may change while the sidecar runs: the addresses of discovery."""
+        """Apply the settings that may change while the sidecar runs: the addresses of discovery."""
         sources = config.discovery_addresses()
         addresses = ", ".join(f"{host}:{port}" for host, port in sources)
-        log.info("reloaded: discovery at %s", addresses[:200], extra={"event": "configuration_reloaded"})
+        log.info(
+            "configuration reloaded: discovery at %s",
+            addresses[:200],
+            extra={"event": "configuration_reloaded"},
+        )
         if self.discovery.replace_sources(sources):
             self.engine.handle(EndpointListReceived(ListKind.SOURCE_CHANGED))
 
     async def _start(self, stop: asyncio.Event) -> None:
         if self.admin_server is not None:
-            # Before the first request: overrides outlast the process that accepted them.
+            # Before the first request, because overrides outlast the process that accepted them.
             self._timers.call_every(_OVERRIDES_POLL_INTERVAL_S, self.admin_handlers.apply_stored_overrides)
             self.admin_server.start()
         if self._state_persistence is not None:
             self._initial_endpoints = self._state_persistence.restore(self.discovery, self._initial_endpoints)
         if self._membership is not None:
             await self._membership.start(self._on_membership_bound)
-        if not self._endpoints_received.is_set():  # else discovery has answered after a reload
+        if not self._endpoints_received.is_set():  # it is set if a reload has already fetched a list
             self.endpoint_updates.apply(ListKind.CACHED, self._initial_endpoints)
         await self._apply_restored_state(stop)
         if self._state_persistence is not None:
@@ -169,13 +173,13 @@
         if self._settings.discovery is DiscoveryMode.PUSH:
             self.discovery.set_watching(True)
         if self._is_takeover:
-            await _wait_for_first(stop, self._endpoints_received, _TAKEOVER_LIST_TIMEOUT_S)
+            await _wait_for_either(stop, self._endpoints_received, _TAKEOVER_LIST_TIMEOUT_S)
         if not stop.is_set():
             self.frontend.start()
             self.admin_handlers.lifecycle.accepts_clients = True
 
     async def _close(self) -> None:
-        """Close what is open and cancel what is scheduled, whether or not all was answered."""
+        """Close all sockets and cancel all timers, even if requests are still in flight."""
         self.frontend.stop_listening(accept_pending=False)
         await self.frontend.close(0.0)
         await self.discovery.close()
@@ -196,7 +200,7 @@
         self._timers.call_every(_OVERRIDES_POLL_INTERVAL_S, self.admin_handlers.disabled_servers.refresh)
 
     async def _apply_restored_state(self, stop: asyncio.Event) -> None:
-        """Give the balancer what was persisted, or else what peers know, within a bounded time."""
+        """Pass the persisted state to the balancer or, if there is none, that of peers, in bounded time."""
         persistence = self._state_persistence
         if persistence is None:
             return
@@ -261,15 +265,15 @@
         log.info("%s", action.text, extra={"event": action.name, subject_key: action.subject})
 
 
-async def _wait_for_first(one: asyncio.Event, other: asyncio.Event, timeout_s: float) -> None:
-    tasks = [asyncio.ensure_future(event.wait()) for event in (one, other)]
+async def _wait_for_either(first: asyncio.Event, second: asyncio.Event, timeout_s: float) -> None:
+    tasks = [asyncio.ensure_future(event.wait()) for event in (first, second)]
     await asyncio.wait(tasks, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
     for task in tasks:
         task.cancel()
 
 
 def _create_latency_histograms(config: SidecarConfig) -> LatencyHistograms | None:
-    """Create histograms where an admin server shows them."""
+    """Create histograms if there is an admin server to show them."""
     if config.admin_address is None:
         return None
     from sidecar_balancer.observability.latency import LatencyHistograms
--- a/sidecar_balancer/sidecar/state_persistence.py
+++ b/sidecar_balancer/sidecar/state_persistence.py
@@ -1,4 +1,4 @@
-"""Restores what an earlier incarnation persisted, and persists what this one has learned."""
+"""The state that an earlier process of this sidecar persisted, and the persistence of the current state."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
     """The state that survives a crash of this sidecar.
 
     Attributes:
-        interval_s: How often to persist.
-        warm_start_timeout_s: How long to wait for the state of peers where nothing was persisted.
-        restored: What an earlier incarnation persisted.
+        interval_s: The interval between writes of the state.
+        warm_start_timeout_s: How long to wait for the state of peers if there is no persisted state.
+        restored: The state that an earlier process persisted.
     """
 
     def __init__(self, persister: StatePersister, interval_s: float, warm_start_timeout_s: float) -> None:
-        """Use an unopened persister."""
+        """Persist through `persister`, which must not be open yet."""
         self.interval_s = interval_s
         self.warm_start_timeout_s = warm_start_timeout_s
         self.restored: RestoredState | None = None
         self._persister = persister
 
     def restore(self, discovery: DiscoveryClient, initial: ListUpdate) -> ListUpdate:
-        """Read what was persisted; return the newer of its endpoint list and the initial one."""
+        """Read the persisted state; return the newer of its endpoint list and the initial one."""
         self.restored = restored = self._persister.restore()
         record = restored.endpoint_list
         if record is None or record.source != discovery.source_key():
@@ -44,7 +44,7 @@
             update = parse_list(record.content)
         except ValueError as error:
             extra = {"event": "persisted_endpoint_list_invalid"}
-            log.warning("state: the persisted endpoint list is not used: %s", error, extra=extra)
+            log.warning("ignoring the invalid persisted endpoint list: %s", error, extra=extra)
             return initial
         if update.version <= initial.version or not update.entries:
             return initial
@@ -52,7 +52,7 @@
         return update
 
     def resume_membership(self, membership: MembershipBridge) -> None:
-        """Continue as the member that the earlier incarnation was."""
+        """Continue as the same member as the earlier process."""
         if self.restored is not None:
             from sidecar_balancer.persistence.persister import resume_membership
 
@@ -65,7 +65,7 @@
         discovery: DiscoveryClient,
         endpoint_list: EndpointList,
     ) -> None:
-        """Collect and write the state; a full or broken disk does not end the service."""
+        """Collect and write the state; a full or failing disk does not stop the sidecar."""
         from sidecar_balancer.persistence.state_records import EndpointListRecord
 
         transport = membership.transport if membership is not None else None
@@ -76,7 +76,7 @@
 
 
 def create_state_persistence(config: SidecarConfig) -> StatePersistence | None:
-    """Create the persistence where it is configured; its modules are loaded only then."""
+    """Create the persistence if it is configured; its modules are loaded only then."""
     state = config.state
     if state is None:
         return None
--- a/sidecar_balancer/sidecar/status_log.py
+++ b/sidecar_balancer/sidecar/status_log.py
@@ -1,4 +1,4 @@
-"""Logs the state of the sidecar each second, and when the event loop was late."""
+"""Periodic logging of the sidecar's state, and warnings about event loop lag."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 class StatusLog:
-    """Logs state and event loop lag while it runs."""
+    """Logger of state and event loop lag."""
 
     def __init__(
         self, balancer: Balancer, proxy: Proxy, frontend: Frontend, endpoint_pool: EndpointPool
     ) -> None:
-        """Log the state of these."""
+        """Log the state of the given components."""
         self._balancer = balancer
         self._proxy = proxy
         self._frontend = frontend
@@ -50,7 +50,7 @@
                 self._log_state()
 
     def _log_state(self) -> None:
-        """Log the state if there were responses since the last time."""
+        """Log the state if there were responses since the last state line."""
         self._proxy.request_log.reset_quota()
         new_responses = count_by_status(self._proxy.response_counts - self._logged_response_counts)
         if not new_responses:
@@ -59,7 +59,7 @@
         cpu_s = time.process_time() - self._logged_cpu_s
         self._logged_cpu_s += cpu_s
         log.info(
-            "answered %s; %d clients, %d in flight, %d connections to servers, %.2f s of CPU; %s",
+            "responses %s; %d client connections, %d in flight, %d server connections, %.2f s of CPU; %s",
             ", ".join(f"{count} x {status}" for status, count in new_responses.items()),
             len(self._frontend.connections),
             len(self._proxy.by_client_request),
