--- a/sidecar_balancer/simulator/__init__.py
+++ b/sidecar_balancer/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Runs balancers behind the simulator's wire: JSON lines of events in, actions out."""
+"""Adapter that runs balancers in the simulator: JSON lines of events in, JSON lines of actions out."""
--- a/sidecar_balancer/simulator/__main__.py
+++ b/sidecar_balancer/simulator/__main__.py
@@ -1,6 +1,6 @@
-"""Plays the simulator's lines from standard input: `python -m sidecar_balancer.simulator`.
+"""Runs the adapter on standard input and output: `python -m sidecar_balancer.simulator`.
 
-Input that breaks the wire's grammar ends the process with one line on standard error and exit code 2.
+Input that violates the wire format ends the process with one line on standard error and exit code 2.
 """
 
 from __future__ import annotations
@@ -12,18 +12,18 @@
 from sidecar_balancer.simulator.adapter import SimulatorAdapter
 from sidecar_balancer.simulator.errors import SimulatorError
 
-_EXIT_BAD_INPUT = 2
+_EXIT_INVALID_INPUT = 2
 
 
 def run(lines: Iterable[str], output: TextIO, errors: TextIO) -> int:
-    """Play all lines; return the exit code."""
+    """Handle all lines; return the exit code."""
     adapter = SimulatorAdapter()
     for number, line in enumerate(lines, 1):
         try:
             reply = adapter.handle_line(line)
         except SimulatorError as error:
             errors.write(f"line {number}: {error}\n")
-            return _EXIT_BAD_INPUT
+            return _EXIT_INVALID_INPUT
         if reply is not None:
             output.write("\n".join(reply) + "\n")
             output.flush()
@@ -31,7 +31,7 @@
 
 
 def main() -> int:
-    """Play standard input; return the exit code."""
+    """Handle standard input; return the exit code."""
     sys.stdin.reconfigure(encoding="utf-8", errors="replace")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     return run(sys.stdin, sys.stdout, sys.stderr)
--- a/sidecar_balancer/simulator/errors.py
+++ b/sidecar_balancer/simulator/errors.py
@@ -1,11 +1,11 @@
-"""What goes wrong on the simulator's wire."""
+"""Errors in the simulator's input."""
 
 from __future__ import annotations
 
 
 class SimulatorError(Exception):
-    """Base of the adapter's errors."""
+    """Base class of the adapter's errors."""
 
 
 class WireFormatError(SimulatorError):
-    """A line that the wire's grammar does not allow."""
+    """A line violates the simulator's wire format."""
