--- a/tests/runtime/test_body_memory.py
+++ b/tests/runtime/test_body_memory.py
@@ -1,4 +1,4 @@
-"""The bounds on the memory of bodies."""
+"""Limits on the memory for bodies."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 
 def test_read_size_shrinks_with_streams_and_buffered_bodies_are_bounded() -> None:
-    budget = BodyMemory(memory_mb=32)
-    pieces = []
+    body_memory = BodyMemory(memory_mb=32)
+    sizes = []
     for number in (1, 16, 64, 256, 10_000):
-        budget.active_streams = number
-        pieces.append(budget.read_size())
-    assert pieces == sorted(pieces, reverse=True)
-    assert pieces[0] == 65_536
-    assert pieces[-1] == 4_096
-    budget.active_streams = 256
-    assert 256 * 4 * budget.read_size() <= 32 * 1024 * 1024 // 8
-    assert budget.may_buffer(MAX_BUFFERED_BODY_BYTES)
-    assert not budget.may_buffer(MAX_BUFFERED_BODY_BYTES + 1)
-    budget.buffered_bytes = 5 * 1024 * 1024
-    assert not budget.may_buffer(10)
+        body_memory.active_streams = number
+        sizes.append(body_memory.read_size())
+    assert sizes == sorted(sizes, reverse=True)
+    assert sizes[0] == 65_536
+    assert sizes[-1] == 4_096
+    body_memory.active_streams = 256
+    assert 256 * 4 * body_memory.read_size() <= 32 * 1024 * 1024 // 8
+    assert body_memory.may_buffer(MAX_BUFFERED_BODY_BYTES)
+    assert not body_memory.may_buffer(MAX_BUFFERED_BODY_BYTES + 1)
+    body_memory.buffered_bytes = 5 * 1024 * 1024
+    assert not body_memory.may_buffer(10)
     assert streams.MAX_BUFFERED_BODY_BYTES == 65_536
--- a/tests/runtime/test_life.py
+++ b/tests/runtime/test_process.py
@@ -1,4 +1,4 @@
-"""The program's start, signals, upgrade and exit codes, in a process of its own."""
+"""The program in a separate process: start, signals, upgrade and exit codes."""
 
 from __future__ import annotations
 
@@ -44,20 +44,22 @@
 
 
 def config(**changes: Any) -> dict[str, Any]:
-    """The content of a configuration file, with the given keys changed."""
+    """Return the content of a configuration file, with the given keys changed."""
     known = {"index": 1, "snapshot": True, "endpoints": []}
-    given = {"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "seed": "8c1f"}
-    return given | {"known": known, "settings": SETTINGS} | changes
+    defaults = {"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "seed": "8c1f"}
+    return defaults | {"known": known, "settings": SETTINGS} | changes
 
 
-def write_config(path: Path, given: object) -> None:
-    path.write_text(given if isinstance(given, str) else json.dumps(given), encoding="utf-8")
+def write_config(path: Path, configuration: object) -> None:
+    path.write_text(
+        configuration if isinstance(configuration, str) else json.dumps(configuration), encoding="utf-8"
+    )
 
 
 async def launch(
-    path: Path, given: object, accept_fd: int | None = None, **environment: str
+    path: Path, configuration: object, accept_fd: int | None = None, **environment: str
 ) -> asyncio.subprocess.Process:
-    write_config(path, given)
+    write_config(path, configuration)
     environ = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
     return await asyncio.create_subprocess_exec(
         sys.executable,
@@ -71,7 +73,7 @@
 
 
 @pytest.mark.parametrize(
-    "given",
+    "configuration",
     [
         "not json",
         "[]",
@@ -87,9 +89,9 @@
         config(mgmt=7),
     ],
 )
-def test_a_bad_configuration_ends_the_start_with_one_line(given: object, tmp_path: Path) -> None:
+def test_a_bad_configuration_ends_the_start_with_one_line(configuration: object, tmp_path: Path) -> None:
     async def scenario() -> None:
-        process = await launch(tmp_path / "config.json", given)
+        process = await launch(tmp_path / "config.json", configuration)
         _, err = await asyncio.wait_for(process.communicate(), WAIT_TIMEOUT_S)
         assert process.returncode == 2
         assert len(err.decode().strip().splitlines()) == 1
@@ -99,7 +101,7 @@
 
 
 def free_address() -> Address:
-    """Port 0 is no address to configure, so a free port is picked and closed again just before."""
+    """Return an address whose port was free a moment ago, as port 0 can't be configured."""
     with socket.create_server(("127.0.0.1", 0)) as free:
         host, port = free.getsockname()
         return host, port
@@ -116,7 +118,7 @@
 
 @contextlib.asynccontextmanager
 async def program(tmp_path: Path, server: FakeServer) -> AsyncIterator[tuple[Any, Address]]:
-    """The program, ready, with one server behind it."""
+    """Run the program with one server, and wait until it is ready."""
     discovery = FakeDiscovery()
     await discovery.start()
     await server.start()
@@ -196,10 +198,10 @@
         await server.start()
         known = {"index": 1, "snapshot": True, "endpoints": [server.entry()]}
         listen = free_address()
-        given = config(listen="{}:{}".format(*listen), known=known)
-        process = await launch(tmp_path / "config.json", given)
+        configuration = config(listen="{}:{}".format(*listen), known=known)
+        process = await launch(tmp_path / "config.json", configuration)
         client = socket.socket()
-        while client.connect_ex(listen):  # a busy loop: it is to connect before anything is served
+        while client.connect_ex(listen):  # a busy loop, to connect before the program is ready
             client.close()
             client = socket.socket()
             assert process.returncode is None
@@ -233,7 +235,8 @@
 def test_a_shutdown_still_accepts_connections_and_serves_those_just_opened(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards the 0.4 s in which connections still come; made long, so that a slow machine can't miss them.
+    # Clients open connections for up to 0.4 s after SIGTERM.  The time is long here, so that a slow machine
+    # can't miss them.
     monkeypatch.setattr(shutdown, "_ACCEPT_WHILE_DRAINING_S", 600.0)
 
     async def scenario() -> None:
@@ -245,10 +248,10 @@
             opened, opened_writer = await asyncio.open_connection(*listen)
             await wait_until(lambda: len(environment.sidecar.frontend.connections) == 2)
             environment.stop.set()
-            # Idle connections are closed while a request that crosses the close can still be retried.
+            # Idle connections are closed while a request that meets the close can still be retried.
             assert await is_closed(idle)
             assert (await send_request(listen, request(path="/health/ready")))[0] == 503
-            # Those just opened have their requests served, and so has one opened now.
+            # Requests on a connection opened just before, and on one opened now, are served.
             late, late_writer = await asyncio.open_connection(*listen)
             for reader, writer in ((opened, opened_writer), (late, late_writer)):
                 writer.write(request())
@@ -265,7 +268,7 @@
     """Wait for a line with `text` in the program's log."""
     assert process.stderr is not None
     while text.encode() not in (line := await asyncio.wait_for(process.stderr.readline(), WAIT_TIMEOUT_S)):
-        assert line, f"it ended without logging {text!r}"
+        assert line, f"the program ended without logging {text!r}"
 
 
 def test_sighup_moves_discovery_to_the_address_in_the_file_and_a_faulty_file_changes_nothing(
@@ -301,8 +304,8 @@
 EXCLUDE = b"PUT /api/exclude/s-1 HTTP/1.1\r\nHost: ops\r\n\r\n"
 
 
-class Upgrade:
-    """Processes that inherit one listening socket, before two servers that hold requests for /api/held."""
+class UpgradeProcesses:
+    """Processes that share one listening socket, with two servers that don't respond to /api/held."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
@@ -316,14 +319,14 @@
         self._processes: list[asyncio.subprocess.Process] = []
 
     async def open(self) -> None:
-        for stand_in in (self.server, self.disabled, self._discovery):
-            await stand_in.start()
+        for fake in (self.server, self.disabled, self._discovery):
+            await fake.start()
 
     async def start(self, admin_address: Address) -> asyncio.subprocess.Process:
         """Start a process and wait until it is ready."""
         self._discovery.publish(2, [])
         entries = [self.server.entry(), self.disabled.entry()]
-        given = config(
+        configuration = config(
             listen="{}:{}".format(*self.listen),
             discovery="{}:{}".format(*self._discovery.address),
             known={"index": 1, "snapshot": True, "endpoints": entries},
@@ -331,7 +334,7 @@
         fd = self._listener.fileno()
         variables = {"RELAY_MGMT": "{}:{}".format(*admin_address), "TMPDIR": str(self._folder)}
         path = self._folder / "config.json"
-        process = await launch(path, given, fd, RELAY_ACCEPT_FD=str(fd), **variables)
+        process = await launch(path, configuration, fd, RELAY_ACCEPT_FD=str(fd), **variables)
         self._processes.append(process)
         await wait_until_ok(admin_address, READY)
         return process
@@ -349,23 +352,23 @@
             with contextlib.suppress(ProcessLookupError):
                 process.kill()
             await process.communicate()
-        for stand_in in (self.server, self.disabled, self._discovery):
-            stand_in.stop()
+        for fake in (self.server, self.disabled, self._discovery):
+            fake.stop()
         self._listener.close()
 
 
 @contextlib.asynccontextmanager
-async def upgrade(folder: Path) -> AsyncIterator[Upgrade]:
-    stage = Upgrade(folder)
-    await stage.open()
+async def running_upgrade(folder: Path) -> AsyncIterator[UpgradeProcesses]:
+    processes = UpgradeProcesses(folder)
+    await processes.open()
     try:
-        yield stage
+        yield processes
     finally:
-        await stage.close()
+        await processes.close()
 
 
-async def connect_and_ask(address: Address) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """Open a connection that has carried one request."""
+async def connect_and_send_request(address: Address) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+    """Open a connection and complete one request on it."""
     reader, writer = await asyncio.open_connection(*address)
     writer.write(request())
     assert (await read_response(reader))[0] == 200
@@ -375,27 +378,27 @@
 def test_an_upgrade_hands_the_clients_over_and_keeps_overrides_and_requests_in_flight(tmp_path: Path) -> None:
     async def scenario() -> None:
         old_address, new_address = free_address(), free_address()
-        async with upgrade(tmp_path) as stage:
-            old = await stage.start(old_address)
-            idle, idle_writer = await connect_and_ask(stage.listen)
-            busy, busy_writer = await connect_and_ask(stage.listen)
+        async with running_upgrade(tmp_path) as processes:
+            old_process = await processes.start(old_address)
+            idle, idle_writer = await connect_and_send_request(processes.listen)
+            busy, busy_writer = await connect_and_send_request(processes.listen)
             assert (await send_request(old_address, EXCLUDE))[0] == 200
 
-            new = await stage.start(new_address)
+            new_process = await processes.start(new_address)
             busy_writer.write(request("pay", path="/api/held", body=b"x", budget="3"))
-            await wait_until(lambda: any("held" in first for first, *_ in stage.requests()))
-            old.send_signal(signal.SIGTERM)
+            await wait_until(lambda: any("held" in first for first, *_ in processes.requests()))
+            old_process.send_signal(signal.SIGTERM)
             assert await is_closed(idle)
-            stage.answer_held_requests()
+            processes.answer_held_requests()
             status, headers, body = await read_response(busy)
             assert (status, headers["connection"], body) == (200, "close", b"held")
-            assert await asyncio.wait_for(old.wait(), WAIT_TIMEOUT_S) == 0
+            assert await asyncio.wait_for(old_process.wait(), WAIT_TIMEOUT_S) == 0
 
-            before = len(stage.disabled.requests)
-            for _ in range(20):  # the new process listens, and knows the override
-                assert (await send_request(stage.listen, request()))[2] == b"served"
-            assert len(stage.disabled.requests) == before
-            assert new.returncode is None
+            before = len(processes.disabled.requests)
+            for _ in range(20):  # the new process accepts connections and applies the override
+                assert (await send_request(processes.listen, request()))[2] == b"served"
+            assert len(processes.disabled.requests) == before
+            assert new_process.returncode is None
             idle_writer.close()
             busy_writer.close()
 
@@ -407,16 +410,16 @@
     kind: str, tmp_path: Path
 ) -> None:
     async def scenario() -> None:
-        quiet = socket.socket()
+        unconnected_socket = socket.socket()
         file = os.open(tmp_path, os.O_RDONLY)
-        fd = {"not listening": quiet.fileno(), "no socket": file}.get(kind)
+        fd = {"not listening": unconnected_socket.fileno(), "no socket": file}.get(kind)
         descriptor = "four" if kind == "no number" else str(fd if fd is not None else 1_000)
         process = await launch(tmp_path / "config.json", config(), fd, RELAY_ACCEPT_FD=descriptor)
         _, err = await asyncio.wait_for(process.communicate(), WAIT_TIMEOUT_S)
         assert process.returncode not in (0, None)
         assert len(err.decode().strip().splitlines()) == 1
         assert b"descriptor" in err
-        quiet.close()
+        unconnected_socket.close()
         os.close(file)
 
     run_scenario(scenario())
@@ -426,8 +429,8 @@
     async def scenario() -> None:
         with socket.create_server(("127.0.0.1", 0)) as taken:
             address = "{}:{}".format(*taken.getsockname())
-            given = config(listen="{}:{}".format(*free_address()), mgmt=address)
-            process = await launch(tmp_path / "config.json", given)
+            configuration = config(listen="{}:{}".format(*free_address()), mgmt=address)
+            process = await launch(tmp_path / "config.json", configuration)
             _, err = await asyncio.wait_for(process.communicate(), WAIT_TIMEOUT_S)
         assert process.returncode not in (0, None)
         assert len(err.decode().strip().splitlines()) == 1
--- a/tests/runtime/test_queueing.py
+++ b/tests/runtime/test_queueing.py
@@ -1,4 +1,4 @@
-"""Queueing delay: a request that waited in the kernel has less time left."""
+"""Queueing delay: a request that waited in the kernel has less remaining time."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 from virtual import RunScenario, stall
 
 BUDGET_S = 2.0
-TOLERANCE_S = 0.05  # of a forwarded budget: the virtual clock stands still while the kernel works
+TOLERANCE_S = 0.05  # of a forwarded budget, as the virtual clock does not advance while the kernel works
 
 
 @pytest.fixture(autouse=True)
 def kernel_without_receive_times(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The kernel counts real time, which a virtual clock does not follow."""
+    """Ignore the kernel's receive times, which are in real time rather than on the virtual clock."""
     monkeypatch.setattr(arrival, "since_last_data_s", lambda _: None)
 
 
-def test_input_that_ended_a_wait_is_new() -> None:
+def test_input_that_ended_a_waiting_poll_is_new() -> None:
     times = PollTimes(10.0)
     times.record_poll(entered=10.5, returned=11.5, timeout=None)
     assert times.unread_since == 11.5
 
 
-def test_input_found_at_once_may_have_arrived_since_the_poll_before() -> None:
+def test_input_of_an_immediate_poll_may_have_arrived_since_the_previous_poll() -> None:
     times = PollTimes(10.0)
     times.record_poll(entered=10.0, returned=11.0, timeout=5.0)
     times.record_poll(entered=11.7, returned=11.7, timeout=5.0)
@@ -40,21 +40,21 @@
     assert times.unread_since == 11.7
 
 
-def test_input_of_a_poll_that_overslept_may_have_arrived_since_it_began() -> None:
+def test_input_of_a_poll_that_returned_late_may_have_arrived_since_it_began() -> None:
     times = PollTimes(10.0)
     times.record_poll(entered=10.0, returned=12.0, timeout=0.1)
     assert times.unread_since == 10.0
 
 
-def test_the_age_of_the_backlog_is_bounded_by_its_last_empty_moment_and_its_capacity() -> None:
+def test_the_age_of_the_backlog_is_bounded_by_when_it_was_last_empty_and_by_its_capacity() -> None:
     backlog = BacklogAge(capacity=3)
     assert backlog.oldest_arrival(5.0) == 5.0
     backlog.record_remaining(unread_since=5.0, now=6.0)
-    backlog.record_remaining(unread_since=7.0, now=7.0)  # still not empty: nothing is younger for that
+    backlog.record_remaining(unread_since=7.0, now=7.0)  # still not empty: the bound does not move
     for _ in range(2):
         backlog.record_accepted(8.0)
         assert backlog.oldest_arrival(8.0) == 5.0
-    backlog.record_accepted(8.0)  # all that was queued at 6.0 has been accepted
+    backlog.record_accepted(8.0)  # all connections queued at 6.0 have been accepted
     assert backlog.oldest_arrival(8.0) == 6.0
     backlog.record_emptied()
     assert backlog.oldest_arrival(9.0) == 9.0
@@ -102,8 +102,8 @@
     stalled_s: float, is_new_connection: bool, on_virtual_clock: RunScenario
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served, drained=True) as w:
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+        async with running_sidecar(served, drained=True) as environment:
+            reader, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             if not is_new_connection:
                 writer.write(request())
                 assert (await read_response(reader))[0] == 200
@@ -111,7 +111,7 @@
             writer.write(request(budget=str(BUDGET_S)))
             stall(stalled_s)
             assert (await read_response(reader))[0] == 200
-            forwarded_s = float(w.sent()[-1][1]["x-budget"])
+            forwarded_s = float(environment.sent()[-1][1]["x-budget"])
             assert BUDGET_S - stalled_s - TOLERANCE_S <= forwarded_s <= BUDGET_S - stalled_s
             writer.close()
 
@@ -120,12 +120,12 @@
 
 def test_a_request_that_waited_longer_than_its_budget_is_rejected(on_virtual_clock: RunScenario) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served, drained=True) as w:
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+        async with running_sidecar(served, drained=True) as environment:
+            reader, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             writer.write(request(budget="0.5"))
             stall(0.6)
             assert (await read_response(reader))[0] == 503
-            assert not w.sent()
+            assert not environment.sent()
             writer.close()
 
     on_virtual_clock(scenario())
@@ -143,15 +143,15 @@
         # 66 descriptors leave one connection for clients: the second waits in the backlog.
         async with running_sidecar(
             script, drained=True, sockets=66, classes=[IDEMPOTENT | {"deadline_us": 9 * S}]
-        ) as w:
-            first, first_writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+        ) as environment:
+            first, first_writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             first_writer.write(request(budget=str(occupied_s), X_Call_Id="occupying"))
-            await wait_until(w.sent)
-            second, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+            await wait_until(environment.sent)
+            second, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             writer.write(request(budget=str(BUDGET_S)))
             assert (await read_response(first))[0] != 200
             assert (await read_response(second))[0] == 200
-            forwarded_s = float(w.sent()[-1][1]["x-budget"])
+            forwarded_s = float(environment.sent()[-1][1]["x-budget"])
             assert forwarded_s <= BUDGET_S - occupied_s + TOLERANCE_S
             first_writer.close()
             writer.close()
@@ -166,12 +166,12 @@
     monkeypatch.setattr(arrival, "since_last_data_s", lambda _: waited_s)
 
     async def scenario() -> None:
-        async with running_sidecar(served, drained=True) as w:
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+        async with running_sidecar(served, drained=True) as environment:
+            reader, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             writer.write(request(budget=str(BUDGET_S)))
             stall(0.6)
             assert (await read_response(reader))[0] == 200
-            forwarded_s = float(w.sent()[-1][1]["x-budget"])
+            forwarded_s = float(environment.sent()[-1][1]["x-budget"])
             assert BUDGET_S - waited_s - TOLERANCE_S <= forwarded_s <= BUDGET_S - waited_s
             writer.close()
 
--- a/tests/runtime/test_shutdown.py
+++ b/tests/runtime/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The graceful shutdown: what is in flight is answered, or visibly broken off."""
+"""Graceful shutdown: requests in flight get a response, and a truncated response is detectable."""
 
 from __future__ import annotations
 
@@ -22,46 +22,50 @@
 from virtual import RunScenario
 
 
-def test_request_in_flight_at_the_last_moment_is_answered_on_the_wire(on_virtual_clock: RunScenario) -> None:
+def test_request_in_flight_at_the_end_of_the_drain_gets_its_response(on_virtual_clock: RunScenario) -> None:
     async def scenario() -> None:
-        async with running_sidecar(hung, classes=[NON_IDEMPOTENT | {"deadline_us": 60 * S}]) as w:
-            client = RawClient(w)
+        async with running_sidecar(hung, classes=[NON_IDEMPOTENT | {"deadline_us": 60 * S}]) as environment:
+            client = RawClient(environment)
             client.send(request("pay", body=b"x", budget="50") + b"unread" * 100)
-            await wait_until(w.sent)
+            await wait_until(environment.sent)
             started_at = asyncio.get_running_loop().time()
-            w.stop.set()
-            await wait_until(lambda: w.sidecar._timers._is_closed)
-            assert 3.6 <= asyncio.get_running_loop().time() - started_at < 3.7  # killed it is after 3.7 s
-            got = client.sock.recv(10_000)
-            assert got.startswith(b"HTTP/1.1 500")
-            assert b"Connection: close" in got
-            assert client.sock.recv(1) == b""  # its end, and no reset that would take the answer away
-            assert_nothing_owed(w.sidecar)
+            environment.stop.set()
+            await wait_until(lambda: environment.sidecar._timers._is_closed)
+            # The platform kills the process after 3.7 s.
+            assert 3.6 <= asyncio.get_running_loop().time() - started_at < 3.7
+            received = client.sock.recv(10_000)
+            assert received.startswith(b"HTTP/1.1 500")
+            assert b"Connection: close" in received
+            assert client.sock.recv(1) == b""  # closed without a reset, which would discard the response
+            assert_nothing_owed(environment.sidecar)
             client.sock.close()
 
     on_virtual_clock(scenario())
 
 
 @pytest.mark.parametrize("version", [b"HTTP/1.0", b"HTTP/1.1"])
-def test_streamed_response_cut_off_by_the_shutdown_is_visibly_broken(
+def test_streamed_response_truncated_by_the_shutdown_is_detectably_incomplete(
     on_virtual_clock: RunScenario, version: bytes
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(hung, classes=[IDEMPOTENT | {"deadline_us": 1 * S}]) as w:
-            client = RawClient(w)
+        async with running_sidecar(hung, classes=[IDEMPOTENT | {"deadline_us": 1 * S}]) as environment:
+            client = RawClient(environment)
             client.send(request(budget="1.0").replace(b"HTTP/1.1", version))
-            await wait_until(w.sent)
-            (live,), (there,) = w.sidecar.proxy.in_flight.values(), w.servers[0].writers
-            there.write(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n")
-            await wait_until(lambda: live.streamed_attempt is not None)
+            await wait_until(environment.sent)
+            (in_flight_request,), (server_writer,) = (
+                environment.sidecar.proxy.in_flight.values(),
+                environment.servers[0].writers,
+            )
+            server_writer.write(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n")
+            await wait_until(lambda: in_flight_request.streamed_attempt is not None)
             await asyncio.sleep(0.1)
-            w.stop.set()
-            await wait_until(lambda: w.sidecar._timers._is_closed)
-            assert_nothing_owed(w.sidecar)
-            got = client.sock.recv(10_000)
-            assert b"part" in got
-            assert not got.endswith(b"0\r\n\r\n")
-            if version == b"HTTP/1.0":  # only the connection's end tells it that an answer is whole
+            environment.stop.set()
+            await wait_until(lambda: environment.sidecar._timers._is_closed)
+            assert_nothing_owed(environment.sidecar)
+            received = client.sock.recv(10_000)
+            assert b"part" in received
+            assert not received.endswith(b"0\r\n\r\n")
+            if version == b"HTTP/1.0":  # the end of the connection ends the response
                 with pytest.raises(ConnectionResetError):
                     client.sock.recv(1)
             else:
@@ -71,24 +75,27 @@
     on_virtual_clock(scenario())
 
 
-def test_stalled_client_of_a_response_delimited_by_its_end_sees_a_reset(
+def test_stalled_client_of_a_response_delimited_by_connection_close_sees_a_reset(
     on_virtual_clock: RunScenario,
 ) -> None:
-    piece = b"10000\r\n" + bytes(0x10000) + b"\r\n"
+    chunk = b"10000\r\n" + bytes(0x10000) + b"\r\n"
 
     async def scenario() -> None:
-        async with running_sidecar(hung, drained=True) as w:
+        async with running_sidecar(hung, drained=True) as environment:
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-            sock.connect(w.sidecar.frontend.address)
+            sock.connect(environment.sidecar.frontend.address)
             sock.send(request().replace(b"HTTP/1.1", b"HTTP/1.0"))
-            await wait_until(w.sent)
-            (connection,), (there,) = w.sidecar.frontend.connections, w.servers[0].writers
+            await wait_until(environment.sent)
+            (connection,), (server_writer,) = (
+                environment.sidecar.frontend.connections,
+                environment.servers[0].writers,
+            )
             connection._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
-            there.write(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n" + piece * 20)
+            server_writer.write(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk * 20)
             await wait_until(lambda: connection._write_blocked)
-            await asyncio.sleep(STALL_TIMEOUT_S)  # it reads nothing
-            await wait_until(lambda: not w.sidecar.frontend.connections)
+            await asyncio.sleep(STALL_TIMEOUT_S)  # the client reads nothing
+            await wait_until(lambda: not environment.sidecar.frontend.connections)
             sock.setblocking(True)
             with pytest.raises(ConnectionResetError):
                 _read_to_the_end(sock)
@@ -99,49 +106,49 @@
 
 def test_idle_connections_do_not_delay_the_shutdown(on_virtual_clock: RunScenario) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served) as w:
-            used, fresh = RawClient(w), RawClient(w)
+        async with running_sidecar(served) as environment:
+            used, fresh = RawClient(environment), RawClient(environment)
             used.send(request())
-            await wait_until(lambda: len(w.sidecar.frontend.connections) == 2)
-            await wait_until(lambda: len(w.sent()) == 1 and not w.sidecar.proxy.in_flight)
+            await wait_until(lambda: len(environment.sidecar.frontend.connections) == 2)
+            await wait_until(lambda: len(environment.sent()) == 1 and not environment.sidecar.proxy.in_flight)
             started_at = asyncio.get_running_loop().time()
-            w.stop.set()
-            await wait_until(lambda: w.sidecar._timers._is_closed)
+            environment.stop.set()
+            await wait_until(lambda: environment.sidecar._timers._is_closed)
             assert asyncio.get_running_loop().time() - started_at < 0.75
-            assert_nothing_owed(w.sidecar)
+            assert_nothing_owed(environment.sidecar)
             for each in (used, fresh):
                 each.sock.close()
 
     on_virtual_clock(scenario())
 
 
-@pytest.mark.parametrize("at", ["unaccepted", "unbegun", "dialling", "answering", "crossing"])
-def test_request_that_meets_the_drain_is_answered(on_virtual_clock: RunScenario, at: str) -> None:
+@pytest.mark.parametrize("phase", ["unaccepted", "just connected", "dialling", "responding", "crossing"])
+def test_request_that_meets_the_drain_gets_a_response(on_virtual_clock: RunScenario, phase: str) -> None:
     async def scenario() -> None:
-        async with running_sidecar(hung if at == "answering" else served, drained=True) as w:
+        async with running_sidecar(hung if phase == "responding" else served, drained=True) as environment:
             with unresponsive_listener() as address:
-                if at == "dialling":
-                    w.sidecar.endpoint_pool.update("s-0", address, None, ServerState.READY)
-                if at == "unaccepted":
-                    w.sidecar.frontend._acceptor.pause()
-                client = RawClient(w)
-                if at not in ("unaccepted", "unbegun"):
-                    await wait_until(lambda: w.sidecar.frontend.connections)
-                if at == "crossing":
-                    w.stop.set()
-                    await asyncio.sleep(0.64)  # one step before those just opened are closed
+                if phase == "dialling":
+                    environment.sidecar.endpoint_pool.update("s-0", address, None, ServerState.READY)
+                if phase == "unaccepted":
+                    environment.sidecar.frontend._acceptor.pause()
+                client = RawClient(environment)
+                if phase not in ("unaccepted", "just connected"):
+                    await wait_until(lambda: environment.sidecar.frontend.connections)
+                if phase == "crossing":
+                    environment.stop.set()
+                    await asyncio.sleep(0.64)  # just before connections without a request are closed
                 client.send(request())
-                if at == "dialling":
-                    await wait_until(lambda: w.sidecar.endpoint_pool._dial_tasks)
-                if at == "answering":
-                    await wait_until(w.sent)
-                w.stop.set()
-                if at == "answering":
-                    w.servers[0].writers[-1].write(http_response(200, b"served"))
-                await wait_until(lambda: w.sidecar._timers._is_closed)
-                got = client.sock.recv(10_000)
-                status = b"503" if at == "dialling" else b"200"
-                assert got.startswith(b"HTTP/1.1 " + status)
+                if phase == "dialling":
+                    await wait_until(lambda: environment.sidecar.endpoint_pool._dial_tasks)
+                if phase == "responding":
+                    await wait_until(environment.sent)
+                environment.stop.set()
+                if phase == "responding":
+                    environment.servers[0].writers[-1].write(http_response(200, b"served"))
+                await wait_until(lambda: environment.sidecar._timers._is_closed)
+                received = client.sock.recv(10_000)
+                status = b"503" if phase == "dialling" else b"200"
+                assert received.startswith(b"HTTP/1.1 " + status)
                 assert client.sock.recv(1) == b""
                 client.sock.close()
 
