--- a/tests/runtime/test_engine.py
+++ b/tests/runtime/test_engine.py
@@ -54,7 +54,7 @@
                 return real(now, event)
 
             monkeypatch.setattr(environment.sidecar.engine.balancer, "handle", faulty)
-            assert (await environment.send_request(kind="pay", body=b"x"))[0] == 500
+            assert (await environment.send_request(service_class="pay", body=b"x"))[0] == 500
             assert (await environment.send_request())[0] == 200
             assert not environment.sidecar.proxy.in_flight
 
@@ -65,7 +65,7 @@
     async def scenario() -> None:
         async with running_sidecar(served) as environment:
             monkeypatch.setattr(environment.sidecar.endpoint_pool, "send", None)
-            assert (await environment.send_request(kind="pay", body=b"x"))[0] == 500
+            assert (await environment.send_request(service_class="pay", body=b"x"))[0] == 500
             monkeypatch.undo()
             assert (await environment.send_request())[0] == 200
             assert not environment.sidecar.proxy.in_flight
--- a/tests/runtime/test_exceptions.py
+++ b/tests/runtime/test_exceptions.py
@@ -15,19 +15,19 @@
     running_sidecar,
     wait_until,
 )
+from scenario_helpers import collect_loop_exceptions, hung, nothing_in_flight, served
 from sidecar_balancer.admin.overrides import OperatorOverrides
 from sidecar_balancer.policy.events import (
     TimerFired,
 )
-from timed_scenes import collect_loop_exceptions, hung, nothing_in_flight, served
-from virtual import RunScenario, stall
+from virtual_clock import RunScenario, stall
 
 
 def test_timer_event_that_raises_half_way_loses_no_decided_or_due_action(
     on_virtual_clock: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(hung, hung, drained=True) as environment:
+        async with running_sidecar(hung, hung, graceful_shutdown=True) as environment:
             requests, failed = environment.sidecar.engine.balancer.components.requests, list[int]()
             real = requests.reject_or_fail
 
@@ -39,7 +39,7 @@
                 real(open_request)
 
             response_tasks = [
-                asyncio.create_task(environment.send_request(kind="pay", body=b"x", budget="1.0"))
+                asyncio.create_task(environment.send_request(service_class="pay", body=b"x", budget="1.0"))
                 for _ in range(4)
             ]
             await wait_until(lambda: len(environment.sent()) == 4)
@@ -59,7 +59,7 @@
     on_virtual_clock: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(hung, drained=True) as environment:
+        async with running_sidecar(hung, graceful_shutdown=True) as environment:
             timers = environment.sidecar.engine.balancer.components.timers
             real = timers.pop_due
 
@@ -67,7 +67,7 @@
                 monkeypatch.setattr(timers, "pop_due", real)
                 raise ZeroDivisionError
 
-            await wait_until(lambda: environment.discovery.targets)
+            await wait_until(lambda: environment.discovery.request_targets)
             events = environment.record_events()
             monkeypatch.setattr(timers, "pop_due", raise_error)
             environment.sidecar.engine.handle(TimerFired("agenda"))
@@ -81,7 +81,7 @@
     on_virtual_clock: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(hung, drained=True) as environment:
+        async with running_sidecar(hung, graceful_shutdown=True) as environment:
 
             def raise_error(_now: int, _request: object) -> None:
                 raise ZeroDivisionError
@@ -104,7 +104,7 @@
     on_virtual_clock: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(hung, drained=True) as environment:
+        async with running_sidecar(hung, graceful_shutdown=True) as environment:
             timers = environment.sidecar.engine.balancer.components.timers
             real = timers.arm
 
@@ -124,7 +124,7 @@
     on_virtual_clock: RunScenario, monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served, drained=True, overrides_folder=tmp_path) as environment:
+        async with running_sidecar(served, graceful_shutdown=True, overrides_folder=tmp_path) as environment:
             real, failed = environment.sidecar.admin_handlers.overrides.load, list[bool]()
 
             def raise_error() -> Any:
@@ -149,8 +149,10 @@
 ) -> None:
     async def scenario() -> None:
         limits = {"max_attempts": 3, "may_cancel": may_cancel}
-        async with running_sidecar(hung, drained=True, limits=limits) as environment:
-            response_task = asyncio.create_task(environment.send_request(kind="pay", body=b"x", budget="1.5"))
+        async with running_sidecar(hung, graceful_shutdown=True, limits=limits) as environment:
+            response_task = asyncio.create_task(
+                environment.send_request(service_class="pay", body=b"x", budget="1.5")
+            )
             await wait_until(environment.sent)
             environment.sidecar.proxy.abandon(next(iter(environment.sidecar.proxy.in_flight)))
             assert (await response_task)[0] == 500
@@ -166,7 +168,7 @@
 
 def test_response_that_cannot_be_written_closes_its_connection(on_virtual_clock: RunScenario) -> None:
     async def scenario() -> None:
-        async with running_sidecar(hung, drained=True) as environment:
+        async with running_sidecar(hung, graceful_shutdown=True) as environment:
             reader, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             writer.write(request())
             await wait_until(environment.sent)
--- a/tests/runtime/test_queueing.py
+++ b/tests/runtime/test_queueing.py
@@ -8,12 +8,12 @@
 
 import pytest
 
-from discovery_world import served
+from discovery_helpers import served
 from helpers import IDEMPOTENT, S
 from loopback import read_response, request, running_sidecar, wait_until
 from sidecar_balancer.downstream import arrival
 from sidecar_balancer.runtime.queueing import BacklogAge, PollTimes, TimedLoop, since_last_data_s
-from virtual import RunScenario, stall
+from virtual_clock import RunScenario, stall
 
 BUDGET_S = 2.0
 TOLERANCE_S = 0.05  # of a forwarded budget, as the virtual clock does not advance while the kernel works
@@ -102,7 +102,7 @@
     stalled_s: float, is_new_connection: bool, on_virtual_clock: RunScenario
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served, drained=True) as environment:
+        async with running_sidecar(served, graceful_shutdown=True) as environment:
             reader, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             if not is_new_connection:
                 writer.write(request())
@@ -120,7 +120,7 @@
 
 def test_a_request_that_waited_longer_than_its_budget_is_rejected(on_virtual_clock: RunScenario) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served, drained=True) as environment:
+        async with running_sidecar(served, graceful_shutdown=True) as environment:
             reader, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             writer.write(request(budget="0.5"))
             stall(0.6)
@@ -142,7 +142,7 @@
 
         # 66 descriptors leave one connection for clients: the second waits in the backlog.
         async with running_sidecar(
-            script, drained=True, sockets=66, classes=[IDEMPOTENT | {"deadline_us": 9 * S}]
+            script, graceful_shutdown=True, sockets=66, classes=[IDEMPOTENT | {"deadline_us": 9 * S}]
         ) as environment:
             first, first_writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             first_writer.write(request(budget=str(occupied_s), X_Call_Id="occupying"))
@@ -166,7 +166,7 @@
     monkeypatch.setattr(arrival, "since_last_data_s", lambda _: waited_s)
 
     async def scenario() -> None:
-        async with running_sidecar(served, drained=True) as environment:
+        async with running_sidecar(served, graceful_shutdown=True) as environment:
             reader, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             writer.write(request(budget=str(BUDGET_S)))
             stall(0.6)
--- a/tests/runtime/test_shutdown.py
+++ b/tests/runtime/test_shutdown.py
@@ -9,17 +9,17 @@
 
 from helpers import IDEMPOTENT, NON_IDEMPOTENT, S
 from loopback import (
-    assert_nothing_owed,
+    assert_nothing_pending,
     http_response,
     request,
     running_sidecar,
     unresponsive_listener,
     wait_until,
 )
+from scenario_helpers import RawClient, hung, served
 from sidecar_balancer.policy.types import ServerState
 from sidecar_balancer.runtime.streams import STALL_TIMEOUT_S
-from timed_scenes import RawClient, hung, served
-from virtual import RunScenario
+from virtual_clock import RunScenario
 
 
 def test_request_in_flight_at_the_end_of_the_drain_gets_its_response(on_virtual_clock: RunScenario) -> None:
@@ -37,7 +37,7 @@
             assert received.startswith(b"HTTP/1.1 500")
             assert b"Connection: close" in received
             assert client.sock.recv(1) == b""  # closed without a reset, which would discard the response
-            assert_nothing_owed(environment.sidecar)
+            assert_nothing_pending(environment.sidecar)
             client.sock.close()
 
     on_virtual_clock(scenario())
@@ -61,7 +61,7 @@
             await asyncio.sleep(0.1)
             environment.stop.set()
             await wait_until(lambda: environment.sidecar._timers._is_closed)
-            assert_nothing_owed(environment.sidecar)
+            assert_nothing_pending(environment.sidecar)
             received = client.sock.recv(10_000)
             assert b"part" in received
             assert not received.endswith(b"0\r\n\r\n")
@@ -81,7 +81,7 @@
     chunk = b"10000\r\n" + bytes(0x10000) + b"\r\n"
 
     async def scenario() -> None:
-        async with running_sidecar(hung, drained=True) as environment:
+        async with running_sidecar(hung, graceful_shutdown=True) as environment:
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
             sock.connect(environment.sidecar.frontend.address)
@@ -115,7 +115,7 @@
             environment.stop.set()
             await wait_until(lambda: environment.sidecar._timers._is_closed)
             assert asyncio.get_running_loop().time() - started_at < 0.75
-            assert_nothing_owed(environment.sidecar)
+            assert_nothing_pending(environment.sidecar)
             for each in (used, fresh):
                 each.sock.close()
 
@@ -125,7 +125,9 @@
 @pytest.mark.parametrize("phase", ["unaccepted", "just connected", "dialling", "responding", "crossing"])
 def test_request_that_meets_the_drain_gets_a_response(on_virtual_clock: RunScenario, phase: str) -> None:
     async def scenario() -> None:
-        async with running_sidecar(hung if phase == "responding" else served, drained=True) as environment:
+        async with running_sidecar(
+            hung if phase == "responding" else served, graceful_shutdown=True
+        ) as environment:
             with unresponsive_listener() as address:
                 if phase == "dialling":
                     environment.sidecar.endpoint_pool.update("s-0", address, None, ServerState.READY)
--- a/tests/runtime/test_timeouts.py
+++ b/tests/runtime/test_timeouts.py
@@ -13,13 +13,13 @@
     unresponsive_listener,
     wait_until,
 )
+from scenario_helpers import hung, served
 from sidecar_balancer.policy.events import (
     AttemptEnded,
     ClientDisconnected,
 )
 from sidecar_balancer.policy.types import Outcome, ServerState
-from timed_scenes import hung, served
-from virtual import RunScenario, stall
+from virtual_clock import RunScenario, stall
 
 
 def test_two_sidecars_in_one_process_apply_their_own_settings(on_virtual_clock: RunScenario) -> None:
@@ -31,16 +31,21 @@
             return http_response(500, b"")
 
         async with (
-            running_sidecar(respond_500, served, drained=True) as ours,
+            running_sidecar(respond_500, served, graceful_shutdown=True) as ours,
             running_sidecar(
-                respond_500, served, drained=True, classes=other, limits=limits, tenants=[]
+                respond_500, served, graceful_shutdown=True, classes=other, limits=limits, tenants=[]
             ) as theirs,
         ):
             for _ in range(6):
-                assert (await ours.send_request(kind="look"))[0] == 200  # idempotent: retried elsewhere
-                assert (await theirs.send_request(kind="look", method="POST", body=b"x"))[0] in (200, 500)
-                assert (await theirs.send_request(kind="look"))[0] == 405
-                assert (await ours.send_request(kind="pay", method="GET"))[0] == 405
+                assert (await ours.send_request(service_class="look"))[
+                    0
+                ] == 200  # idempotent: retried elsewhere
+                assert (await theirs.send_request(service_class="look", method="POST", body=b"x"))[0] in (
+                    200,
+                    500,
+                )
+                assert (await theirs.send_request(service_class="look"))[0] == 405
+                assert (await ours.send_request(service_class="pay", method="GET"))[0] == 405
             assert any(first.startswith("GET") for first, _, _ in ours.sent())
             assert all(first.startswith("POST") for first, _, _ in theirs.sent())
             assert len(theirs.sent()) == 6  # none of them was sent twice
@@ -54,7 +59,7 @@
 ) -> None:
     async def scenario() -> None:
         limits = {"max_attempts": 3, "may_cancel": phase != "attempt", "dial_timeout_us": 200_000}
-        async with running_sidecar(hung, hung, drained=True, limits=limits) as environment:
+        async with running_sidecar(hung, hung, graceful_shutdown=True, limits=limits) as environment:
             with unresponsive_listener() as address:
                 if phase == "dial":
                     for name in ("s-0", "s-1"):
@@ -62,7 +67,7 @@
                 loop = asyncio.get_running_loop()
                 started_at, real = loop.time(), environment.sidecar.engine.balancer.handle
                 response_task = asyncio.create_task(
-                    environment.send_request(kind="pay", body=b"x", budget="1.0")
+                    environment.send_request(service_class="pay", body=b"x", budget="1.0")
                 )
                 if phase == "failsafe":
                     await wait_until(environment.sent)
@@ -101,8 +106,10 @@
     on_virtual_clock: RunScenario, arrival: str
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(hung, drained=True) as environment:
-            response_task = asyncio.create_task(environment.send_request(kind="pay", body=b"x", budget="1.0"))
+        async with running_sidecar(hung, graceful_shutdown=True) as environment:
+            response_task = asyncio.create_task(
+                environment.send_request(service_class="pay", body=b"x", budget="1.0")
+            )
             await wait_until(environment.sent)
             if arrival == "before":
                 environment.servers[0].writers[0].write(http_response(200, b"served"))
