--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -42,7 +42,7 @@
             assert not first.requests
             environment.discovery.publish(
                 43, [first.entry()], snapshot=True
-            )  # an absent server is renew_source
+            )  # removes a server that it does not list
             await wait_until(lambda: "s-1" not in listed)
             requests_before = len(second.requests)
             for _ in range(10):
@@ -52,7 +52,7 @@
     run_scenario(scenario())
 
 
-def test_renew_source_servers_are_forgotten() -> None:
+def test_removed_servers_are_forgotten() -> None:
     async def scenario() -> None:
         async with running_sidecar(served, served) as environment:
             first, second = environment.servers
@@ -124,7 +124,7 @@
     run_scenario(scenario())
 
 
-def test_a_watch_runs_once_and_can_be_ended() -> None:
+def test_a_watch_runs_once_and_can_be_stopped() -> None:
     async def scenario() -> None:
         service = FakeDiscovery()
         await service.start()
@@ -174,8 +174,8 @@
 
 
 @pytest.mark.parametrize("status", ["leaving", "left"])
-def test_a_draining_or_renew_source_server_needs_no_address(status: str) -> None:
-    # Skipped as malformed, the entry would leave the server in use.
+def test_a_draining_or_removed_server_needs_no_address(status: str) -> None:
+    # If the entry were skipped as malformed, the server would stay in use.
     async def scenario() -> None:
         async with running_sidecar(served) as environment:
             environment.discovery.publish(42, [environment.servers[0].entry(status=status, address=None)])
@@ -203,7 +203,7 @@
     monkeypatch.setattr(watch_state, "WATCH_SLACK_S", 0.01)
 
     async def scenario() -> None:
-        # A failed poll is repeated after 250 s here: nothing but the time-out brings the second one.
+        # A failed poll is repeated after 250 s here, so only the timeout can cause the second one.
         async with running_sidecar(served, rules={"poll_interval_us": 1_000_000_000}) as environment:
             await wait_until(lambda: len(environment.discovery.request_targets) == 2)
             first, second = (target.split("&wait_ms=") for target in environment.discovery.request_targets)
