--- a/tests/runtime/test_engine.py
+++ b/tests/runtime/test_engine.py
@@ -1,4 +1,4 @@
-"""Events and actions: one time per turn, and an executor for each action."""
+"""The engine: one time per event loop turn, isolation of exceptions, and an executor for each action."""
 
 from __future__ import annotations
 
@@ -19,7 +19,8 @@
 
 
 def test_events_of_one_event_loop_turn_have_the_same_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards what the balancer learns: after a stall, it tells by the time what waited meanwhile.
+    # After a stall, the balancer recognizes input that had been waiting by its equal times and does not
+    # learn from it.
     async def scenario() -> None:
         async with running_sidecar(served) as environment:
             times: list[int] = []
@@ -41,7 +42,7 @@
     run_scenario(scenario())
 
 
-# Guards against a defect that would kill the process or leave its request without an answer.
+# Guards against an exception that ends the process or leaves its request without a response.
 def test_exception_in_the_balancer_fails_only_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         async with running_sidecar(served) as environment:
@@ -93,6 +94,6 @@
 
 
 def _policy_source() -> str:
-    """The text of all modules that may emit actions."""
+    """Return the text of all modules that may emit actions."""
     modules = Path(policy.__path__[0]).glob("*.py")
     return "".join(path.read_text() for path in modules if path.name != "actions.py")
--- a/tests/runtime/test_proxy.py
+++ b/tests/runtime/test_proxy.py
@@ -1,4 +1,4 @@
-"""Responses that the sidecar gives by itself."""
+"""Responses that the sidecar sends without forwarding a request."""
 
 from __future__ import annotations
 
--- a/tests/runtime/test_queueing.py
+++ b/tests/runtime/test_queueing.py
@@ -1,4 +1,4 @@
-"""Queueing delay: a request that waited in the kernel has less time left."""
+"""Queueing delay: a request that waited in the kernel has less remaining time."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 from virtual_clock import RunScenario, stall
 
 BUDGET_S = 2.0
-TOLERANCE_S = 0.05  # of a forwarded budget: the virtual clock stands still while the kernel works
+TOLERANCE_S = 0.05  # of a forwarded budget, as the virtual clock does not advance while the kernel works
 
 
 @pytest.fixture(autouse=True)
 def kernel_without_receive_times(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The kernel counts real time, which a virtual clock does not follow."""
+    """Ignore the kernel's receive times, which are in real time rather than on the virtual clock."""
     monkeypatch.setattr(arrival, "since_last_data_s", lambda _: None)
 
 
-def test_input_that_ended_a_wait_is_new() -> None:
+def test_input_that_ended_a_waiting_poll_is_new() -> None:
     times = PollTimes(10.0)
     times.record_poll(entered=10.5, returned=11.5, timeout=None)
     assert times.unread_since == 11.5
 
 
-def test_input_found_at_once_may_have_arrived_since_the_poll_before() -> None:
+def test_input_of_an_immediate_poll_may_have_arrived_since_the_previous_poll() -> None:
     times = PollTimes(10.0)
     times.record_poll(entered=10.0, returned=11.0, timeout=5.0)
     times.record_poll(entered=11.7, returned=11.7, timeout=5.0)
@@ -40,21 +40,21 @@
     assert times.unread_since == 11.7
 
 
-def test_input_of_a_poll_that_overslept_may_have_arrived_since_it_began() -> None:
+def test_input_of_a_poll_that_returned_late_may_have_arrived_since_it_began() -> None:
     times = PollTimes(10.0)
     times.record_poll(entered=10.0, returned=12.0, timeout=0.1)
     assert times.unread_since == 10.0
 
 
-def test_the_age_of_the_backlog_is_bounded_by_its_last_empty_moment_and_its_capacity() -> None:
+def test_the_age_of_the_backlog_is_bounded_by_when_it_was_last_empty_and_by_its_capacity() -> None:
     backlog = BacklogAge(capacity=3)
     assert backlog.oldest_arrival(5.0) == 5.0
     backlog.record_remaining(unread_since=5.0, now=6.0)
-    backlog.record_remaining(unread_since=7.0, now=7.0)  # still not empty: nothing is younger for that
+    backlog.record_remaining(unread_since=7.0, now=7.0)  # still not empty: the bound does not move
     for _ in range(2):
         backlog.record_accepted(8.0)
         assert backlog.oldest_arrival(8.0) == 5.0
-    backlog.record_accepted(8.0)  # all that was queued at 6.0 has been accepted
+    backlog.record_accepted(8.0)  # all connections queued at 6.0 have been accepted
     assert backlog.oldest_arrival(8.0) == 6.0
     backlog.record_emptied()
     assert backlog.oldest_arrival(9.0) == 9.0
