--- a/tests/runtime/test_defects.py
+++ b/tests/runtime/test_exceptions.py
@@ -1,4 +1,4 @@
-"""Exceptions in the balancer, in an executor or in a timer: each request still has one end."""
+"""Exceptions in the balancer, an executor or a timer: each request still gets one response."""
 
 from __future__ import annotations
 
@@ -31,12 +31,12 @@
             requests, failed = environment.sidecar.engine.balancer.components.requests, list[int]()
             real = requests.reject_or_fail
 
-            def reject_or_fail(given: Any) -> None:
+            def reject_or_fail(open_request: Any) -> None:
                 if len(failed) == 1:
-                    failed.append(given.request_id)
+                    failed.append(open_request.request_id)
                     raise ZeroDivisionError
-                failed.append(given.request_id)
-                real(given)
+                failed.append(open_request.request_id)
+                real(open_request)
 
             response_tasks = [
                 asyncio.create_task(environment.send_request(service_class="pay", body=b"x", budget="1.0"))
@@ -45,7 +45,7 @@
             await wait_until(lambda: len(environment.sent()) == 4)
             monkeypatch.setattr(requests, "reject_or_fail", reject_or_fail)
             started_at = asyncio.get_running_loop().time()
-            stall(2.0)  # all fall due in one event
+            stall(2.0)  # all deadlines pass within one timer event
             assert [(await each)[0] for each in response_tasks] == [500] * 4
             assert asyncio.get_running_loop().time() - started_at < 2.2
             assert len(failed) >= 3
@@ -90,7 +90,8 @@
             real = placement.place
             monkeypatch.setattr(placement, "place", raise_error)
             reader, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
-            writer.write(request("pay", body=bytes(100_000))[:-1])  # its body is still coming: it has no time
+            # Without its last byte the request has no deadline yet.
+            writer.write(request("pay", body=bytes(100_000))[:-1])
             assert (await read_response(reader))[0] == 500
             assert nothing_in_flight(environment)()
             monkeypatch.setattr(placement, "place", real)
@@ -112,7 +113,7 @@
                 raise ZeroDivisionError
 
             monkeypatch.setattr(timers, "arm", raise_error)
-            assert (await environment.send_request())[0] == 500  # it was sent by then, and then given up
+            assert (await environment.send_request())[0] == 500  # failed after the attempt was sent
             await wait_until(nothing_in_flight(environment))
             assert sum(each.in_flight for each in environment.sidecar.engine.balancer.servers.values()) == 0
 
@@ -132,11 +133,11 @@
                 raise ZeroDivisionError
 
             monkeypatch.setattr(environment.sidecar.admin_handlers.overrides, "load", raise_error)
-            with collect_loop_exceptions() as faults:
+            with collect_loop_exceptions() as exceptions:
                 await wait_until(lambda: failed)
                 await asyncio.sleep(0)
-            assert [type(each) for each in faults] == [ZeroDivisionError]
-            OperatorOverrides(tmp_path).disable_server("s-0")  # as the other process of an upgrade may
+            assert [type(each) for each in exceptions] == [ZeroDivisionError]
+            OperatorOverrides(tmp_path).disable_server("s-0")  # as another process may during an upgrade
             await wait_until(lambda: not environment.sidecar.engine.balancer.ready_servers)
 
     on_virtual_clock(scenario())
@@ -155,7 +156,7 @@
             await wait_until(environment.sent)
             environment.sidecar.proxy.abandon(next(iter(environment.sidecar.proxy.in_flight)))
             assert (await response_task)[0] == 500
-            if not may_cancel:  # what is whole at a server is not called off there: it ends at its time
+            if not may_cancel:  # an attempt that was sent completely ends at its deadline
                 await asyncio.sleep(1.0)
                 assert environment.servers[0].closed == 0
                 assert environment.sidecar.proxy.in_flight
@@ -171,8 +172,8 @@
             reader, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             writer.write(request())
             await wait_until(environment.sent)
-            (call,) = environment.sidecar.proxy.by_client_request
-            call.response_writer.respond(200, [(b"X-Bad", b"\n")], b"")
+            (client_request,) = environment.sidecar.proxy.by_client_request
+            client_request.response_writer.respond(200, [(b"X-Bad", b"\n")], b"")
             with contextlib.suppress(ConnectionError):
                 assert await reader.read() == b""
             await wait_until(lambda: not environment.sidecar.frontend.connections)
