--- a/sidecar_balancer/cli.py
+++ b/sidecar_balancer/cli.py
@@ -1,15 +1,15 @@
 """The `sidecar-balancer` command: run a sidecar or a relay, check a configuration, call an admin server.
 
-    sidecar-balancer run                        as `python -m sidecar_balancer`; RELAY_CONFIG names its file
-    sidecar-balancer relay --config FILE        a relay of the endpoint list (docs/relay.md)
-    sidecar-balancer check-config FILE          "ok", or a line for each fault and exit code 2
-    sidecar-balancer status --door HOST:PORT    GET /api/status; servers, members, zones, duties, ready alike
-    sidecar-balancer ban ID --door HOST:PORT    PUT /api/exclude/ID; unban ID
-    sidecar-balancer drain --door HOST:PORT     PUT /api/evacuate; undrain
-    sidecar-balancer drain-zone ZONE --door HOST:PORT    pin-zone and free-zone alike
-
-`--door` is the address of the admin server (docs/on-call.md); with `--config` it is the `mgmt` of that file.
-Exit codes: 0 success; 1 a call was rejected or had no response in time; 2 a usage or configuration fault.
+    sidecar-balancer run                        same as `python -m sidecar_balancer`; reads RELAY_CONFIG
+    sidecar-balancer relay --config FILE        run a relay of the endpoint list (docs/relay.md)
+    sidecar-balancer check-config FILE          print "ok", or a line for each error with exit code 2
+    sidecar-balancer status --door HOST:PORT    GET /api/status; also servers, members, zones, duties, ready
+    sidecar-balancer ban ID --door HOST:PORT    PUT /api/exclude/ID; the inverse is unban ID
+    sidecar-balancer drain --door HOST:PORT     PUT /api/evacuate; the inverse is undrain
+    sidecar-balancer drain-zone ZONE --door HOST:PORT    also pin-zone and free-zone
+
+`--door` is the address of the admin server (docs/on-call.md); `--config` takes it from `mgmt` in that file.
+Exit codes: 0 success; 1 a call was rejected or had no response in time; 2 a usage or configuration error.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
     arguments = _parser().parse_args(argv)
     match arguments.command:
         case "run":
-            from sidecar_balancer import program as sidecar_program  # not needed by the other commands
+            from sidecar_balancer import program as sidecar_program  # the other commands don't need it
 
             return sidecar_program.main()
         case "relay":
@@ -51,10 +51,10 @@
         prog="sidecar-balancer", description="A sidecar load balancer and its admin client."
     )
     commands = parser.add_subparsers(dest="command", required=True)
-    commands.add_parser("run", help="run a sidecar; RELAY_CONFIG names its configuration")
+    commands.add_parser("run", help="run a sidecar; RELAY_CONFIG names its configuration file")
     relay = commands.add_parser("relay", help="run a relay of the endpoint list")
-    relay.add_argument("--config", required=True, help="a TOML file, see docs/relay.md")
-    check = commands.add_parser("check-config", help="list the faults of a configuration")
+    relay.add_argument("--config", required=True, help="TOML configuration file, see docs/relay.md")
+    check = commands.add_parser("check-config", help="list the errors in a configuration file")
     check.add_argument("file")
     for name, call in CALLS.items():
         _add_call(commands.add_parser(name, help=f"{call.method} /api/{call.path.format('ID')}"), call)
@@ -63,26 +63,26 @@
 
 def _add_call(parser: argparse.ArgumentParser, call: AdminCall) -> None:
     if call.needs_name:
-        parser.add_argument("name", metavar="ID", help="the server's id, or the zone's name")
+        parser.add_argument("name", metavar="ID", help="server id or zone name")
     parser.add_argument("--door", metavar="HOST:PORT", help="address of the admin server")
-    parser.add_argument("--config", help="a configuration whose mgmt is that address")
+    parser.add_argument("--config", help="configuration file whose mgmt key holds that address")
     parser.add_argument(
         "--wait",
         type=float,
         default=_DEFAULT_TIMEOUT_S,
         help=f"seconds to wait for the response ({_DEFAULT_TIMEOUT_S:g})",
     )
-    parser.add_argument("--json", action="store_true", help="print the response unchanged")
+    parser.add_argument("--json", action="store_true", help="print the response body unchanged")
 
 
 def check_config(path: str) -> int:
-    """Read the file as a start does; print `ok` or a line for each fault, and return the exit code."""
-    from sidecar_balancer.config.loading import find_faults  # not needed by the calls
+    """Validate the file as at startup; print `ok` or a line for each error, and return the exit code."""
+    from sidecar_balancer.config.loading import find_errors  # admin calls don't need it
 
-    faults = find_faults(path)
-    for fault in faults:
-        print(f"bad configuration: {fault}".replace("\n", " "), file=sys.stderr)
-    if faults:
+    errors = find_errors(path)
+    for error in errors:
+        print(f"bad configuration: {error}".replace("\n", " "), file=sys.stderr)
+    if errors:
         return EXIT_USAGE
     print("ok")
     return EXIT_OK
@@ -92,7 +92,7 @@
     address = arguments.door or _address_in_config(arguments.config)
     if address is None:
         print(
-            "no door: give --door, or --config with mgmt in it (a sidecar without mgmt has no admin server)",
+            "no admin server address: pass --door or --config (a sidecar without mgmt has no admin server)",
             file=sys.stderr,
         )
         return EXIT_USAGE
--- a/sidecar_balancer/config/__init__.py
+++ b/sidecar_balancer/config/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration: its types and its readers."""
+"""Configuration types, and the functions that read and validate them."""
--- a/sidecar_balancer/config/leases.py
+++ b/sidecar_balancer/config/leases.py
@@ -1,4 +1,4 @@
-"""Reads the operators' `duties` object: the timing of the tier's leases (docs/leases.md)."""
+"""Reader of the operators' `duties` object: the timing of the tier's leases (docs/leases.md)."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 if TYPE_CHECKING:
     from sidecar_balancer.lease.protocol import LeaseTiming
 
-_FIELDS = {"term_ms": "term_us", "renew_ms": "renew_us", "skew_ms": "skew_us", "retry_ms": "retry_us"}
+_FIELD_BY_KEY = {"term_ms": "term_us", "renew_ms": "renew_us", "skew_ms": "skew_us", "retry_ms": "retry_us"}
 _MAX_MS = 600_000
 _US_PER_MS = 1_000
 
 
-def read_leases(given: Mapping[str, Any]) -> LeaseTiming | None:
-    """Read the leases' timing of a configuration, None where they are off; raises ConfigurationError."""
-    if given.get("duties") is None:
+def read_leases(raw_config: Mapping[str, Any]) -> LeaseTiming | None:
+    """Return the lease timing, or None if leases are off; raises ConfigurationError."""
+    if raw_config.get("duties") is None:
         return None
-    from sidecar_balancer.lease.protocol import LeaseTiming  # only where configured: starts cost CPU
+    from sidecar_balancer.lease.protocol import LeaseTiming  # only if configured: saves startup CPU
 
-    reader = ValueReader(given["duties"], "duties")
-    reader.reject_unknown(("on", *_FIELDS))
+    reader = ValueReader(raw_config["duties"], "duties")
+    reader.reject_unknown(("on", *_FIELD_BY_KEY))
     times_us = {
         field: _US_PER_MS * reader.exact_integer(key, 0, 0, _MAX_MS)
-        for key, field in _FIELDS.items()
+        for key, field in _FIELD_BY_KEY.items()
         if key in reader
     }
     try:
@@ -34,7 +34,7 @@
         raise ConfigurationError(f"duties: {error}") from None
     if not reader.is_true("on"):
         return None
-    membership = given.get("peer_plane")
+    membership = raw_config.get("peer_plane")
     if not isinstance(membership, Mapping) or not ValueReader(membership, "peer_plane").is_true("on"):
-        raise ConfigurationError("duties: they need peer_plane, which is off")
+        raise ConfigurationError("duties: requires peer_plane, which is off")
     return timing
--- a/sidecar_balancer/config/loading.py
+++ b/sidecar_balancer/config/loading.py
@@ -1,7 +1,7 @@
-"""Reads a sidecar's configuration from its files and the environment (docs/configuration.md).
+"""Reader of a sidecar's configuration, from files and the environment (docs/configuration.md).
 
-RELAY_CONFIG names the platform's JSON file.  The operators' own TOML file, where WEIRLOCK_CONFIG names one,
-takes precedence over it, and RELAY_LISTEN, RELAY_DISCOVERY, RELAY_MGMT and RELAY_NAME over both.
+RELAY_CONFIG names the platform's JSON file.  The operators' TOML file, if WEIRLOCK_CONFIG names one, takes
+precedence over it; RELAY_LISTEN, RELAY_DISCOVERY, RELAY_MGMT and RELAY_NAME take precedence over both.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 
 def read_config(environ: Mapping[str, str]) -> SidecarConfig:
-    """Read the configuration that the environment names; raises ConfigurationError for its first fault."""
+    """Return the configuration that the environment names; raises ConfigurationError for its first error."""
     source = _Source(_read_files(environ), environ)
     values = {part.key: _read_part(part, source) for part in _PARTS}
     settings = replace(values.pop("settings"), locality=values.pop("locality"))
@@ -52,36 +52,36 @@
     return SidecarConfig(settings=settings, **fields)
 
 
-def find_faults(path: str) -> list[str]:
-    """Return a line for each fault of a configuration file; none where a start would accept it.
+def find_errors(path: str) -> list[str]:
+    """Return a line for each error in a configuration file; empty if a sidecar would start with it.
 
-    Unknown keys of the platform are listed too, although a start ignores them.
+    Unknown top-level keys are listed too, although a sidecar ignores them at startup.
     """
     environ = {"RELAY_CONFIG": path}
     try:
-        given = _read_files(environ)
+        raw_config = _read_files(environ)
     except ConfigurationError as error:
         return [str(error)]
-    faults = []
-    source = _Source(given, environ)
+    errors = []
+    source = _Source(raw_config, environ)
     for part in _PARTS:
         try:
             _read_part(part, source)
         except ConfigurationError as error:
-            faults.append(str(error))
-    unknown = sorted(set(given) - {*_PLATFORM_KEYS, *_OPERATOR_KEYS})
-    return faults + [f"{key:.60}: no such key" for key in unknown]
+            errors.append(str(error))
+    unknown = sorted(set(raw_config) - {*_PLATFORM_KEYS, *_OPERATOR_KEYS})
+    return errors + [f"{key:.60}: unknown key" for key in unknown]
 
 
 class _Source(NamedTuple):
-    """Where the parts of a configuration are read from."""
+    """The merged configuration files and the environment."""
 
-    given: dict[str, Any]
+    raw_config: dict[str, Any]
     environ: Mapping[str, str]
 
     def first_of(self, variable: str, key: str) -> object:
-        """Return the environment's value, or that of the files where it has none."""
-        return self.environ.get(variable) or self.given.get(key)
+        """Return the value of the variable or, if it is unset or empty, that of the key."""
+        return self.environ.get(variable) or self.raw_config.get(key)
 
     def address(self, variable: str, key: str) -> Address:
         return read_address(self.first_of(variable, key), key)
@@ -90,13 +90,13 @@
         folder = self.environ.get("TMPDIR")
         if folder:
             return Path(folder)
-        import tempfile  # slow to load, and the platform sets TMPDIR
+        import tempfile  # imported only here: it is slow to load, and the platform sets TMPDIR
 
         return Path(tempfile.gettempdir())
 
 
 class _Part(NamedTuple):
-    """A part of the configuration: its name in faults, its field of SidecarConfig and its reader."""
+    """A part of the configuration: its name in error messages, its SidecarConfig field and its reader."""
 
     key: str
     field: str
@@ -114,37 +114,37 @@
 def _read_files(environ: Mapping[str, str]) -> dict[str, Any]:
     path = environ.get("RELAY_CONFIG")
     if not path:
-        raise ConfigurationError("RELAY_CONFIG names no file")
+        raise ConfigurationError("RELAY_CONFIG is unset or empty")
     try:
-        given = json.loads(Path(path).read_text(encoding="utf-8"))
-        if not isinstance(given, dict):
-            raise ConfigurationError("an object is needed")
+        raw_config = json.loads(Path(path).read_text(encoding="utf-8"))
+        if not isinstance(raw_config, dict):
+            raise ConfigurationError(f"{path}: expected a JSON object, got {type(raw_config).__name__}")
         operators_path = environ.get("WEIRLOCK_CONFIG")
-        return given | _read_operators_file(operators_path) if operators_path else given
+        return raw_config | _read_operators_file(operators_path) if operators_path else raw_config
     except (OSError, ValueError, RecursionError) as error:
         raise ConfigurationError(str(error)) from None
 
 
 def _read_operators_file(path: str) -> dict[str, Any]:
-    import tomllib  # only where it is needed: starts cost CPU
+    import tomllib  # imported only if there is such a file, to save CPU at startup
 
     with Path(path).open("rb") as file:
-        given = tomllib.load(file)
-    if unknown := sorted(set(given) - set(_OPERATOR_KEYS)):
-        known = ", ".join(_OPERATOR_KEYS)
-        raise ConfigurationError(f"{path}: {unknown[0]:.60}: no such key; known are {known}")
-    return given
+        raw_config = tomllib.load(file)
+    if unknown := sorted(set(raw_config) - set(_OPERATOR_KEYS)):
+        valid_keys = ", ".join(_OPERATOR_KEYS)
+        raise ConfigurationError(f"{path}: {unknown[0]:.60}: unknown key; valid keys are {valid_keys}")
+    return raw_config
 
 
 def _read_seed(source: _Source) -> int:
-    value = source.given.get("seed", "0")
+    value = source.raw_config.get("seed", "0")
     if not isinstance(value, str):
-        raise ConfigurationError("seed: hex digits are needed")
+        raise ConfigurationError(f"seed: expected a string of hexadecimal digits, got {value!r:.60}")
     return int(value, 16)
 
 
 def _read_initial_endpoints(source: _Source) -> ListUpdate:
-    known = source.given.get("known")
+    known = source.raw_config.get("known")
     return ListUpdate(0, True, []) if known is None else parse_list(known)
 
 
@@ -158,19 +158,19 @@
     if not value:
         return None
     if not value.isdecimal():
-        raise ConfigurationError(f"RELAY_ACCEPT_FD: the number of a descriptor is needed, not {value!r:.60}")
+        raise ConfigurationError(f"RELAY_ACCEPT_FD: expected a file descriptor number, got {value!r:.60}")
     return int(value)
 
 
 def _read_membership_address(source: _Source) -> Address | None:
-    given = source.given
-    return read_address(given["peer_listen"], "peer_listen") if "peer_listen" in given else None
+    raw_config = source.raw_config
+    return read_address(raw_config["peer_listen"], "peer_listen") if "peer_listen" in raw_config else None
 
 
 def _read_member_addresses(source: _Source) -> tuple[Address, ...]:
-    peers = source.given.get("peers", [])
+    peers = source.raw_config.get("peers", [])
     if not isinstance(peers, list) or len(peers) > _MAX_PEERS:
-        raise ConfigurationError(f"peers: a list of at most {_MAX_PEERS} is needed")
+        raise ConfigurationError(f"peers: expected a list of at most {_MAX_PEERS} addresses")
     return tuple(read_address(peer, f"peers[{index}]") for index, peer in enumerate(peers))
 
 
@@ -178,22 +178,22 @@
     _Part("listen", "listen", lambda source: source.address("RELAY_LISTEN", "listen")),
     _Part("discovery", "discovery", lambda source: source.address("RELAY_DISCOVERY", "discovery")),
     _Part("seed", "seed", _read_seed),
-    _Part("sockets", "max_sockets", lambda source: read_max_sockets(source.given)),
-    _Part("memory_mb", "memory_mb", lambda source: read_memory_mb(source.given)),
-    _Part("settings", "settings", lambda source: settings_from_wire(source.given.get("settings"))),
-    _Part("locality", "locality", lambda source: read_locality(source.given.get("locality"))),
+    _Part("sockets", "max_sockets", lambda source: read_max_sockets(source.raw_config)),
+    _Part("memory_mb", "memory_mb", lambda source: read_memory_mb(source.raw_config)),
+    _Part("settings", "settings", lambda source: settings_from_wire(source.raw_config.get("settings"))),
+    _Part("locality", "locality", lambda source: read_locality(source.raw_config.get("locality"))),
     _Part("known", "initial_endpoints", _read_initial_endpoints),
     _Part("orders", "overrides_folder", _Source.temporary_folder),
     _Part("mgmt", "admin_address", _read_admin_address),
     _Part("accept_fd", "inherited_listener_fd", _read_listener_fd),
     _Part("peer_listen", "membership_address", _read_membership_address),
     _Part("peers", "member_addresses", _read_member_addresses),
-    _Part("peer_plane", "membership", lambda source: read_membership(source.given)),
+    _Part("peer_plane", "membership", lambda source: read_membership(source.raw_config)),
     _Part(
         "name", "identity", lambda source: str(source.first_of("RELAY_NAME", "name") or "")[:_MAX_NAME_LENGTH]
     ),
-    _Part("relays", "relays", lambda source: read_relays(source.given)),
-    _Part("duties", "leases", lambda source: read_leases(source.given)),
-    _Part("state", "state", lambda source: read_state(source.given, source.temporary_folder())),
-    _Part("logging", "logging", lambda source: read_logging(source.given.get("logging"))),
+    _Part("relays", "relays", lambda source: read_relays(source.raw_config)),
+    _Part("duties", "leases", lambda source: read_leases(source.raw_config)),
+    _Part("state", "state", lambda source: read_state(source.raw_config, source.temporary_folder())),
+    _Part("logging", "logging", lambda source: read_logging(source.raw_config.get("logging"))),
 )
--- a/sidecar_balancer/config/logs.py
+++ b/sidecar_balancer/config/logs.py
@@ -1,4 +1,4 @@
-"""Reads the operators' `logging` object."""
+"""Reader of the operators' `logging` object."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 _MAX_LINES_PER_S = 100_000
 
 
-def read_logging(given: object) -> LogConfig:
-    """Read how to log, None giving the defaults; raises ConfigurationError."""
+def read_logging(raw: object) -> LogConfig:
+    """Return the log settings, the defaults if `raw` is None; raises ConfigurationError."""
     defaults = LogConfig()
-    if given is None:
+    if raw is None:
         return defaults
-    reader = ValueReader(given, "logging")
+    reader = ValueReader(raw, "logging")
     reader.reject_unknown(_KEYS)
     return LogConfig(
         level=reader.string_choice("level", LEVELS, defaults.level),
--- a/sidecar_balancer/config/relays.py
+++ b/sidecar_balancer/config/relays.py
@@ -1,4 +1,4 @@
-"""Reads the operators' `relays` list (docs/relay.md)."""
+"""Reader of the operators' `relays` list (docs/relay.md)."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 _KEYS = ("address", "zone")
 
 
-def read_relays(given: Mapping[str, Any]) -> tuple[RelayAddress, ...]:
-    """Read the relays of a configuration, none where it has no such list; raises ConfigurationError."""
-    if given.get("relays") is None:
+def read_relays(raw_config: Mapping[str, Any]) -> tuple[RelayAddress, ...]:
+    """Return the configured relays, empty if there is no such list; raises ConfigurationError."""
+    if raw_config.get("relays") is None:
         return ()
-    readers = ValueReader(given, "configuration", prefix="").sections("relays")
+    readers = ValueReader(raw_config, "configuration", prefix="").sections("relays")
     if not 1 <= len(readers) <= _MAX_RELAYS:
-        raise ConfigurationError(f"relays: a list of 1 to {_MAX_RELAYS} is needed")
+        raise ConfigurationError(f"relays: expected a list of 1 to {_MAX_RELAYS} relays, got {len(readers)}")
     relays = tuple(_read_relay(reader) for reader in readers)
     if len({relay.address for relay in relays}) < len(relays):
-        raise ConfigurationError("relays: an address is there twice")
+        raise ConfigurationError("relays: duplicate address")
     return relays
 
 
--- a/sidecar_balancer/config/settings.py
+++ b/sidecar_balancer/config/settings.py
@@ -1,4 +1,7 @@
-"""Reads the balancer's settings from nested mappings; `wire_names` translates the operators' names first."""
+"""Reader of the balancer's settings from nested mappings.
+
+The keys are the field names of Settings, into which `wire_names` has translated the operators' names.
+"""
 
 from __future__ import annotations
 
@@ -38,18 +41,18 @@
 )
 
 
-def read_settings(given: Mapping[str, Any]) -> Settings:
-    """Read settings from nested mappings with the field names of Settings; absent keys get the defaults.
+def read_settings(raw_settings: Mapping[str, Any]) -> Settings:
+    """Return settings from nested mappings with the field names of Settings; absent keys get the defaults.
 
-    Raises ConfigurationError, which names the key at fault.
+    Raises a ConfigurationError that names the invalid key.
     """
-    top = ValueReader(given, "settings", prefix="")
+    top = ValueReader(raw_settings, "settings", prefix="")
     classes = tuple(_read_class(reader) for reader in top.sections("classes"))
     if not classes:
-        raise ConfigurationError("classes: at least one class of requests is needed")
+        raise ConfigurationError("classes: expected at least one service class")
     tenants = tuple(_read_tenant(reader) for reader in top.sections("tenants"))
-    _reject_repeated_names("classes", [service_class.name for service_class in classes])
-    _reject_repeated_names("tenants", [tenant.name for tenant in tenants])
+    _reject_duplicate_names("classes", [service_class.name for service_class in classes])
+    _reject_duplicate_names("tenants", [tenant.name for tenant in tenants])
     report = top.section("report")
     return Settings(
         classes=classes,
@@ -68,18 +71,18 @@
         limits=_read_limits(top.section("limits")),
         rules=_read_rules(top.section("rules")),
         prices=_read_prices(top.section("prices")),
-        locality=read_locality(given.get("locality")),
+        locality=read_locality(raw_settings.get("locality")),
     )
 
 
-def read_locality(given: object) -> Locality:
-    """Read the operators' `locality` object, by their key names; None gives the defaults.
+def read_locality(raw: object) -> Locality:
+    """Return the settings of the operators' `locality` object; None gives the defaults.
 
-    Raises ConfigurationError for unknown keys and values out of range.
+    It has the operators' key names.  Raises ConfigurationError for unknown keys and values out of range.
     """
-    if given is None:
+    if raw is None:
         return Locality()
-    reader = ValueReader(given, "locality")
+    reader = ValueReader(raw, "locality")
     reader.reject_unknown(_LOCALITY_KEYS)
     return Locality(
         enabled=reader.flag("on", False),
@@ -96,9 +99,9 @@
     )
 
 
-def _reject_repeated_names(key: str, names: list[str]) -> None:
+def _reject_duplicate_names(key: str, names: list[str]) -> None:
     if len(set(names)) != len(names):
-        raise ConfigurationError(f"{key}: a name stands twice")
+        raise ConfigurationError(f"{key}: duplicate name")
 
 
 def _read_class(reader: ValueReader) -> ServiceClass:
--- a/sidecar_balancer/config/sidecar.py
+++ b/sidecar_balancer/config/sidecar.py
@@ -1,4 +1,4 @@
-"""The configuration of a sidecar."""
+"""Configuration of a sidecar."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 from sidecar_balancer.observability.logs import LogConfig
 from sidecar_balancer.policy.settings import Settings
 
-if TYPE_CHECKING:  # loaded only where membership is configured: starts cost CPU
+if TYPE_CHECKING:  # at run time imported only if membership is configured, to save CPU at startup
     from sidecar_balancer.lease.protocol import LeaseTiming
     from sidecar_balancer.membership.settings import MembershipSettings
 
 
 @dataclass(frozen=True, slots=True)
 class StateConfig:
-    """What is persisted across a crash, and where (docs/recovery.md)."""
+    """Settings of the state that is persisted across a crash (docs/recovery.md)."""
 
     folder: Path
     max_bytes: int
-    tier_folder: Path | None = None  # shared by all sidecars of the tier, for the tier's snapshot
+    tier_folder: Path | None = None  # shared by all sidecars of the tier; holds the tier snapshot
     interval_ms: int = 1_000
-    warm_start_timeout_ms: int = 500  # how long a start without state on disk waits for that of its peers
+    warm_start_timeout_ms: int = 500  # how long startup without state on disk waits for that of its peers
 
 
 @dataclass(frozen=True, slots=True)
 class SidecarConfig:
-    """The configuration of a sidecar; what is None is off."""
+    """Configuration of a sidecar; an optional subsystem whose field is None is off."""
 
     listen: Address
     discovery: Address
@@ -39,20 +39,20 @@
     settings: Settings
     initial_endpoints: ListUpdate
     memory_mb: int = 64
-    overrides_folder: Path = Path()  # survives this process
+    overrides_folder: Path = Path()  # outlives this process
     admin_address: Address | None = None
-    inherited_listener_fd: int | None = None  # the listening socket, where the platform holds it
-    membership_address: Address | None = None  # where peers' datagrams arrive
-    member_addresses: tuple[Address, ...] = ()  # of all members, this one included, by member number
+    inherited_listener_fd: int | None = None  # the listening socket, if the platform holds it
+    membership_address: Address | None = None  # address that receives peers' datagrams
+    member_addresses: tuple[Address, ...] = ()  # of all members including this one, indexed by member number
     membership: MembershipSettings | None = None
     logging: LogConfig = field(default_factory=LogConfig)
     state: StateConfig | None = None
     leases: LeaseTiming | None = None
-    identity: str = ""  # this sidecar's name, by which the sidecars spread over the relays
-    relays: tuple[RelayAddress, ...] = ()  # used in place of `discovery`, where there are any
+    identity: str = ""  # this sidecar's name, used to spread the sidecars over the relays
+    relays: tuple[RelayAddress, ...] = ()  # used in place of `discovery` if not empty
 
     def discovery_addresses(self) -> list[Address]:
-        """Return where the endpoint list is fetched, in order of preference."""
+        """Return the addresses to fetch the endpoint list from, in order of preference."""
         if not self.relays:
             return [self.discovery]
         identity = self.identity or "{}:{}".format(*self.listen)
--- a/sidecar_balancer/config/wire_names.py
+++ b/sidecar_balancer/config/wire_names.py
@@ -1,6 +1,6 @@
-"""The operators' names of settings, translated into the names of `sidecar_balancer.config.settings`.
+"""Translation of the operators' setting names into the field names that `config.settings` reads.
 
-The configuration's `settings` object and the first message of the simulator have the same form.
+The configuration's `settings` object and the simulator's first message have the same form.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from sidecar_balancer.config.values import ConfigurationError
 from sidecar_balancer.policy.settings import Settings
 
-# Their name -> the name in Settings; keys without an entry are ignored.
+# Operators' name -> field name in Settings; keys without an entry are ignored.
 _TOP_LEVEL_NAMES = {
     "lanes": "classes",
     "realms": "tenants",
@@ -81,29 +81,31 @@
 }
 
 
-def settings_from_wire(given: object) -> Settings:
-    """Translate the operators' settings object; raises ConfigurationError, which names the key at fault."""
-    if not isinstance(given, Mapping):
-        raise ConfigurationError("settings: an object is needed")
-    named = _renamed(given, _TOP_LEVEL_NAMES)
+def settings_from_wire(raw_settings: object) -> Settings:
+    """Return the operators' settings; raises a ConfigurationError that names the invalid key."""
+    if not isinstance(raw_settings, Mapping):
+        raise ConfigurationError(f"settings: expected an object, got {type(raw_settings).__name__}")
+    translated = _rename_keys(raw_settings, _TOP_LEVEL_NAMES)
     for key, names in _SECTION_NAMES.items():
-        section = named.get(key)
+        section = translated.get(key)
         if isinstance(section, list):
-            named[key] = [_renamed(item, names) if isinstance(item, Mapping) else item for item in section]
+            translated[key] = [
+                _rename_keys(item, names) if isinstance(item, Mapping) else item for item in section
+            ]
         elif isinstance(section, Mapping):
-            named[key] = _renamed(section, names)
-    domain = given.get("domain")
+            translated[key] = _rename_keys(section, names)
+    domain = raw_settings.get("domain")
     if isinstance(domain, Mapping):
-        named["warm_keys"] = domain.get("warmKeys")
-    return read_settings(named)
+        translated["warm_keys"] = domain.get("warmKeys")
+    return read_settings(translated)
 
 
-def _renamed(given: Mapping[str, Any], names: Mapping[str, str]) -> dict[str, Any]:
+def _rename_keys(raw: Mapping[str, Any], names: Mapping[str, str]) -> dict[str, Any]:
     renamed: dict[str, Any] = {}
     for wire_name, name in names.items():
-        if wire_name not in given:
+        if wire_name not in raw:
             continue
-        value = given[wire_name]
+        value = raw[wire_name]
         if isinstance(value, str):
             value = _VALUE_NAMES.get(name, {}).get(value, value)
         renamed[name] = value
--- a/tests/cluster/test_cli.py
+++ b/tests/cluster/test_cli.py
@@ -1,4 +1,4 @@
-"""The `sidecar-balancer` command against a sidecar process on loopback."""
+"""The `sidecar-balancer` command, run against sidecar processes on loopback."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from stub_servers import StubServer
 
 
-class Completed(NamedTuple):
-    """How a command ended."""
+class CommandResult(NamedTuple):
+    """Exit code and output of a command."""
 
     code: int
     out: str
     err: str
 
 
-async def run(*arguments: str) -> Completed:
+async def run(*arguments: str) -> CommandResult:
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -35,18 +35,20 @@
     )
     out, err = await process.communicate()
     assert process.returncode is not None
-    return Completed(process.returncode, out.decode(), err.decode())
+    return CommandResult(process.returncode, out.decode(), err.decode())
 
 
-async def _answers(sidecars: Tier) -> bool:
+async def _is_responding(sidecars: Tier) -> bool:
     return await sidecars.members(0) is not None
 
 
 @scenario
-async def test_the_command_calls_the_admin_server_of_an_address_or_a_configuration(tmp_path: Path) -> None:
+async def test_the_command_takes_the_admin_server_address_from_a_flag_or_a_configuration_file(
+    tmp_path: Path,
+) -> None:
     async with running_tier(2, tmp_path, seed=17) as sidecars:
         address = format_address(sidecars.admin_addresses[0])
-        await sidecars.wait_until(lambda: _answers(sidecars))
+        await sidecars.wait_until(lambda: _is_responding(sidecars))
         members = await run("members", "--door", address)
         assert members.code == 0
         assert json.loads(members.out)["me"] == 0
@@ -60,9 +62,9 @@
 
 
 @scenario
-async def test_an_address_where_nothing_listens_is_one_line_and_exit_code_1() -> None:
-    nowhere = format_address(free_ports(new_host(), 1)[0])
-    completed = await run("members", "--door", nowhere, "--wait", "1")
+async def test_a_refused_connection_gives_one_line_and_exit_code_1() -> None:
+    unused_address = format_address(free_ports(new_host(), 1)[0])
+    completed = await run("members", "--door", unused_address, "--wait", "1")
     assert completed.code == 1
     assert len(completed.err.splitlines()) == 1
     assert "did not answer" in completed.err
@@ -72,7 +74,7 @@
 async def test_without_an_address_the_exit_code_is_2() -> None:
     completed = await run("drain")
     assert completed.code == 2
-    assert completed.err.startswith("no door")
+    assert completed.err.startswith("no admin server address")
 
 
 @scenario
@@ -84,8 +86,8 @@
         cluster.load.start()
         await cluster.load.wait_for_responses(100)
         await cluster.load.stop()
-        good = sum(response.status == 200 for response in cluster.load.responses)
-        await _assert_status(address, good)
+        ok_count = sum(response.status == 200 for response in cluster.load.responses)
+        await _assert_status(address, ok_count)
         shown = await run("servers", "--door", address)
         assert shown.code == 0
         assert {"a-0", "b-0"} <= {line.split(" ")[0] for line in shown.out.splitlines()}
@@ -96,20 +98,20 @@
         assert (await run("duties", "--door", address)).code == 1  # leases are off
 
 
-async def _assert_status(address: str, good: int) -> None:
+async def _assert_status(address: str, ok_count: int) -> None:
     shown = await run("status", "--door", address, "--json")
     status = json.loads(shown.out)
     assert shown.code == 0
     assert status["ready"]
-    assert status["answered"]["200"] == good
+    assert status["answered"]["200"] == ok_count
     latencies = status["latency_ms"].values()
-    assert sum(latency["count"] for latency in latencies) == good
+    assert sum(latency["count"] for latency in latencies) == ok_count
     for latency in latencies:
         assert 15.0 < latency["p50"] <= latency["p90"] <= latency["p99"] <= latency["p999"]
 
 
 @pytest.mark.parametrize(
-    ("changes", "faults"),
+    ("changes", "invalid_keys"),
     [
         ({}, []),
         ({"peer_plane": {"on": True, "period_ms": "fast"}}, ["peer_plane"]),
@@ -120,8 +122,8 @@
     ids=["good", "membership", "listen and logging", "locality and unknown", "leases and state"],
 )
 @scenario
-async def test_check_config_prints_ok_or_a_line_for_each_fault(
-    tmp_path: Path, changes: dict[str, Any], faults: list[str]
+async def test_check_config_prints_ok_or_a_line_for_each_error(
+    tmp_path: Path, changes: dict[str, Any], invalid_keys: list[str]
 ) -> None:
     sidecars = Tier(1, tmp_path)
     await sidecars.open()
@@ -129,16 +131,16 @@
     path.write_text(json.dumps(sidecars.config(0) | changes), encoding="utf-8")
     completed = await run("check-config", str(path))
     lines = completed.err.splitlines()
-    assert (completed.code, completed.out) == ((2, "") if faults else (0, "ok\n"))
-    assert len(lines) == len(faults)
-    for line, name in zip(lines, faults, strict=True):
+    assert (completed.code, completed.out) == ((2, "") if invalid_keys else (0, "ok\n"))
+    assert len(lines) == len(invalid_keys)
+    for line, key in zip(lines, invalid_keys, strict=True):
         assert line.startswith("bad configuration: ")
-        assert name in line
+        assert key in line
     await sidecars.close()
 
 
 @scenario
-async def test_an_admin_server_that_never_answers_is_waited_for_no_longer_than_the_limit() -> None:
+async def test_a_call_to_an_unresponsive_admin_server_times_out() -> None:
     async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read()
         writer.close()
--- a/tests/config/test_loading.py
+++ b/tests/config/test_loading.py
@@ -1,4 +1,4 @@
-"""A sidecar's configuration: which files and variables it comes from, and which values are faults."""
+"""A sidecar's configuration: its files and variables, their precedence, and the values it rejects."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 import pytest
 
-from sidecar_balancer.config.loading import find_faults, read_config
+from sidecar_balancer.config.loading import find_errors, read_config
 from sidecar_balancer.config.sidecar import SidecarConfig, StateConfig
 from sidecar_balancer.config.values import ConfigurationError
 from sidecar_balancer.discovery.sources import RelayAddress
@@ -31,7 +31,7 @@
 
 @pytest.fixture
 def read(path: Path) -> Read:
-    """Reads a configuration of the minimal keys and the given ones, in an environment of its own."""
+    """Return a function that reads the minimal configuration with the keys and variables passed to it."""
 
     def read_with(environ: dict[str, str] | None = None, **keys: Any) -> SidecarConfig:
         path.write_text(json.dumps(MINIMAL | keys), encoding="utf-8")
@@ -61,7 +61,7 @@
         ("RELAY_MGMT", "admin_address"),
     ],
 )
-def test_an_address_of_the_environment_takes_precedence(read: Read, variable: str, field: str) -> None:
+def test_an_address_in_the_environment_takes_precedence(read: Read, variable: str, field: str) -> None:
     config = read({variable: "10.0.0.1:9"}, mgmt="127.0.0.1:1")
     assert getattr(config, field) == ("10.0.0.1", 9)
 
@@ -77,21 +77,21 @@
     assert config.logging.level == "debug"
 
 
-def test_a_platform_key_in_the_operators_file_is_a_fault(read: Read, tmp_path: Path) -> None:
+def test_a_platform_key_in_the_operators_file_is_rejected(read: Read, tmp_path: Path) -> None:
     own = tmp_path / "own.toml"
     own.write_text('listen = "127.0.0.1:1"\n', encoding="utf-8")
-    with pytest.raises(ConfigurationError, match="listen: no such key"):
+    with pytest.raises(ConfigurationError, match="listen: unknown key"):
         read({"WEIRLOCK_CONFIG": str(own)})
 
 
-def test_state_goes_to_the_temporary_folder_and_takes_a_part_of_the_memory(read: Read) -> None:
+def test_state_goes_to_the_temporary_folder_and_takes_a_fraction_of_the_memory_limit(read: Read) -> None:
     config = read(state={"on": True}, limits={"memory_mb": 128})
     assert config.state == StateConfig(Path("/tmp/own"), 2 * 1024 * 1024)
 
 
 def test_every_key_of_state_is_read(read: Read) -> None:
-    given = {"on": True, "folder": "/a", "tier_folder": "/b", "every_ms": 20, "warm_ms": 0}
-    assert read(state=given).state == StateConfig(Path("/a"), 1024 * 1024, Path("/b"), 20, 0)
+    raw = {"on": True, "folder": "/a", "tier_folder": "/b", "every_ms": 20, "warm_ms": 0}
+    assert read(state=raw).state == StateConfig(Path("/a"), 1024 * 1024, Path("/b"), 20, 0)
 
 
 @pytest.mark.parametrize("subsystem", ["state", "peer_plane", "duties"])
@@ -118,9 +118,9 @@
     assert config.relays == (RelayAddress(("10.0.0.1", 1), "a"), RelayAddress(("10.0.0.2", 2)))
 
 
-FAULTS: list[tuple[dict[str, Any], str]] = [
-    ({"listen": None}, "listen: an address is needed"),
-    ({"listen": "nowhere"}, "listen: an address host:port is needed"),
+REJECTED: list[tuple[dict[str, Any], str]] = [
+    ({"listen": None}, "listen: expected an address host:port, got None"),
+    ({"listen": "nowhere"}, "listen: expected an address host:port, got 'nowhere'"),
     ({"seed": 7}, "seed"),
     ({"seed": "xyz"}, "seed"),
     ({"mgmt": 7}, "mgmt"),
@@ -137,7 +137,7 @@
     ({"peer_plane": {"surprise": 1}}, "peer_plane.surprise"),
     ({"peer_plane": {"on": True, "period_ms": 10}}, "peer_plane"),
     ({"peer_plane": {"on": True, "ban_most": float("inf")}}, "peer_plane"),
-    ({"duties": {"on": True}}, "duties: they need peer_plane"),
+    ({"duties": {"on": True}}, "duties: requires peer_plane"),
     ({"duties": {"term_ms": 5.0}}, "duties.term_ms"),
     ({"duties": {"term_ms": 600_001}}, "duties.term_ms"),
     ({"duties": {"term_ms": 10}}, "duties"),
@@ -145,7 +145,7 @@
     ({"state": {"every_ms": 19}}, "state.every_ms"),
     ({"state": {"warm_ms": 60_001}}, "state.warm_ms"),
     ({"relays": []}, "relays"),
-    ({"relays": [{"address": "10.0.0.1:1"}] * 2}, "relays: an address is there twice"),
+    ({"relays": [{"address": "10.0.0.1:1"}] * 2}, "relays: duplicate address"),
     ({"relays": [{"address": "10.0.0.1:1", "zone": None}]}, "relays[0].zone"),
     ({"logging": {"level": None}}, "logging.level"),
     ({"logging": {"format": ""}}, "logging.format"),
@@ -155,46 +155,48 @@
 ]
 
 
-@pytest.mark.parametrize(("keys", "words"), FAULTS, ids=[words for _, words in FAULTS])
-def test_a_fault_is_a_configuration_error_that_names_the_key(
-    read: Read, keys: dict[str, Any], words: str
+@pytest.mark.parametrize(
+    ("keys", "message_start"), REJECTED, ids=[message_start for _, message_start in REJECTED]
+)
+def test_an_invalid_value_raises_a_configuration_error_that_names_the_key(
+    read: Read, keys: dict[str, Any], message_start: str
 ) -> None:
     with pytest.raises(ConfigurationError) as raised:
         read(**keys)
-    assert str(raised.value).startswith(words)
+    assert str(raised.value).startswith(message_start)
 
 
 @pytest.mark.parametrize(
     "content", ["", "not json", "[]", "[" * 100_000], ids=["empty", "no JSON", "list", "deep"]
 )
-def test_a_file_that_holds_no_object_is_a_fault(path: Path, content: str) -> None:
+def test_a_file_that_holds_no_object_is_rejected(path: Path, content: str) -> None:
     path.write_text(content, encoding="utf-8")
     with pytest.raises(ConfigurationError):
         read_config({"RELAY_CONFIG": str(path)})
 
 
-def test_a_missing_file_is_a_fault(path: Path) -> None:
+def test_a_missing_file_is_rejected(path: Path) -> None:
     with pytest.raises(ConfigurationError, match="No such file"):
         read_config({"RELAY_CONFIG": str(path)})
 
 
-def test_no_file_named_is_a_fault() -> None:
+def test_an_environment_without_a_file_is_rejected() -> None:
     with pytest.raises(ConfigurationError, match="RELAY_CONFIG"):
         read_config({})
 
 
 @pytest.mark.parametrize("value", ["four", "-1", "4.0"])
-def test_a_listener_that_is_no_number_is_a_fault(read: Read, value: str) -> None:
+def test_a_listener_descriptor_that_is_not_a_number_is_rejected(read: Read, value: str) -> None:
     with pytest.raises(ConfigurationError, match="descriptor"):
         read({"RELAY_ACCEPT_FD": value})
 
 
-def test_every_fault_of_a_file_is_found_with_unknown_keys_last(path: Path) -> None:
+def test_every_error_in_a_file_is_found_with_unknown_keys_last(path: Path) -> None:
     path.write_text(json.dumps(MINIMAL | {"listen": 7, "zzz": 1, "peers": {}, "aaa": 2}), encoding="utf-8")
-    keys = [fault.partition(":")[0] for fault in find_faults(str(path))]
+    keys = [error.partition(":")[0] for error in find_errors(str(path))]
     assert keys == ["listen", "peers", "aaa", "zzz"]
 
 
-def test_a_good_file_has_no_faults(path: Path) -> None:
+def test_a_valid_file_has_no_errors(path: Path) -> None:
     path.write_text(json.dumps(MINIMAL), encoding="utf-8")
-    assert find_faults(str(path)) == []
+    assert find_errors(str(path)) == []
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -1,4 +1,4 @@
-"""The balancer's settings: which keys are ignored, which defaults hold, and which values are faults."""
+"""The balancer's settings: ignored keys, defaults and rejected values."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import pytest
 from hypothesis import given
-from hypothesis import settings as how
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from sidecar_balancer.config.settings import read_settings
@@ -19,13 +19,13 @@
 
 
 def test_absent_keys_get_the_strictest_default() -> None:
-    given = read_settings(MINIMAL)
-    assert given.classes[0].idempotency is Idempotency.NON_IDEMPOTENT
-    assert given.classes[0].latency_objective_us == 1_000_000
-    assert given.discovery is DiscoveryMode.POLL
-    assert not given.limits.may_hedge
-    assert given.limits.max_attempts == 1
-    assert given.rules.drain_grace_us == 0
+    settings = read_settings(MINIMAL)
+    assert settings.classes[0].idempotency is Idempotency.NON_IDEMPOTENT
+    assert settings.classes[0].latency_objective_us == 1_000_000
+    assert settings.discovery is DiscoveryMode.POLL
+    assert not settings.limits.may_hedge
+    assert settings.limits.max_attempts == 1
+    assert settings.rules.drain_grace_us == 0
 
 
 def test_unknown_keys_are_ignored_and_null_counts_as_absent() -> None:
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(
-    ("given", "key"),
+    ("raw_settings", "key"),
     [
         ({}, "classes"),
         ({"classes": 5}, "classes"),
@@ -52,9 +52,9 @@
         ({**MINIMAL, "prices": []}, "prices"),
     ],
 )
-def test_a_value_out_of_range_is_a_fault_that_names_its_key(given: dict[str, Any], key: str) -> None:
+def test_an_invalid_value_raises_an_error_that_names_its_key(raw_settings: dict[str, Any], key: str) -> None:
     with pytest.raises(ConfigurationError) as raised:
-        read_settings(given)
+        read_settings(raw_settings)
     assert str(raised.value).startswith(key + ":")
 
 
@@ -67,7 +67,7 @@
 )
 
 
-@how(max_examples=200, deadline=None, derandomize=True)
+@hypothesis_settings(max_examples=200, deadline=None, derandomize=True)
 @given(
     st.dictionaries(
         st.sampled_from(
@@ -98,10 +98,16 @@
     ),
 )
 def test_any_settings_give_a_working_balancer_or_a_configuration_error(
-    class_keys: dict[str, Any], bounds: dict[str, Any]
+    class_keys: dict[str, Any], limit_and_rule_keys: dict[str, Any]
 ) -> None:
     try:
-        given = read_settings({"classes": [{"name": "a", **class_keys}], "limits": bounds, "rules": bounds})
+        given = read_settings(
+            {
+                "classes": [{"name": "a", **class_keys}],
+                "limits": limit_and_rule_keys,
+                "rules": limit_and_rule_keys,
+            }
+        )
     except ConfigurationError:
         return
     balancer = Balancer(given, 1)
