--- a/sidecar_balancer/observability/__init__.py
+++ b/sidecar_balancer/observability/__init__.py
@@ -1,1 +1,1 @@
-"""The log and the latency histograms."""
+"""Logging and latency histograms."""
--- a/sidecar_balancer/observability/latency.py
+++ b/sidecar_balancer/observability/latency.py
@@ -1,7 +1,7 @@
-"""Latency histograms of bounded memory, by class of requests and by server.
+"""Latency histograms of bounded memory, by service class and by server.
 
-HDR histograms from 0.1 ms to 60 s: of a class to two significant digits, of a server to one (some 3 KB each).
-Beyond `MAX_SERVERS` servers, the one least recently used loses its histogram.
+HDR histograms from 0.1 ms to 60 s, with two significant digits for a class and one for a server (about 3 KB
+each).  Beyond `MAX_SERVERS` servers, the least recently used one loses its histogram.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
 
 
 class LatencyHistograms:
-    """Latencies since the start: what clients waited by class, and what attempts took by server."""
+    """Latencies since startup: of responses to clients by class, and of attempts by server."""
 
     def __init__(self) -> None:
         self._classes: dict[str, Any] = {}
-        self._servers: OrderedDict[str, Any] = OrderedDict()  # the least recently used first
+        self._servers: OrderedDict[str, Any] = OrderedDict()  # least recently used first
 
     def record_response(self, class_name: str, latency_us: int) -> None:
         """Record how long a client waited for its response.
 
-        Clients may invent names of classes: beyond `MAX_CLASSES` a new one is not recorded.
+        Clients can send arbitrary class names, so new ones beyond `MAX_CLASSES` are not recorded.
         """
         histogram = self._classes.get(class_name)
         if histogram is None:
@@ -52,11 +52,11 @@
         histogram.record_value(_clamped(latency_us))
 
     def by_class(self) -> dict[str, dict[str, float]]:
-        """Return by class `count`, and `p50`, `p90`, `p99` and `p999` in ms."""
+        """Return for each class `count`, and `p50`, `p90`, `p99` and `p999` in ms."""
         return {name: _summary(histogram) for name, histogram in sorted(self._classes.items())}
 
     def for_server(self, name: str) -> dict[str, float] | None:
-        """Return the same of a server, None where it has no histogram."""
+        """Return the same for one server, or None if it has no histogram."""
         histogram = self._servers.get(name)
         return None if histogram is None else _summary(histogram)
 
--- a/sidecar_balancer/observability/logs.py
+++ b/sidecar_balancer/observability/logs.py
@@ -1,8 +1,8 @@
-"""The log on standard error: JSON lines, or plain text for a person, bounded in number.
+"""Rate-limited log on standard error, as JSON lines or plain text.
 
 A JSON line has `ts` (UTC), `level`, `event` (a fixed name for each kind of line), `subsystem`, `msg` (the
 text) and the fields of its event, such as `request`, `server` or `took_ms`; docs/on-call.md lists the events.
-A log call gives the event and its fields as `extra`.
+A log call passes the event and its fields as `extra`.
 """
 
 from __future__ import annotations
@@ -22,18 +22,19 @@
 
 @dataclass(frozen=True, slots=True)
 class LogConfig:
-    """How to log, and how much."""
+    """Log level, format and rate limits."""
 
     level: str = "info"
-    format: str = ""  # "": plain on a terminal, else JSON
-    lines_per_s: int = 50  # in all
-    repeats_per_s: int = 20  # of one event
+    format: str = ""  # "" means plain on a terminal, else JSON
+    lines_per_s: int = 50  # all events together
+    repeats_per_s: int = 20  # of each event
 
 
 class LogRateLimiter(logging.Filter):
-    """Bounds the lines a second, in all and of one event, and reports later how many it suppressed.
+    """Limits the log lines per second, in total and per event, and counts those it suppresses.
 
-    It keeps malformed input from outside, or a fault that affects every request, from filling the log.
+    The next line of an event that passes reports the count.  The limits keep malformed input, or a fault that
+    affects every request, from filling the log.
     """
 
     def __init__(self, max_lines_per_s: int, max_repeats_per_s: int) -> None:
@@ -41,13 +42,13 @@
         self._max_lines_per_s = max_lines_per_s
         self._max_repeats_per_s = max_repeats_per_s
         self._second = 0
-        self._lines = 0  # in this second, as the repeats by event
+        self._lines = 0  # in the current second, as are the repeats by event
         self._repeats = Counter[str]()
-        self._unreported = Counter[str]()  # suppressed lines by event
-        self.suppressed = 0  # since the start
+        self._unreported = Counter[str]()  # suppressed lines by event, not reported yet
+        self.suppressed = 0  # since startup
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Return whether the record is logged; one that is gets the number suppressed before it."""
+        """Return whether to log the record; if so, set its `suppressed` to the lines suppressed before it."""
         if int(record.created) != self._second:
             self._second, self._lines = int(record.created), 0
             self._repeats.clear()
@@ -64,12 +65,12 @@
 
 
 def event_of(record: logging.LogRecord) -> str:
-    """Return the name of the record's event; that of its logger where it has none, as from other packages."""
+    """Return the record's event, or its logger's name if it has none, as in lines of other packages."""
     return str(getattr(record, "event", "") or record.name)
 
 
 def configure_logging(config: LogConfig) -> LogRateLimiter:
-    """Write the log to standard error as `config` says; return the limiter, which counts suppressed lines."""
+    """Set up logging to standard error; return the rate limiter, which counts suppressed lines."""
     is_plain = config.format == "plain" or (not config.format and sys.stderr.isatty())
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(
@@ -84,11 +85,11 @@
 class _PlainFormatter(logging.Formatter):
     def format(self, record: logging.LogRecord) -> str:
         suppressed = getattr(record, "suppressed", 0)
-        return super().format(record) + (f" ({suppressed} like it suppressed)" if suppressed else "")
+        return super().format(record) + (f" (similar lines suppressed: {suppressed})" if suppressed else "")
 
 
 def _json_formatter() -> logging.Formatter:
-    import structlog  # costs a dozen ms of CPU, so only where it formats the log
+    import structlog  # costs a dozen ms of CPU, so imported only for the JSON format
 
     processors: list[Any] = [
         structlog.stdlib.add_log_level,
@@ -101,17 +102,17 @@
     )
 
 
-def _order_fields(_logger: Any, _method: str, line: MutableMapping[str, Any]) -> dict[str, Any]:
-    """Return the fields of a line in the order in which they are read; structlog has the text as `event`."""
-    record = line["_record"]
+def _order_fields(_logger: Any, _method: str, event_dict: MutableMapping[str, Any]) -> dict[str, Any]:
+    """Return the fields of a line in the order of output; structlog holds the text as `event`."""
+    record = event_dict["_record"]
     fields = {
-        "ts": line["ts"],
-        "level": line["level"],
+        "ts": event_dict["ts"],
+        "level": event_dict["level"],
         "event": event_of(record),
         "subsystem": record.name.removeprefix(_PACKAGE_PREFIX),
-        "msg": line["event"],
+        "msg": event_dict["event"],
     }
-    fields |= {name: line[name] for name in _FIELDS if name in line}
-    if "exception" in line:
-        fields["exception"] = line["exception"]
+    fields |= {name: event_dict[name] for name in _FIELDS if name in event_dict}
+    if "exception" in event_dict:
+        fields["exception"] = event_dict["exception"]
     return fields
--- a/tests/observability/test_latency_histograms.py
+++ b/tests/observability/test_latency_histograms.py
@@ -1,4 +1,4 @@
-"""The latency histograms: what they count, and that their number is bounded."""
+"""The latency histograms: their counts and percentiles, and the bounds on their number."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
     assert 98.0 <= summary["p99"] <= 101.0
 
 
-def test_a_latency_beyond_the_range_counts_as_its_end() -> None:
+def test_a_latency_beyond_the_range_is_clamped_and_counted() -> None:
     latencies = LatencyHistograms()
     latencies.record_response("look", 2 * MAX_US)
     assert latencies.by_class()["look"]["count"] == 1
 
 
-def test_classes_beyond_the_bound_are_not_recorded() -> None:
+def test_classes_beyond_the_limit_are_not_recorded() -> None:
     latencies = LatencyHistograms()
     for number in range(MAX_CLASSES + 5):
         latencies.record_response(f"class-{number}", 1000)
     assert len(latencies.by_class()) == MAX_CLASSES
 
 
-def test_beyond_the_bound_the_least_recently_used_server_loses_its_histogram() -> None:
+def test_beyond_the_limit_the_least_recently_used_server_loses_its_histogram() -> None:
     latencies = LatencyHistograms()
     for number in range(MAX_SERVERS):
         latencies.record_attempt(f"s-{number}", 1000)
--- a/tests/observability/test_logs.py
+++ b/tests/observability/test_logs.py
@@ -1,4 +1,4 @@
-"""The log: its JSON and plain lines, its rate limits, and the events of the package's own lines."""
+"""The log: JSON and plain lines, rate limits, and the events of the package's log calls."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def log() -> Iterator[logging.Logger]:
-    """A logger of the package; the handlers that a test installs are removed after it."""
+    """Provide a logger of the package, and remove the handlers that the test installs."""
     yield logging.getLogger("sidecar_balancer.sidecar.sidecar")
     logging.getLogger().handlers.clear()
 
@@ -31,14 +31,14 @@
 
 
 def fail() -> None:
-    raise ValueError("odd")
+    raise ValueError("invalid")
 
 
 def json_lines(capsys: pytest.CaptureFixture[str]) -> list[dict[str, Any]]:
     return [json.loads(line) for line in capsys.readouterr().err.splitlines()]
 
 
-def test_repeats_of_one_event_are_limited_a_second_and_counted() -> None:
+def test_repeats_of_one_event_are_limited_per_second_and_counted() -> None:
     limiter = LogRateLimiter(5, 3)
     records = [record(created, "lost") for created in (7.0, 7.1, 7.2, 7.3, 7.9, 8.0)]
     assert [limiter.filter(line) for line in records] == [True, True, True, False, False, True]
@@ -46,7 +46,7 @@
     assert vars(records[-1])["suppressed"] == 2
 
 
-def test_lines_of_all_events_together_are_limited_a_second() -> None:
+def test_lines_of_all_events_together_are_limited_per_second() -> None:
     limiter = LogRateLimiter(5, 3)
     assert limiter.filter(record(8.0, "lost"))
     others = [record(8.5, f"event_{letter}") for letter in "abcdef"]
@@ -67,7 +67,7 @@
     assert line["ts"].endswith("Z")
 
 
-def test_a_json_line_without_an_event_has_the_name_of_its_logger(
+def test_the_event_of_a_json_line_defaults_to_the_logger_name(
     log: logging.Logger, capsys: pytest.CaptureFixture[str]
 ) -> None:
     configure_logging(LogConfig(format="json"))
@@ -88,24 +88,26 @@
     except ValueError:
         log.exception("it failed on %r", "x")
     (line,) = json_lines(capsys)
-    assert "ValueError: odd" in line["exception"]
+    assert "ValueError: invalid" in line["exception"]
 
 
 def test_a_plain_line_has_the_logger_and_the_text(
     log: logging.Logger, capsys: pytest.CaptureFixture[str]
 ) -> None:
     configure_logging(LogConfig(format="plain", level="warning"))
-    log.info("not told")
-    log.error("told %d", 1)
+    log.info("below the level")
+    log.error("logged %d", 1)
     (line,) = capsys.readouterr().err.splitlines()
-    assert line.endswith("sidecar_balancer.sidecar.sidecar told 1")
+    assert line.endswith("sidecar_balancer.sidecar.sidecar logged 1")
 
 
 def calls_without_event(path: Path) -> list[int]:
-    """The lines of a source file whose log call gives no event by name."""
+    """Return the line numbers of a source file's log calls that pass no event."""
     tree = ast.parse(path.read_text(encoding="utf-8"))
     functions = [node for node in ast.walk(tree) if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef)]
-    with_event = {call.lineno for scope in functions for call in log_calls(scope) if gives_event(call, scope)}
+    with_event = {
+        call.lineno for scope in functions for call in log_calls(scope) if passes_event(call, scope)
+    }
     return [call.lineno for call in log_calls(tree) if call.lineno not in with_event]
 
 
@@ -114,7 +116,7 @@
 
 
 def assigned_values(scope: ast.AST) -> dict[str, ast.expr]:
-    """The values that are assigned to a name in a function."""
+    """Return by name the values that a function assigns."""
     return {
         target.id: node.value
         for node in ast.walk(scope)
@@ -133,11 +135,11 @@
     )
 
 
-def gives_event(call: ast.Call, scope: ast.AST) -> bool:
+def passes_event(call: ast.Call, scope: ast.AST) -> bool:
     extra = next((keyword.value for keyword in call.keywords if keyword.arg == "extra"), None)
     if isinstance(extra, ast.Name):
         extra = assigned_values(scope).get(extra.id)
-    while isinstance(extra, ast.BinOp):  # {"event": ...} | more
+    while isinstance(extra, ast.BinOp):  # {"event": ...} | other fields
         extra = extra.left
     if not isinstance(extra, ast.Dict):
         return False
@@ -147,12 +149,12 @@
 @pytest.mark.parametrize(
     "path", sorted(PACKAGE.rglob("*.py")), ids=lambda path: str(path.relative_to(PACKAGE))
 )
-def test_every_log_call_gives_the_name_of_its_event(path: Path) -> None:
+def test_every_log_call_passes_an_event(path: Path) -> None:
     assert calls_without_event(path) == []
 
 
 def events_in(path: Path) -> set[str]:
-    """The events that a source file's dicts name."""
+    """Return the events named in the dicts of a source file."""
     dicts = [
         node for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))) if isinstance(node, ast.Dict)
     ]
