--- a/sidecar_balancer/__main__.py
+++ b/sidecar_balancer/__main__.py
@@ -1,13 +1,13 @@
-"""Runs one sidecar: `python -m sidecar_balancer`, with RELAY_CONFIG naming its configuration."""
+"""Entry point of `python -m sidecar_balancer`: runs a sidecar; RELAY_CONFIG names its configuration file."""
 
 from __future__ import annotations
 
 import gc
 import sys
 
-gc.disable()  # until all is loaded: collections would take a tenth of the CPU of a start
+gc.disable()  # until all modules are loaded: collections would take a tenth of the CPU of startup
 
-from sidecar_balancer.program import main  # noqa: E402  # collections are off before the rest loads
+from sidecar_balancer.program import main  # noqa: E402  # must follow gc.disable()
 
 if __name__ == "__main__":
     sys.exit(main())
--- a/sidecar_balancer/program.py
+++ b/sidecar_balancer/program.py
@@ -1,7 +1,7 @@
-"""The sidecar program: from its configuration to its exit code.
+"""Entry point of the sidecar process.
 
 SIGHUP reloads the configuration; SIGTERM and SIGINT begin a graceful shutdown.  Exit codes: 0 after a
-shutdown, 1 where an address or descriptor can't be used, 2 for a faulty configuration; faults are one line on
+shutdown, 1 if an address or descriptor can't be used, 2 for an invalid configuration; an error is one line on
 standard error.
 """
 
@@ -27,15 +27,15 @@
 EXIT_OK = 0
 EXIT_CANNOT_SERVE = 1
 EXIT_BAD_CONFIGURATION = 2
-_MAX_CLIENT_LOG_LINES_PER_S = 10  # of the client side, which malformed requests would fill
+_MAX_CLIENT_LOG_LINES_PER_S = 10  # of the modules that face clients: malformed requests would fill the log
 
 
 async def serve(config: SidecarConfig, limiter: LogRateLimiter) -> None:
-    """Run a sidecar until SIGTERM or SIGINT; `limiter` is that of the log, for its status."""
+    """Run a sidecar until SIGTERM or SIGINT; `limiter` is the log's rate limiter, for the status view."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for stop_signal in (signal.SIGTERM, signal.SIGINT):
-        # Before clients can connect, so that none is left without an answer.
+        # Installed before clients can connect, so that none is left without a response.
         loop.add_signal_handler(stop_signal, stop.set)
     sidecar = Sidecar(config)
     sidecar.admin_handlers.status.log_rate_limiter = limiter
@@ -44,9 +44,9 @@
 
 
 def reload(sidecar: Sidecar) -> None:
-    """Read the configuration again; a faulty one changes nothing.
+    """Read the configuration again and apply it; an invalid one changes nothing.
 
-    RELAY_DISCOVERY holds the address at the start, so a reload uses that of the file.
+    RELAY_DISCOVERY still holds the address from startup, so a reload takes the address from the file.
     """
     environ = {name: value for name, value in os.environ.items() if name != "RELAY_DISCOVERY"}
     try:
@@ -57,12 +57,12 @@
 
 def _report_failed_reload(error: ConfigurationError) -> None:
     line = " ".join(str(error).split())
-    log.error("bad configuration, the old one stays: %s", line, extra={"event": "reload_failed"})
+    log.error("bad configuration, keeping the previous one: %s", line, extra={"event": "reload_failed"})
 
 
 def main() -> int:
     """Run a sidecar and return the exit code."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to reload
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is a sidecar to reload
     try:
         config = read_config(os.environ)
     except ConfigurationError as error:
@@ -72,7 +72,7 @@
     client_log_limiter = LogRateLimiter(_MAX_CLIENT_LOG_LINES_PER_S, _MAX_CLIENT_LOG_LINES_PER_S)
     for module in (acceptor, client_connection, response_connection):
         module.log.addFilter(client_log_limiter)
-    gc.freeze()  # what is loaded by now stays, so collections need not look at it
+    gc.freeze()  # objects loaded so far stay, so garbage collections can skip them
     gc.enable()
     try:
         with asyncio.Runner(loop_factory=TimedLoop) as runner:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that tests of several packages share."""
+"""Fixtures shared by the tests of several packages."""
 
 from __future__ import annotations
 
@@ -9,5 +9,5 @@
 
 @pytest.fixture
 def on_virtual_clock(monkeypatch: pytest.MonkeyPatch) -> RunScenario:
-    """Run a scenario on a clock that moves only while nothing else is left to do."""
+    """Return a function that runs a scenario on a clock that advances only while the event loop is idle."""
     return lambda scenario: run_on_virtual_clock(scenario, monkeypatch)
--- a/tests/runtime/test_life.py
+++ b/tests/runtime/test_life.py
@@ -280,7 +280,7 @@
             good = json.loads(path.read_text(encoding="utf-8"))
             path.write_text("not json", encoding="utf-8")
             process.send_signal(signal.SIGHUP)
-            await wait_for_log(process, "bad configuration, the old one stays")
+            await wait_for_log(process, "bad configuration, keeping the previous one")
             assert (await send_request(address, request()))[0] == 200
             assert not new_discovery.targets
             path.write_text(
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""Dependencies between modules and packages run one way, and the pages name only what exists."""
+"""Checks that imports are acyclic and that the documentation names only files and classes that exist."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def module_name(path: Path) -> str:
-    """The dotted name of a source file; a package's own for its __init__.py."""
+    """Return the dotted module name of a source file; for an __init__.py that of its package."""
     parts = list(path.relative_to(ROOT).with_suffix("").parts)
     return ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
 
@@ -27,7 +27,7 @@
 
 
 def imported_modules(path: Path) -> set[str]:
-    """Every module of the package that a file imports, wherever the import stands and for types too."""
+    """Return the package's modules that a file imports, including local and type-checking imports."""
     found: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.Import):
@@ -40,7 +40,7 @@
 
 
 def package_of(module: str) -> str:
-    """The subpackage, or the module itself where it stands directly in the package."""
+    """Return the subpackage of a module, or the module itself if it is at the top level."""
     return ".".join(module.split(".")[:2])
 
 
@@ -55,8 +55,8 @@
     return {package: imported - {package} for package, imported in graph.items()}
 
 
-def cycle_in(graph: Graph) -> list[str]:
-    """The nodes of a cycle, none where there is no cycle."""
+def find_cycle(graph: Graph) -> list[str]:
+    """Return the nodes of a cycle, empty if there is none."""
     try:
         TopologicalSorter(graph).prepare()
     except CycleError as error:
@@ -67,14 +67,14 @@
 
 @pytest.mark.parametrize("graph", [module_graph(), package_graph()], ids=["modules", "packages"])
 def test_imports_have_no_cycle(graph: Graph) -> None:
-    assert cycle_in(graph) == []
+    assert find_cycle(graph) == []
 
 
 def test_a_cycle_is_found() -> None:
-    assert cycle_in({"a": {"b"}, "b": {"c"}, "c": {"a"}, "d": set()})
+    assert find_cycle({"a": {"b"}, "b": {"c"}, "c": {"a"}, "d": set()})
 
 
-def test_policy_imports_nothing_of_the_other_packages() -> None:
+def test_policy_imports_no_other_package() -> None:
     assert package_graph()[f"{PACKAGE}.policy"] == set()
 
 
@@ -91,7 +91,7 @@
 
 
 def defined_names() -> set[str]:
-    """The classes and their annotated fields that the package defines."""
+    """Return the names of the classes and functions that the package defines."""
     names: set[str] = set()
     for path in SOURCES.values():
         for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""README's example runs as it is written."""
+"""The README's example runs as written."""
 
 from __future__ import annotations
 
