--- a/sidecar_balancer/observability/logs.py
+++ b/sidecar_balancer/observability/logs.py
@@ -42,13 +42,13 @@
         self._max_lines_per_s = max_lines_per_s
         self._max_repeats_per_s = max_repeats_per_s
         self._second = 0
-        self._lines = 0  # in the current second, as are the repeats by event
+        self._lines = 0  # in the current second; `_repeats` has those of each event
         self._repeats = Counter[str]()
         self._unreported = Counter[str]()  # suppressed lines by event, not reported yet
         self.suppressed = 0  # since startup
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Return whether to log the record; if so, set its `suppressed` to the lines suppressed before it."""
+        """Return whether to log the record; if so, add the count of its event's lines suppressed before."""
         if int(record.created) != self._second:
             self._second, self._lines = int(record.created), 0
             self._repeats.clear()
