--- a/tests/admin/test_disabled_servers.py
+++ b/tests/admin/test_disabled_servers.py
@@ -1,4 +1,4 @@
-"""Operators disable servers: nothing new is sent there, in this process and in the next."""
+"""Disabled servers get no new requests, from this process and from the next one."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 REQUESTS = 20
 
 
-async def serve(environment: SidecarEnvironment) -> None:
+async def send_requests(environment: SidecarEnvironment) -> None:
     for _ in range(REQUESTS):
         assert (await environment.send_request())[0] == 200
 
 
-async def serve_until_used(environment: SidecarEnvironment, number: int) -> None:
+async def send_requests_until_used(environment: SidecarEnvironment, number: int) -> None:
     while not environment.servers[number].requests:
         assert (await environment.send_request())[0] == 200
 
 
-def test_a_disabled_server_gets_nothing_and_its_idle_connections_are_closed(tmp_path: Path) -> None:
+def test_a_disabled_server_gets_no_requests_and_its_idle_connections_are_closed(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with running_sidecar(served, served, overrides_folder=tmp_path) as environment:
             disabled, other = environment.servers
-            await serve_until_used(environment, 0)
+            await send_requests_until_used(environment, 0)
             assert len(disabled.writers) - disabled.closed >= 1
             assert await call(environment, "PUT", "/api/exclude/s-0") == 200
             await wait_until(lambda: disabled.closed == len(disabled.writers))
             before, others_before = len(disabled.requests), len(other.requests)
-            await serve(environment)
+            await send_requests(environment)
             assert len(disabled.requests) == before
             assert len(other.requests) == others_before + REQUESTS
 
@@ -44,7 +44,7 @@
         async with running_sidecar(
             served, served, overrides_folder=tmp_path
         ) as second:  # the first ended without a shutdown
-            await serve(second)
+            await send_requests(second)
             assert not second.servers[0].requests
             assert await call(second, "PUT", "/api/include/s-0") == 200
             assert OperatorOverrides(tmp_path).load().disabled_servers == frozenset()
@@ -52,7 +52,7 @@
     run_scenario(scenario())
 
 
-def test_of_two_processes_each_follows_the_calls_to_the_other(tmp_path: Path) -> None:
+def test_two_processes_apply_the_overrides_stored_by_each_other(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with (
             running_sidecar(served, overrides_folder=tmp_path) as one,
@@ -68,7 +68,7 @@
     run_scenario(scenario())
 
 
-def test_an_override_that_cannot_be_stored_is_rejected_and_not_in_force(tmp_path: Path) -> None:
+def test_an_override_that_cannot_be_stored_is_rejected_and_not_applied(tmp_path: Path) -> None:
     async def scenario() -> None:
         (tmp_path / "excluded").write_text("junk")
         async with running_sidecar(served, overrides_folder=tmp_path) as environment:
