--- a/sidecar_balancer/downstream/__init__.py
+++ b/sidecar_balancer/downstream/__init__.py
@@ -1,1 +1,1 @@
-"""The application's side: client connections."""
+"""Client connections of the application: accepting, reading requests and writing responses."""
--- a/sidecar_balancer/downstream/acceptor.py
+++ b/sidecar_balancer/downstream/acceptor.py
@@ -1,4 +1,4 @@
-"""Accepts connections from the listening socket, a bounded number in each turn of the event loop."""
+"""Acceptor of client connections, which accepts a bounded number in each turn of the event loop."""
 
 from __future__ import annotations
 
@@ -14,37 +14,37 @@
 log = logging.getLogger(__name__)
 
 _LISTEN_BACKLOG = 512
-_MAX_ACCEPTS_PER_TURN = 64  # other sockets, the admin server's among them, must have their turn
-_ACCEPT_PAUSE_S = 0.05  # no spinning while descriptors lack
+_MAX_ACCEPTS_PER_TURN = 64  # lets other sockets, such as the admin server's, be served in each turn
+_ACCEPT_PAUSE_S = 0.05  # avoids a busy loop while no file descriptors are available
 
 
 class AcceptHandler(Protocol):
-    """Takes accepted connections, within a bound on their number."""
+    """Receiver of accepted connections, with a limit on their number."""
 
     def is_full(self) -> bool:
-        """Return whether the bound is reached."""
+        """Return whether the limit on connections is reached."""
 
     def ensure_capacity(self) -> bool:
         """Make room for one more connection; return whether that succeeded."""
 
     def connection_accepted(self, sock: socket.socket, established_after: float) -> None:
-        """Serve a connection, which came up after that time on the event loop's clock."""
+        """Serve a connection that was established after this time on the event loop's clock."""
 
 
 class Acceptor:
-    """The listening socket of the clients.
+    """The listening socket for clients.
 
     Attributes:
-        address: Where it listens.
+        address: The address that it listens on.
     """
 
     def __init__(
         self, address: Address, listen_fd: int | None, poll_times: PollTimes, handler: AcceptHandler
     ) -> None:
-        """Listen on an inherited descriptor, or else on an address, and accept nothing yet.
+        """Listen on the inherited descriptor, or else on the address, without accepting yet.
 
         Raises:
-            OSError: If the address can't be bound, or the descriptor is no listening socket.
+            OSError: If the address can't be bound, or the descriptor is not a listening socket.
         """
         if listen_fd is None:
             self._sock = socket.create_server(address, backlog=_LISTEN_BACKLOG)
@@ -58,20 +58,20 @@
         self._is_accepting = False
 
     def start(self) -> None:
-        """Accept connections from now on."""
+        """Start accepting connections."""
         if not self._is_accepting and self._sock.fileno() >= 0:
             self._is_accepting = True
             asyncio.get_running_loop().add_reader(self._sock, self._accept_waiting)
 
     def pause(self) -> None:
-        """Leave new connections in the kernel's queue for now."""
+        """Stop accepting; new connections wait in the kernel's queue."""
         self._is_accepting = False
         asyncio.get_running_loop().remove_reader(self._sock)
 
     def close(self, accept_pending: bool) -> None:
-        """Stop listening; with `accept_pending`, accept first all that waits.
+        """Stop listening; with `accept_pending`, first accept all waiting connections.
 
-        An inherited socket is closed here and never shut down: other processes may go on with it.
+        An inherited socket is closed but never shut down, as other processes may still use it.
         """
         if self._sock.fileno() >= 0:
             while accept_pending and self._accept_waiting():
@@ -82,11 +82,11 @@
 
     def _accept_waiting(self) -> bool:
         """Accept connections; return whether more may be waiting."""
-        self._sock.setblocking(False)  # the flag is shared with other holders of an inherited socket
+        self._sock.setblocking(False)  # processes that share an inherited socket share this flag
         now, unread_since = asyncio.get_running_loop().time(), self._poll_times.unread_since
         for _ in range(_MAX_ACCEPTS_PER_TURN):
             if self._handler.is_full():
-                if not is_readable(self._sock):  # nobody needs room
+                if not is_readable(self._sock):  # no connection is waiting
                     self._backlog.record_emptied()
                     return False
                 if not self._handler.ensure_capacity():
@@ -113,24 +113,24 @@
 
 
 def _log_failure(error: OSError) -> None:
-    log.error("accept: %s", error, extra={"event": "accept_failed"})
+    log.error("accepting a connection failed: %s", error, extra={"event": "accept_failed"})
 
 
 def _adopt_listening_socket(fd: int) -> socket.socket:
-    """Return the listening socket that the platform holds open.
+    """Return the listening socket that the platform passes to this process.
 
     Raises:
-        OSError: If the descriptor is anything else.
+        OSError: If the descriptor is not a listening socket.
     """
     try:
         sock = socket.socket(fileno=fd)
     except OSError as error:
-        raise OSError(f"descriptor {fd}, where the clients' listening socket should be: {error}") from None
+        raise OSError(f"expected the clients' listening socket at descriptor {fd}: {error}") from None
     try:
         is_listening = bool(sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN))
     except OSError:
         is_listening = False
     if not is_listening:
-        sock.detach()  # it is not ours to close
-        raise OSError(f"descriptor {fd} is no listening socket")
+        sock.detach()  # leaves the descriptor open, as this process doesn't own it
+        raise OSError(f"descriptor {fd} is not a listening socket")
     return sock
--- a/sidecar_balancer/downstream/client_connection.py
+++ b/sidecar_balancer/downstream/client_connection.py
@@ -1,7 +1,8 @@
-"""One connection of the application, which carries one request at a time.
+"""Connections of clients, each of which carries one request at a time.
 
-Each thing ends once: a request by its response or by its client's leaving, a streamed body by its last byte
-or with its request, and the connection so that the client can tell a complete response from a broken one.
+A request ends once, with its response or when its client disconnects, and a streamed body ends with its last
+byte or with its request.  A connection closes so that the client can tell a complete response from a broken
+one.
 """
 
 from __future__ import annotations
@@ -34,39 +35,39 @@
 log = logging.getLogger(__name__)
 
 _READINESS_PATH = b"/health/ready"
-_CLIENT_CHECK_INTERVAL_S = 0.1  # how often a client that is not read is checked for having left
-_UNREAD_INPUT_GRACE_S = 0.05  # enough to read what waited while the event loop was late
+_CLIENT_CHECK_INTERVAL_S = 0.1  # between disconnect checks of a client that is not read
+_UNREAD_INPUT_GRACE_S = 0.05  # enough to read input that waited while the event loop was late
 
 
 class ConnectionOwner(ConnectionContext, Protocol):
-    """Keeps track of client connections, and gives them what they share."""
+    """Owner that keeps track of client connections and provides their shared context."""
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        """Note that the connection is being served."""
+        """Record that the connection is being served."""
 
     def connection_idle(self, connection: ClientConnection) -> None:
-        """Note that the connection has begun to wait for its next request."""
+        """Record that the connection now waits for its next request."""
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """Forget the connection."""
+        """Stop tracking the connection."""
 
 
 class ClientConnection(ResponseConnection):
-    """One connection of the application, which carries one request at a time.
+    """A client connection, which carries one request at a time.
 
     Attributes:
         has_served: Whether it has carried a request.
     """
 
     def __init__(self, owner: ConnectionOwner, sock: socket.socket, established_after: float) -> None:
-        """Serve an accepted socket, which was connected after that time on the event loop's clock."""
+        """Serve an accepted socket that was connected after this time on the event loop's clock."""
         super().__init__(sock, owner)
         self._owner: ConnectionOwner = owner
         self.has_served = False
         self._port = 0
         self._deadline = RequestDeadline()
         self._arrival = ArrivalEstimate(sock, owner.poll_times, established_after)
-        self._upload_bytes = 0  # of a streamed body, from its beginning
+        self._upload_bytes = 0  # of the streamed body, received so far
         self._reading_paused = False
         self._client_check_timer: asyncio.TimerHandle | None = None
         self._discarded_bytes = 0
@@ -74,7 +75,7 @@
     # -- The connection
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport, and await a request."""
+        """Store the transport and wait for a request."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._port = int((transport.get_extra_info("peername") or ("", 0))[1])
@@ -83,7 +84,7 @@
         self._start_request_timer()
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Release all that the connection has."""
+        """Release everything that the connection holds."""
         self._owner.connection_closed(self)
         self._stop_timer()
         if self._client_check_timer is not None:
@@ -93,11 +94,11 @@
         self._client_disconnected()
 
     def eof_received(self) -> bool:
-        """Close: a client that ends its side has left."""
+        """Let the transport close: a client that ends its sending side counts as disconnected."""
         return False
 
     def is_idle(self) -> bool:
-        """Return whether it may be closed: no request is in flight, begun or waiting unread."""
+        """Return whether it may be closed: no request is in flight, partly received or still unread."""
         is_busy = (
             self._request is not None
             or self._head is not None
@@ -106,10 +107,10 @@
         )
         return not is_busy and has_no_unread_input(self._sock)
 
-    # -- Clients that leave
+    # -- Clients that disconnect
 
     def check_connected(self) -> None:
-        """Report a client that has left, though nothing that it sent last was read yet."""
+        """Report a client that has disconnected, even if its last input has not been read yet."""
         if self._request is not None and peer_has_closed(self._sock):
             self._client_disconnected()
             self.close()
@@ -121,7 +122,7 @@
         self._end_upload()
 
     def _schedule_client_check(self) -> None:
-        """Check the client soon: while nothing is read, no event reports that it leaves."""
+        """Schedule a check of the client: while reading is paused, no event reports a disconnect."""
         if self._client_check_timer is None:
             loop = asyncio.get_running_loop()
             self._client_check_timer = loop.call_later(_CLIENT_CHECK_INTERVAL_S, self._run_client_check)
@@ -133,7 +134,7 @@
             if self._request is not None and not self._transport.is_reading():
                 self._schedule_client_check()
 
-    # -- The time limit of a request
+    # -- Time limits for receiving a request
 
     def _start_request_timer(self) -> None:
         if self._timer is None:
@@ -144,7 +145,7 @@
             )
 
     def _check_request_deadline(self, allow_unread_input: bool) -> None:
-        """Give up a request that comes too slowly, unless its server or this process is the slow one."""
+        """Reject a request that arrives too slowly, unless its server or this process is the slow one."""
         loop = asyncio.get_running_loop()
         if self._reading_paused:
             self._deadline.restart_body(loop.time())
@@ -163,7 +164,7 @@
     # -- Reading a request
 
     def data_received(self, data: bytes) -> None:
-        """Parse input, or discard it where nothing more is expected."""
+        """Parse input, or discard it where no further request is read."""
         if self._linger_deadline is not None:
             self._extend_linger()
             return
@@ -183,7 +184,7 @@
             self._discards_input = True
 
     def _discard_input(self, data: bytes) -> None:
-        """Discard what was sent too far ahead, within a bound."""
+        """Discard input that was sent too far ahead, up to a limit."""
         self._discarded_bytes += len(data)
         if self._discarded_bytes > MAX_REQUEST_BODY_BYTES:
             self.abort()
@@ -200,8 +201,8 @@
             self._reject(error)
         except h11.RemoteProtocolError as error:
             self._reject(RequestError(400, str(error)))
-        except Exception:  # a defect fails its request and no other
-            log.exception("a request could not be handled", extra={"event": "request_handling_failed"})
+        except Exception:  # a defect must fail only its own request
+            log.exception("handling a request failed", extra={"event": "request_handling_failed"})
             if self._transport is not None:
                 self._reject(RequestError(500, "internal error"))
 
@@ -252,8 +253,8 @@
         if length > MAX_BUFFERED_BODY_BYTES:
             self._begin_upload(head, length)
         if self._h11.they_are_waiting_for_100_continue and self._transport is not None:
-            go_on = h11.InformationalResponse(status_code=100, headers=[])
-            self._transport.write(self._h11.send(go_on) or b"")
+            continue_response = h11.InformationalResponse(status_code=100, headers=[])
+            self._transport.write(self._h11.send(continue_response) or b"")
 
     def _receive_body(self, data: bytes | bytearray) -> None:
         self._deadline.body_bytes += len(data)
@@ -269,13 +270,13 @@
         if self._upload_bytes > MAX_REQUEST_BODY_BYTES:
             raise RequestError(413, "the body is too large")
         if self._upload_bytes == upload.length:
-            self.check_connected()  # the body's end may have come together with the client's leaving
+            self.check_connected()  # a disconnect may arrive together with the end of the body
         if self._upload is not None:
             self._upload.feed(data)
             self._update_reading()
 
     def _begin_upload(self, head: h11.Request, length: int | None) -> None:
-        """Stream a long body, with its request handled before its end."""
+        """Stream a long body; its request is handled before the body is complete."""
         client_request = self._parse_request(head, b"")
         self._start_request_timer()
         self._upload = client_request.upload = Upload(length, self._update_reading)
@@ -313,7 +314,7 @@
             self._owner.handler.request_received(client_request)
 
     def _complete_upload(self) -> None:
-        self.check_connected()  # the body's end may have come together with the client's leaving
+        self.check_connected()  # a disconnect may arrive together with the end of the body
         upload, client_request = self._upload, self._request
         if upload is None:
             return
@@ -326,14 +327,14 @@
     def _reject(self, error: RequestError) -> None:
         extra = {"event": "request_invalid", "status": error.status}
         log.info("request from port %d rejected: %.120s", self._port, error, extra=extra)
-        self._client_disconnected()  # a body that was being streamed never ends
+        self._client_disconnected()  # a body that was being streamed stays incomplete
         if self._h11.our_state is h11.SEND_RESPONSE or self._h11.our_state is h11.IDLE:
             self.respond(error.status, [(b"Content-Type", b"text/plain")], f"{error}\n".encode())
         elif self._request is None:
             self.close()
 
     def _next_request(self) -> None:
-        """Turn to what came behind the answered request."""
+        """Continue with the input after the answered request."""
         if self._transport is None or self._transport.is_closing():
             return
         if self._request is not None or self._write_blocked:
@@ -342,12 +343,12 @@
             self._h11.start_next_cycle()
             self._owner.connection_idle(self)
             self._update_reading()
-            if ahead := self._h11.trailing_data[0]:
+            if trailing_input := self._h11.trailing_data[0]:
                 log.info(
-                    "port %d sent %d bytes behind its request: %.60r",
+                    "port %d sent %d bytes after its request: %.60r",
                     self._port,
-                    len(ahead),
-                    ahead,
+                    len(trailing_input),
+                    trailing_input,
                     extra={"event": "input_behind_request"},
                 )
             self._parse()
--- a/sidecar_balancer/downstream/client_transport.py
+++ b/sidecar_balancer/downstream/client_transport.py
@@ -1,4 +1,4 @@
-"""The transport of a client's connection: unsent bytes, stalled readers and the close after a response."""
+"""Transport of a client connection: unsent bytes, stalled readers and the close after a response."""
 
 from __future__ import annotations
 
@@ -9,31 +9,31 @@
 from sidecar_balancer.runtime.streams import STALL_TIMEOUT_S, BodyMemory, BufferedReceiver
 
 _LINGER_S = 1.0  # after the last byte read
-_MAX_LINGER_S = 30.0  # in all: a long body may still be coming
+_MAX_LINGER_S = 30.0  # in total, as a long body may still be arriving
 
 
 class ClientTransport(BufferedReceiver):
-    """A client's connection below HTTP.
+    """A client connection below the HTTP layer.
 
     Closing a socket with unread input resets the connection, and the client may lose the end of its response.
-    So where input may follow, the connection lingers: only its sending side is ended, and input is discarded.
+    So where input may follow, the connection lingers: it ends only its sending side and discards input.
     """
 
     def __init__(self, sock: socket.socket, body_memory: BodyMemory) -> None:
         """Serve an accepted socket."""
         super().__init__(body_memory)
         self._sock = sock
-        self._timer: asyncio.TimerHandle | None = None  # the one time limit that applies now
-        self._unsent_bytes = 0  # of the last response, when it was last checked
-        self._linger_deadline: float | None = None  # None: it does not linger
+        self._timer: asyncio.TimerHandle | None = None  # for the one time limit that applies now
+        self._unsent_bytes = 0  # of the last response, at the last check
+        self._linger_deadline: float | None = None  # None unless it lingers
 
     def close(self) -> None:
-        """Close once all is written."""
+        """Close once all data is written."""
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Close at once; what is not written yet never will be."""
+        """Close at once, discarding unwritten data."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -49,7 +49,7 @@
         self._timer = asyncio.get_running_loop().call_later(STALL_TIMEOUT_S, self._check_write_progress)
 
     def _check_write_progress(self) -> None:
-        """Give up a client that reads nothing, but not a slow one."""
+        """Disconnect a client that reads nothing, but not one that reads slowly."""
         if self._transport is None:
             return
         unsent_bytes = self._transport.get_write_buffer_size()
@@ -66,12 +66,12 @@
     # -- Lingering
 
     def _linger(self) -> None:
-        """End the sending side and discard what still comes."""
+        """End the sending side and discard further input."""
         if self._transport is not None and not self._transport.is_closing():
             loop = asyncio.get_running_loop()
             self._linger_deadline = loop.time() + _MAX_LINGER_S
             self._transport.resume_reading()
-            with contextlib.suppress(OSError):  # the client has closed meanwhile
+            with contextlib.suppress(OSError):  # the client has already closed
                 self._transport.write_eof()
             self._extend_linger()
 
@@ -83,6 +83,6 @@
 
     def _end_linger(self) -> None:
         if self._transport is not None and self._transport.get_write_buffer_size():
-            self._transport.abort()  # the client does not read: a close would wait for it
+            self._transport.abort()  # a close would wait for the client, which does not read
         else:
             self.close()
--- a/sidecar_balancer/downstream/frontend.py
+++ b/sidecar_balancer/downstream/frontend.py
@@ -1,4 +1,4 @@
-"""The connections of the application: a bound on their number, draining and graceful shutdown."""
+"""Client connections: the limit on their number, draining and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 from sidecar_balancer.runtime.queueing import PollTimes
 from sidecar_balancer.runtime.streams import BodyMemory
 
-_IDLE_CLOSE_INTERVAL_S = 0.02  # how often a drain looks for idle connections
-_FLUSH_POLL_S = 0.005  # how often the shutdown looks whether the last responses have been sent
+_IDLE_CLOSE_INTERVAL_S = 0.02  # between a drain's checks for idle connections
+_FLUSH_POLL_S = 0.005  # between the shutdown's checks whether the last responses have been sent
 
 
 class Frontend:
-    """Serves the application, within a bound on its connections.
+    """The listener for clients, with a limit on their connections.
 
     Attributes:
-        address: Where it listens.
-        body_memory: The memory that bodies count in.
+        address: The address that it listens on.
+        body_memory: The memory that bodies are counted in.
         connections: The connections that are served, the longest idle first.
         draining: Whether each response is the last one of its connection.
-        handler: Who handles the requests.
-        poll_times: When the event loop looked at its sockets.
+        handler: The handler of the requests.
+        poll_times: The times at which the event loop polled its sockets.
         settings: The service classes and tenants.
     """
 
@@ -41,19 +41,20 @@
         body_memory: BodyMemory | None = None,
         poll_times: PollTimes | None = None,
     ) -> None:
-        """Listen, and accept nothing yet.
+        """Listen without accepting yet.
 
         Args:
-            address: Where to listen, unless `listen_fd` is an inherited listening socket.
-            max_connections: The bound on connections.
-            handler: Who handles the requests.
+            address: The address to listen on, unless `listen_fd` is given.
+            max_connections: The maximum number of connections.
+            handler: The handler of the requests.
             settings: The service classes and tenants.
             listen_fd: The descriptor of an inherited listening socket.
-            body_memory: The memory that bodies count in.
-            poll_times: When the event loop looked at its sockets; without it, input never counts as delayed.
+            body_memory: The memory that bodies are counted in.
+            poll_times: The times at which the event loop polled its sockets; without them, input never counts
+                as delayed.
 
         Raises:
-            OSError: If it can't listen.
+            OSError: If it can't listen on the address or the descriptor.
         """
         self.body_memory = body_memory or BodyMemory()
         self.connections: dict[ClientConnection, None] = {}
@@ -63,28 +64,28 @@
         self.settings = settings
         self._max_connections = max_connections
         self._open_tasks: set[asyncio.Task[None]] = set()
-        self._opening: set[ClientConnection] = set()  # accepted, and not among `connections` yet
+        self._opening: set[ClientConnection] = set()  # accepted but not yet in `connections`
         self._idle_close_timer: asyncio.TimerHandle | None = None
         self._acceptor = Acceptor(address, listen_fd, self.poll_times, self)
         self.address = self._acceptor.address
 
     def start(self) -> None:
-        """Accept connections from now on."""
+        """Start accepting connections."""
         self._acceptor.start()
 
     # -- Connections
 
     def is_full(self) -> bool:
-        """Return whether the bound on connections is reached."""
+        """Return whether the limit on connections is reached."""
         return len(self.connections) + len(self._opening) >= self._max_connections
 
     def ensure_capacity(self) -> bool:
-        """Close the connection longest idle, preferring one that has carried a request.
+        """Close the longest idle connection, preferring one that has carried a request.
 
-        One that has not was opened for a request that may still be on its way.
+        A connection that has not carried one was opened for a request that may still be on its way.
 
         Returns:
-            Whether there was one to close.
+            Whether a connection was closed.
         """
         connection = self._longest_idle(has_served=True) or self._longest_idle(has_served=False)
         if connection is None:
@@ -94,14 +95,14 @@
         return True
 
     def _longest_idle(self, has_served: bool) -> ClientConnection | None:
-        """Find the first idle connection; no more are checked, as each check is a system call."""
+        """Return the first idle connection; the rest is not checked, as each check is a system call."""
         for connection in self.connections:
             if connection.has_served is has_served and connection.is_idle():
                 return connection
         return None
 
     def connection_accepted(self, sock: socket.socket, established_after: float) -> None:
-        """Serve a connection, which came up after that time on the event loop's clock."""
+        """Serve a connection that was established after this time on the event loop's clock."""
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         connection = ClientConnection(self, sock, established_after)
@@ -121,21 +122,21 @@
             self._opening.discard(connection)
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        """Count a connection among those that are served."""
+        """Add a connection to those that are served."""
         self._opening.discard(connection)
         self.connections[connection] = None
 
     def connection_idle(self, connection: ClientConnection) -> None:
-        """Count a connection as the one idle for the shortest time."""
+        """Move a connection to the end of the idle order, as the most recently idle."""
         if self.connections.pop(connection, self) is None:
             self.connections[connection] = None
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """Forget a connection."""
+        """Stop tracking a connection."""
         self.connections.pop(connection, None)
 
     def close_idle(self, only_used: bool) -> None:
-        """Close idle connections; with `only_used`, none whose first request may be on its way."""
+        """Close idle connections; with `only_used`, keep those whose first request may be on its way."""
         for connection in list(self.connections):
             if connection.is_idle() and (connection.has_served or not only_used):
                 connection.close()
@@ -147,13 +148,14 @@
     # -- Draining and shutdown
 
     def drain(self, idle_grace_s: float = 0.0) -> None:
-        """End each connection with its next response and close idle ones, until `cancel_drain`.
+        """Close each connection after its next response, and idle ones, until `cancel_drain` is called.
 
-        New connections are still accepted, as clients retry a request that crosses the close of theirs.
+        New connections are still accepted, as clients retry a request that crosses the close of its
+        connection.
 
         Args:
-            idle_grace_s: How long idle connections are kept, so that most end by a response and no request
-                crosses their close.
+            idle_grace_s: The time for which idle connections are kept, so that most close after a response
+                and no request crosses the close.
         """
         if not self.draining:
             self.draining = True
@@ -168,17 +170,17 @@
         )
 
     def cancel_drain(self) -> None:
-        """Keep connections open again."""
+        """Stop draining and keep connections open again."""
         self.draining = False
         if self._idle_close_timer is not None:
             self._idle_close_timer.cancel()
 
     def stop_listening(self, accept_pending: bool = True) -> None:
-        """Stop listening; with `accept_pending`, accept first all that waits."""
+        """Stop listening; with `accept_pending`, first accept all waiting connections."""
         self._acceptor.close(accept_pending)
 
     async def close(self, timeout_s: float) -> None:
-        """End all connections within `timeout_s`, if possible each with its response on the wire."""
+        """Close all connections within `timeout_s`, if possible after their responses are sent."""
         if self._idle_close_timer is not None:
             self._idle_close_timer.cancel()
         loop = asyncio.get_running_loop()
--- a/sidecar_balancer/downstream/request.py
+++ b/sidecar_balancer/downstream/request.py
@@ -1,4 +1,4 @@
-"""Requests of the application: parsing, validation, and who handles them."""
+"""Client requests: their parsing, their validation and the interface of their handler."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from sidecar_balancer.runtime.streams import ResponseSink, ResponseSource, Upload
 
 _API_PATH = b"/api"
-_MAX_NUMBER = 1e9  # in a header
+_MAX_NUMBER = 1e9  # the largest number accepted in a header
 
 
 class ResponseWriter(Protocol):
-    """The client's connection, as the handler of its request sees it."""
+    """Interface of a client connection to the handler of its request."""
 
     def respond(self, status: int, headers: Headers, body: bytes) -> None:
         """Write a complete response."""
@@ -26,37 +26,37 @@
     def begin_streaming(
         self, headers: Headers, length: int | None, source: ResponseSource
     ) -> ResponseSink | None:
-        """Begin a streamed response with status 200; return None where the client has left.
+        """Begin a streamed response with status 200; return None if the client has disconnected.
 
         Args:
-            headers: The response's headers, but for its framing.
-            length: The length of the body in bytes, where it is known.
-            source: What to pause while the client reads too slowly.
+            headers: The response headers, without those of the framing.
+            length: The length of the body in bytes, if it is known.
+            source: The connection to pause while the client reads too slowly.
         """
 
     def check_connected(self) -> None:
-        """Report a client that has left, though nothing that it sent last was read yet."""
+        """Report a client that has disconnected, even if its last input has not been read yet."""
 
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """A request as the application sent it; it is answered once.
+    """A request from a client, which receives one response.
 
     Attributes:
-        method: The method.
-        target: The target, with its query.
+        method: The HTTP method.
+        target: The request target, including the query.
         headers: The headers to forward.
-        body: The body, where it is buffered.
+        body: The body, if it is buffered.
         request_id: The application's identifier of the request.
-        service_class: The class that decides on deadline, idempotency and priority.
-        tenant: The caller, where it names itself.
-        key: The key that the path ends in, as a number.
-        remaining_us: The time that is left for an answer, from the last byte of the request.
-        cost_us: The announced cost of execution.
-        is_retry: Whether the application retries an earlier request.
+        service_class: The service class, which determines deadline, idempotency and priority.
+        tenant: The tenant, if the request names one.
+        key: The key at the end of the path, as a number.
+        remaining_us: The remaining time for a response, from the last byte of the request.
+        cost_us: The cost hint: the announced cost of execution.
+        is_retry: Whether it is a client retry of an earlier request.
         client_port: The port of the client's connection, for the log.
-        response_writer: Where the response goes.
-        upload: The body, where it is streamed.
+        response_writer: The connection that the response is written to.
+        upload: The body, if it is streamed.
     """
 
     method: bytes
@@ -76,25 +76,25 @@
 
 
 class RequestHandler(Protocol):
-    """Handles the requests of all client connections."""
+    """Handler of the requests of all client connections."""
 
     def request_received(self, client_request: ClientRequest) -> None:
-        """Handle a request; the rest of its body may still come, if it is streamed."""
+        """Handle a request; if its body is streamed, the rest of it may still arrive."""
 
     def body_completed(self, client_request: ClientRequest) -> None:
-        """Note that the last byte of a streamed body has come."""
+        """Record that the last byte of a streamed body has arrived."""
 
     def client_disconnected(self, client_request: ClientRequest) -> None:
-        """Note that nobody waits for the response any more."""
+        """Record that the client no longer waits for the response."""
 
 
 def check_framing(head: h11.Request) -> None:
     """Check that the end of the body is unambiguous (RFC 9112, 6.1).
 
-    Else a part of the body could be taken for the next request.
+    Otherwise, a part of the body could be taken for the next request.
 
     Raises:
-        RequestError: If two readers could disagree on where the body ends.
+        RequestError: If two recipients could disagree on where the body ends.
     """
     names = [name for name, _ in head.headers]
     if b"transfer-encoding" in names and (b"content-length" in names or head.http_version < b"1.1"):
@@ -104,11 +104,11 @@
 def parse_request(
     head: h11.Request, body: bytes, settings: Settings, response_writer: ResponseWriter, client_port: int
 ) -> ClientRequest:
-    """Read and validate a request.
+    """Parse and validate a request.
 
     Raises:
-        RequestError: If the path is no API path, a header is missing or makes no sense, or the settings do
-            not know the class or the tenant.
+        RequestError: If the path is not an API path, a header is missing or invalid, the settings do not
+            contain the service class or the tenant, or the class needs another method.
     """
     path = head.target.partition(b"?")[0]
     if path != _API_PATH and not path.startswith(_API_PATH + b"/"):
@@ -138,7 +138,7 @@
 
 
 def _validate(client_request: ClientRequest, head: h11.Request, settings: Settings) -> None:
-    """Reject what servers would answer 400, so that no healthy server counts as faulty for it."""
+    """Reject requests that servers would answer with 400, so that no healthy server counts as faulty."""
     name = client_request.service_class
     service_class = next((candidate for candidate in settings.classes if candidate.name == name), None)
     if service_class is None:
@@ -168,11 +168,11 @@
 
 
 def _parse_key(path: bytes) -> int | None:
-    """Return the last part of the path as a number, whatever it consists of."""
-    last = path.removeprefix(_API_PATH).rpartition(b"/")[2]
-    if not last:
+    """Return the last part of the path as a number: read as hexadecimal, or else from its bytes."""
+    segment = path.removeprefix(_API_PATH).rpartition(b"/")[2]
+    if not segment:
         return None
     try:
-        return int(last, 16)
+        return int(segment, 16)
     except ValueError:
-        return int.from_bytes(last, "big")
+        return int.from_bytes(segment, "big")
--- a/sidecar_balancer/downstream/request_deadline.py
+++ b/sidecar_balancer/downstream/request_deadline.py
@@ -1,4 +1,4 @@
-"""The time limits of a request that is being received."""
+"""Time limits for receiving a request."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 
 
 class RequestDeadline:
-    """When the request that is being received must have made progress; times are the event loop's.
+    """The deadline of a request that is being received; all times are on the event loop's clock.
 
     Attributes:
-        awaited_since: When the request began to be awaited.
-        body_counted_since: Since when the bytes of its body are counted.
-        body_bytes: The bytes since then.
-        last_input_at: When the last of them came.
+        awaited_since: The time at which the wait for the request began.
+        body_counted_since: The time from which the bytes of its body are counted.
+        body_bytes: The number of bytes received since then.
+        last_input_at: The time at which the last input arrived.
     """
 
     __slots__ = ("awaited_since", "body_bytes", "body_counted_since", "last_input_at")
 
     def __init__(self) -> None:
-        """Await nothing yet."""
+        """Start without a request."""
         self.awaited_since = 0.0
         self.body_counted_since = 0.0
         self.body_bytes = 0
         self.last_input_at = 0.0
 
     def restart_body(self, now: float) -> None:
-        """Count the body anew, as its head has come or as reading was resumed."""
+        """Restart the count of the body after its head was received or reading was resumed."""
         self.body_counted_since = self.last_input_at = now
         self.body_bytes = 0
 
     def due_at(self, head_received: bool) -> float:
-        """Return the deadline; that of a body moves on while the body does."""
+        """Return the deadline; that of a body moves on as long as the body arrives."""
         if not head_received:
             return self.awaited_since + REQUEST_TIMEOUT_S
         rate_limit = self.body_counted_since + _BODY_START_TIMEOUT_S + self.body_bytes / _MIN_BODY_BYTES_PER_S
--- a/sidecar_balancer/downstream/response_connection.py
+++ b/sidecar_balancer/downstream/response_connection.py
@@ -1,4 +1,4 @@
-"""The responses on a client's connection, complete or streamed, and the ways that the connection ends."""
+"""Responses on a client connection, complete or streamed, and the ways in which it closes."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 log = logging.getLogger(__name__)
 
-_RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # of SO_LINGER
+_RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # the value of SO_LINGER that makes a close a reset
 _REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
@@ -31,13 +31,13 @@
 
 
 class ConnectionContext(Protocol):
-    """What a client connection shares with all others.
+    """The context that all client connections share.
 
     Attributes:
-        body_memory: The memory that bodies count in.
+        body_memory: The memory that bodies are counted in.
         draining: Whether each response is the last one of its connection.
-        handler: Who handles the requests.
-        poll_times: When the event loop looked at its sockets.
+        handler: The handler of the requests.
+        poll_times: The times at which the event loop polled its sockets.
         settings: The service classes and tenants.
     """
 
@@ -49,26 +49,26 @@
 
 
 class ResponseConnection(ClientTransport):
-    """A client's connection as far as responses go; subclasses read the requests."""
+    """The response side of a client connection; subclasses read the requests."""
 
     def __init__(self, sock: socket.socket, owner: ConnectionContext) -> None:
         """Serve an accepted socket."""
         super().__init__(sock, owner.body_memory)
         self._owner = owner
         self._h11 = h11.Connection(h11.SERVER)
-        self._head: h11.Request | None = None  # set from a request's head to its response's end
-        self._request: ClientRequest | None = None  # the request that is owed a response
+        self._head: h11.Request | None = None  # set from the head of a request to the end of its response
+        self._request: ClientRequest | None = None  # the request that waits for a response
         self._upload: Upload | None = None  # set while a streamed body is being received
         self._source: ResponseSource | None = None  # set while a response is streamed
-        self._write_blocked = False  # not all that was written has gone to the kernel
-        self._discards_input = False  # the client sent too far ahead: only its leaving is of interest
+        self._write_blocked = False  # not all written data has gone to the kernel yet
+        self._discards_input = False  # the client sent too far ahead: only its disconnect matters
 
     def is_idle(self) -> bool:
-        """Return whether it may be closed: no request is in flight, begun or waiting unread."""
+        """Return whether it may be closed: no request is in flight, partly received or still unread."""
         raise NotImplementedError
 
     def _next_request(self) -> None:
-        """Turn to what came behind the answered request."""
+        """Continue with the input after the answered request."""
         raise NotImplementedError
 
     def _end_upload(self) -> None:
@@ -78,7 +78,7 @@
     # -- Complete and streamed responses
 
     def respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """Write a complete response at once; the connection goes on if its framing allows."""
+        """Write a complete response at once; the connection is kept if its framing allows."""
         self._request = None
         if self._transport is None or self._transport.is_closing():
             return
@@ -88,8 +88,8 @@
             if body:
                 events.insert(1, h11.Data(data=body))
             data = b"".join(self._h11.send(event) or b"" for event in events)
-        except h11.LocalProtocolError:  # a defect; the client must not wait for ever
-            log.exception("a response can't be written", extra={"event": "response_write_failed"})
+        except h11.LocalProtocolError:  # a defect; the client must not wait forever
+            log.exception("writing a response failed", extra={"event": "response_write_failed"})
             self.abort()
             return
         self._transport.write(data)
@@ -101,11 +101,11 @@
         return h11.Response(status_code=status, headers=headers, reason=_REASON_PHRASES.get(status, b""))
 
     def _request_was_read(self) -> bool:
-        """Return whether all was read to the request's end, even if the connection is about to end."""
+        """Return whether the request was read to its end, even if the connection is about to close."""
         return not self._discards_input and self._h11.their_state in (h11.DONE, h11.MUST_CLOSE, h11.CLOSED)
 
     def _response_written(self) -> None:
-        """Go on to the next request, or to the end of the connection."""
+        """Continue with the next request, or close the connection."""
         self._head = None
         self._release_body()
         self._end_upload()
@@ -113,7 +113,7 @@
             self._linger()
         elif self._h11.our_state is not h11.DONE:
             if self._write_blocked:
-                self.close()  # it writes what is left first
+                self.close()  # writes the remaining data first
             else:
                 self.close_gracefully()
         elif not self._write_blocked:
@@ -122,7 +122,7 @@
     def begin_streaming(
         self, headers: Headers, length: int | None, source: ResponseSource
     ) -> ResponseSink | None:
-        """Begin a streamed response with status 200; return None where the client has left."""
+        """Begin a streamed response with status 200; return None if the client has disconnected."""
         if self._transport is None or self._transport.is_closing():
             return None
         if length is not None:
@@ -135,18 +135,18 @@
         """Write a part of the streamed body."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write(self._h11.send(h11.Data(data=data)) or b"")
-            if self._write_blocked:  # what the server had sent before its pause: no lack of progress
+            if self._write_blocked:  # data that was sent before the source paused is no lack of progress
                 self._record_unsent(self._transport.get_write_buffer_size())
 
     def end_response(self) -> None:
-        """End the complete streamed response."""
+        """End a streamed response that is complete."""
         self._request = self._source = None
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write(self._h11.send(h11.EndOfMessage()) or b"")
             self._response_written()
 
     def abort_response(self) -> None:
-        """Close short of the streamed response's end, so that the client can tell."""
+        """Close before the end of the streamed response, in a way that the client can tell."""
         if self._transport is not None and not self._transport.is_closing():
             if self._is_http_1_0():
                 self.abort()
@@ -157,7 +157,7 @@
     # -- Flow control
 
     def pause_writing(self) -> None:
-        """Pause the response's source, and watch whether the client reads."""
+        """Pause the source of the response and watch whether the client reads."""
         self._write_blocked = True
         if self._transport is not None:
             self._record_unsent(self._transport.get_write_buffer_size())
@@ -167,7 +167,7 @@
                 self._start_write_timer()
 
     def resume_writing(self) -> None:
-        """Go on, as all that was written has gone to the kernel."""
+        """Continue after all written data has gone to the kernel."""
         self._write_blocked = False
         self._record_unsent(0)
         if self._upload is None:
@@ -177,12 +177,12 @@
         elif self._request is None:
             self._next_request()
 
-    # -- The end of the connection
+    # -- Closing the connection
 
     def abort(self) -> None:
-        """Close at once; what is not written yet never will be.
+        """Close at once, discarding unwritten data.
 
-        Where the client would take the connection's end for its response's, it is a reset.
+        The connection is reset where the client would take its end for the end of the response.
         """
         if self._transport is not None and self._source is not None and self._is_http_1_0():
             with contextlib.suppress(OSError):
@@ -190,7 +190,7 @@
         super().abort()
 
     def close_gracefully(self) -> None:
-        """Close once what is written has arrived; a streamed response is visibly broken off."""
+        """Close once written data has arrived; a streamed response visibly breaks off."""
         if self._source is not None:
             self.abort_response()
         elif self._linger_deadline is None and not self.is_idle():
