--- a/sidecar_balancer/upstream/__init__.py
+++ b/sidecar_balancer/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""The servers' side: connections to servers."""
+"""Connections to servers: dialing, pooling, sending requests and reading responses."""
--- a/sidecar_balancer/upstream/dialing.py
+++ b/sidecar_balancer/upstream/dialing.py
@@ -1,4 +1,4 @@
-"""Opens connections to servers."""
+"""Dialing of connections to servers."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 async def connect(
     address: Address, max_body_bytes: int, body_memory: BodyMemory | None = None
 ) -> ServerConnection:
-    """Open a connection.
+    """Open a connection to a server.
 
     Args:
-        address: Where the server listens.
+        address: The address that the server listens on.
         max_body_bytes: The longest response body to buffer.
-        body_memory: The memory that bodies count in; by default one of this connection alone.
+        body_memory: The memory that bodies are counted in; by default one for this connection alone.
 
     Raises:
-        OSError: If no connection comes up.
-        ValueError: If the host can't be a name.
+        OSError: If the connection can't be established.
+        ValueError: If the host is not a valid name.
     """
     loop = asyncio.get_running_loop()
     sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
--- a/sidecar_balancer/upstream/endpoint_pool.py
+++ b/sidecar_balancer/upstream/endpoint_pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to servers, which sends requests on them within a bound on their number."""
+"""Pool of connections to servers, which sends requests on a limited number of them."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 log = logging.getLogger(__name__)
 
-_UNKNOWN_ADDRESS: Address = ("127.0.0.1", 0)  # of a server that no request is sent to
-_IDLE_MARGIN_RATIO = 0.1  # an idle connection is closed this much earlier than its server would
+_UNKNOWN_ADDRESS: Address = ("127.0.0.1", 0)  # placeholder for a server that no request is sent to
+_IDLE_MARGIN_RATIO = 0.1  # the share of the idle timeout by which a connection is closed early
 _REUSE_DELAY_S = 0.01  # a malformed response may be followed by a second one
 _HEALTH_CHECK_DIAL_TIMEOUTS = 4.0  # a health check may take this many dial timeouts
 
 
 class EndpointPool:
-    """All connections to servers, within a bound on their number."""
+    """All connections to servers, with a limit on their number."""
 
     def __init__(
         self,
@@ -36,13 +36,13 @@
         max_connections: int,
         body_memory: BodyMemory | None = None,
     ) -> None:
-        """Begin without endpoints.
+        """Start without endpoints.
 
         Args:
-            dial_timeout_s: How long a dial may take.
-            idle_timeout_s: How long servers keep idle connections.
-            max_connections: The bound on connections, those being dialed included.
-            body_memory: The memory that bodies count in.
+            dial_timeout_s: The longest time that a dial may take.
+            idle_timeout_s: The time for which servers keep idle connections.
+            max_connections: The maximum number of connections, including those being dialed.
+            body_memory: The memory that bodies are counted in.
         """
         self._body_memory = body_memory or BodyMemory()
         self._dial_timeout_s = dial_timeout_s
@@ -52,24 +52,24 @@
         self._open: set[ServerConnection] = set()  # in use or idle
         self._closed = False
         self.endpoints: dict[str, PooledEndpoint] = {}
-        self._removed: dict[str, None] = {}  # endpoints to forget once nothing is open to them
+        self._removed: dict[str, None] = {}  # removed endpoints, deleted once unused
         self._disabled: frozenset[str] = frozenset()
 
     @property
     def open_count(self) -> int:
-        """The number of connections, those being dialed included."""
+        """The number of connections, including those being dialed."""
         return len(self._dial_tasks) + len(self._open)
 
     # -- Endpoints
 
     def set_disabled(self, names: frozenset[str]) -> None:
-        """Treat these servers, and no others, as draining whatever the endpoint list says."""
+        """Set which servers are treated as draining, regardless of the endpoint list."""
         self._disabled = names
         for name in names & self.endpoints.keys():
             self._end_unsent(self.endpoints[name])
 
     def update(self, name: str, address: Address | None, started_at: int | None, state: ServerState) -> None:
-        """Apply an entry of the endpoint list; after a restart or a move, old connections are closed."""
+        """Apply an entry of the endpoint list; after a restart or a move, close the old connections."""
         endpoint = self.endpoints.get(name)
         if endpoint is None:
             self.endpoints[name] = PooledEndpoint(name, address or _UNKNOWN_ADDRESS, started_at, state)
@@ -82,7 +82,7 @@
             endpoint.generation += 1
             self.close_idle(name)
             for exchange in list(endpoint.dialing):
-                exchange.end(Outcome.UNSENT)  # else it would be written to the earlier process or address
+                exchange.end(Outcome.UNSENT)  # the dial leads to the earlier process or address
         endpoint.state = state
         self._removed.pop(name, None)
         if state is ServerState.REMOVED:
@@ -91,7 +91,7 @@
             self._end_unsent(endpoint)
 
     def retain(self, names: Collection[str]) -> None:
-        """Treat all endpoints but these as removed."""
+        """Mark all endpoints except these as removed."""
         for endpoint in self.endpoints.values():
             if endpoint.name not in names:
                 endpoint.state = ServerState.REMOVED
@@ -99,14 +99,14 @@
                 self._end_unsent(endpoint)
 
     def forget_removed(self) -> None:
-        """Forget removed endpoints that nothing is dialed for; exchanges in flight keep theirs."""
+        """Delete removed endpoints without dials or idle connections; exchanges in flight keep theirs."""
         for name in list(self._removed):
             endpoint = self.endpoints[name]
             if not endpoint.dialing and not endpoint.idle:
                 del self.endpoints[name], self._removed[name]
 
     def _end_unsent(self, endpoint: PooledEndpoint) -> None:
-        """End what is not written yet to a draining server: a slow dial may outlast its grace period."""
+        """End unwritten requests to a draining server: a slow dial may outlast its grace period."""
         self.close_idle(endpoint.name)
         for exchange in list(endpoint.dialing):
             exchange.end(Outcome.CONNECT_FAILED)
@@ -118,9 +118,9 @@
 
         Args:
             name: The server's name.
-            request: What to send.
-            deadline: When to give up, on the event loop's clock.
-            on_outcome: Called exactly once, maybe before this returns.
+            request: The request to send.
+            deadline: The time at which to give up, on the event loop's clock.
+            on_outcome: Called exactly once, possibly before this returns.
         """
         loop = asyncio.get_running_loop()
         endpoint = self.endpoints.get(name)
@@ -128,7 +128,7 @@
         endpoint = endpoint or PooledEndpoint(name, _UNKNOWN_ADDRESS, None, ServerState.REMOVED)
         exchange = Exchange(endpoint, request, deadline, on_outcome)
         if self._closed or not is_available or deadline <= loop.time():
-            exchange.end(Outcome.UNSENT)  # decided before the list, the shutdown or the deadline was known
+            exchange.end(Outcome.UNSENT)  # decided before the list change, the shutdown or the deadline
             return exchange
         self.set_deadline(exchange, deadline)
         connection = self._acquire_idle(endpoint)
@@ -143,14 +143,14 @@
         return exchange
 
     def set_deadline(self, exchange: Exchange, deadline: float) -> None:
-        """Give an exchange up at this time on the event loop's clock; infinity: never."""
+        """Set the time on the event loop's clock at which an exchange is given up; infinity means never."""
         exchange.deadline = deadline
         if deadline < math.inf:
             loop = asyncio.get_running_loop()
             exchange.timers.append(loop.call_at(deadline, self._deadline_passed, exchange))
 
     def clear_deadline(self, exchange: Exchange) -> None:
-        """Let an exchange take its time, as its response is being streamed."""
+        """Remove the time limits of an exchange, as its response is being streamed."""
         for timer in exchange.timers:
             timer.cancel()
         exchange.timers.clear()
@@ -163,11 +163,11 @@
         return self.send(name, request, asyncio.get_running_loop().time() + timeout_s, on_outcome)
 
     def cancel(self, exchange: Exchange) -> None:
-        """Cancel an exchange; no effect where it has ended."""
+        """Cancel an exchange; no effect if it has ended."""
         exchange.end(Outcome.CANCELLED)
 
     def cancel_unsent(self, exchange: Exchange) -> None:
-        """End an exchange whose last byte is not written yet, so that it never will be."""
+        """End an exchange if the last byte of its request is not written yet, so that it never will be."""
         if exchange.connection is None or not exchange.connection.written:
             exchange.end(Outcome.UNSENT)
 
@@ -183,12 +183,12 @@
         remaining_s = exchange.deadline - asyncio.get_running_loop().time()
         request = exchange.request
         try:
-            head = request.head(max(remaining_s, 0.0))
+            head = request.build_head(max(remaining_s, 0.0))
             on_response = partial(self._response_received, exchange, connection)
             connection.request(head, request.body, on_response, request.upload, request.start_streaming)
         except h11.LocalProtocolError:
-            log.exception("a request can't be written", extra={"event": "request_write_failed"})
-            exchange.end(Outcome.CONNECT_FAILED)  # not a byte was written
+            log.exception("writing a request failed", extra={"event": "request_write_failed"})
+            exchange.end(Outcome.CONNECT_FAILED)  # no byte was written
 
     def _response_received(
         self, exchange: Exchange, connection: ServerConnection, response: Response | None
@@ -211,7 +211,7 @@
 
     @staticmethod
     def _acquire_idle(endpoint: PooledEndpoint) -> ServerConnection | None:
-        """Take the last used of the connections that may be reused by now."""
+        """Take the most recently used connection whose reuse delay has passed."""
         idle_before = asyncio.get_running_loop().time() - _REUSE_DELAY_S
         for connection in reversed(list(endpoint.idle)):
             if connection.idle_since > idle_before:
@@ -223,7 +223,7 @@
         return None
 
     def _ensure_capacity(self) -> bool:
-        """Return whether one more connection may be opened, perhaps after closing an idle one elsewhere."""
+        """Make room for one more connection, closing an idle one if needed; return whether that succeeded."""
         if self.open_count < self._max_connections:
             return True
         with_idle = [endpoint for endpoint in self.endpoints.values() if endpoint.idle]
@@ -250,13 +250,13 @@
             exchange.end(Outcome.CONNECT_FAILED)
 
     async def _dial(self, exchange: Exchange) -> None:
-        """Dial and write; the dial counts as open until its connection does, or until it ends."""
+        """Dial and write the request; the dial counts as open until its connection does, or until it ends."""
         endpoint = exchange.endpoint
         try:
             connection = await connect(endpoint.address, MAX_BUFFERED_BODY_BYTES, self._body_memory)
-        except (OSError, ValueError) as error:  # ValueError: the host can't be a name
+        except (OSError, ValueError) as error:  # ValueError: the host is not a valid name
             extra = {"event": "connect_failed", "server": endpoint.name}
-            log.info("no connection to %s: %s", endpoint.name, error, extra=extra)
+            log.info("connecting to %s failed: %s", endpoint.name, error, extra=extra)
             exchange.end(Outcome.CONNECT_FAILED)
             return
         assert exchange.dial_task is not None
@@ -271,7 +271,7 @@
             self._write_request(exchange, connection)
 
     def _release(self, exchange: Exchange, connection: ServerConnection) -> None:
-        """Keep a connection for the next request, for less time than its server keeps it."""
+        """Keep a connection for reuse, for less time than its server keeps it."""
         endpoint = exchange.endpoint
         if not connection.reusable:
             return
@@ -280,16 +280,16 @@
             return
         loop = asyncio.get_running_loop()
         connection.idle_since = loop.time()
-        # Closing it removes it from the idle ones.
+        # Closing the connection removes it from the idle ones.
         endpoint.idle[connection] = loop.call_later(self._idle_timeout_s, connection.abort)
 
     def _connection_closed(self, endpoint: PooledEndpoint, connection: ServerConnection) -> None:
-        """Stop counting a connection, whoever closed it."""
+        """Stop counting a connection after either side closed it."""
         self._open.discard(connection)
         endpoint.remove_idle(connection)
 
     async def close(self) -> None:
-        """End all connections and dials, for good."""
+        """Close all connections, end all dials and send no more requests."""
         self._closed = True
         for endpoint in list(self.endpoints.values()):
             self._end_unsent(endpoint)
--- a/sidecar_balancer/upstream/exchange.py
+++ b/sidecar_balancer/upstream/exchange.py
@@ -1,4 +1,4 @@
-"""One request to a server and its one outcome, and the endpoint that it is sent to."""
+"""Exchanges: a request to a server with its single outcome, and the endpoint that it is sent to."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 _ABORTING_OUTCOMES = (Outcome.TIMED_OUT, Outcome.CANCELLED, Outcome.CONNECT_FAILED, Outcome.UNSENT)
 
 OnOutcome = Callable[[Outcome, Response | None], None]
-"""Receives the outcome of an exchange, once, with its response where there is one."""
+"""Receives the outcome of an exchange once, with its response if there is one."""
 
 
 @dataclass(slots=True, eq=False)
 class PooledEndpoint:
-    """Where a server listens, and the connections to it that are idle or being dialed.
+    """The address of a server, and the connections to it that are idle or being dialed.
 
     Attributes:
         name: The server's name.
-        address: Where it listens now.
-        started_at: When its process started, as the endpoint list says.
+        address: The address that it listens on now.
+        started_at: The time at which its process started, according to the endpoint list.
         state: Its state in the endpoint list.
-        generation: Number of its process and address: connections of earlier ones are not reused.
+        generation: The number of its process and address: connections of earlier ones are not reused.
         idle: Idle connections, the longest idle first, each with the timer that closes it.
         dialing: Exchanges that wait for their connection.
     """
@@ -54,14 +54,14 @@
     """A request to a server.
 
     Attributes:
-        head: Makes the head from the seconds that remain when it is written.
-        body: The body, where it is buffered.
-        upload: The body, where it is streamed.
+        build_head: Returns the head, given the seconds that remain when it is written.
+        body: The body, if it is buffered.
+        upload: The body, if it is streamed.
         start_streaming: Returns the sink of a long response.
-        check_client: Cancels the exchange if its client has left, which may be unnoticed after a dial.
+        check_client: Cancels the exchange if its client disconnected unnoticed during the dial.
     """
 
-    head: Callable[[float], h11.Request]
+    build_head: Callable[[float], h11.Request]
     body: bytes = b""
     upload: Upload | None = None
     start_streaming: StartStreaming | None = None
@@ -69,17 +69,17 @@
 
 
 class Exchange:
-    """One attempt or health check, from the dial to its one outcome.
+    """An attempt or health check, from the dial to its single outcome.
 
     Attributes:
-        endpoint: The server that it is sent to.
-        generation: The endpoint's generation when it began.
-        request: What is sent.
-        deadline: When it is given up, on the event loop's clock.
-        on_outcome: Receives the outcome; None once it has.
+        endpoint: The endpoint that it is sent to.
+        generation: The endpoint's generation when the exchange began.
+        request: The request that is sent.
+        deadline: The time at which it is given up, on the event loop's clock.
+        on_outcome: Receives the outcome; None once it has been called.
         connection: The connection that carries the request, once there is one.
-        dial_task: The dial, where no idle connection was there.
-        timers: What ends it at its deadlines.
+        dial_task: The dial, if no idle connection was available.
+        timers: The timers that end it at its deadlines.
     """
 
     def __init__(
--- a/sidecar_balancer/upstream/load_report.py
+++ b/sidecar_balancer/upstream/load_report.py
@@ -1,4 +1,4 @@
-"""Reads the load reports that servers send in response headers and health check bodies."""
+"""Parsing of the load reports that servers send in response headers and health check bodies."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 def parse_load_report(text: str | None, columns: Collection[str]) -> dict[str, float] | None:
-    """Read a load report in text form.
+    """Parse a load report in text form.
 
     Args:
-        text: `TEXT name=value, ...`; None where the response has no report.
-        columns: The names to read; others are ignored.
+        text: `TEXT name=value, ...`; None if the response has no report.
+        columns: The names of the values to read; others are ignored.
 
     Returns:
-        The finite values by name; None where there are none.
+        The finite values by name; None if there are none.
     """
     if text is None or not columns:
         return None
-    form, _, entries = text.strip().partition(" ")
-    if form.upper() != "TEXT":
+    format_name, _, entries = text.strip().partition(" ")
+    if format_name.upper() != "TEXT":
         _log_invalid_report(text)
         return None
     report = {}
@@ -35,7 +35,9 @@
             value = math.nan
         if not math.isfinite(value):
             log.warning(
-                "load report value skipped: %.80r", entry, extra={"event": "load_report_value_invalid"}
+                "skipping an invalid load report value: %.80r",
+                entry,
+                extra={"event": "load_report_value_invalid"},
             )
         elif name.strip() in columns:
             report[name.strip()] = value
@@ -43,10 +45,10 @@
 
 
 def parse_health_report(body: bytes, columns: Collection[str]) -> dict[str, float] | None:
-    """Read the load report in the body of a health check, as JSON or in text form.
+    """Parse the load report in the body of a health check, in JSON or text form.
 
     Returns:
-        The finite values by name; None where there are none.
+        The finite values by name; None if there are none.
     """
     text = body.decode("utf-8", "replace").strip()
     if not text.startswith("{"):
@@ -63,4 +65,4 @@
 
 
 def _log_invalid_report(text: str) -> None:
-    log.warning("load report skipped: %.80r", text, extra={"event": "load_report_invalid"})
+    log.warning("skipping an invalid load report: %.80r", text, extra={"event": "load_report_invalid"})
--- a/sidecar_balancer/upstream/request_connection.py
+++ b/sidecar_balancer/upstream/request_connection.py
@@ -1,4 +1,4 @@
-"""The requests on a connection to a server, with buffered or streamed bodies."""
+"""Requests on a connection to a server, with buffered or streamed bodies."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from sidecar_balancer.upstream.response import Response
 
 StartStreaming = Callable[[h11.Response, int | None, ResponseSource], ResponseSink | None]
-"""Returns the sink of a long response with this head and length; None where nobody waits for it any more."""
+"""Returns the sink of a long response with this head and length; None if no client waits for it any more."""
 
 
 class RequestConnection(BufferedReceiver):
-    """A connection to a server as far as requests go; subclasses read the responses.
+    """The request side of a connection to a server; subclasses read the responses.
 
     Attributes:
-        response_began: Whether a byte of the response was received: the process is up.
+        response_began: Whether a byte of the response was received, which shows that the process is up.
     """
 
     def __init__(self, body_memory: BodyMemory) -> None:
@@ -35,10 +35,10 @@
         self._on_response: Callable[[Response | None], None] | None = None
         self._start_streaming: StartStreaming | None = None
         self._written = False
-        self._write_buffer_full = False  # not all that was written has gone to the kernel
-        self._request_count = 0  # the request in flight included
+        self._write_buffer_full = False  # not all written data has gone to the kernel yet
+        self._request_count = 0  # including the request in flight
         self._request_sent_at = 0.0  # on the event loop's clock
-        self._upload: Upload | None = None  # the rest of a long request body
+        self._upload: Upload | None = None  # set while a long request body is streamed
         self._progress = 0  # grows with each byte in or out
 
     @property
@@ -47,10 +47,10 @@
         return self._written
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Store the transport."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        transport.set_write_buffer_limits(high=0)  # resume_writing then means: all is with the kernel
+        transport.set_write_buffer_limits(high=0)  # resume_writing then means that the kernel has all data
 
     def _check_progress(self, last_progress: int | None = None) -> None:
         """Watch a streamed body for stalls, given the progress at the last check."""
@@ -68,14 +68,14 @@
 
         Args:
             head: The request's head.
-            body: The body, where it is buffered.
-            on_response: Called once, with the complete response or with None if the exchange broke.
-            upload: The body in place of `body`, where it is streamed.
-            start_streaming: Where a response goes that is too long to be buffered; it is complete without its
-                body then.  None: such a response fails.
+            body: The body, if it is buffered.
+            on_response: Called once, with the complete response or with None if the exchange failed.
+            upload: The streamed body, in place of `body`.
+            start_streaming: Returns the sink of a response that is too long to be buffered, which is then
+                reported without its body.  If None, such a response fails.
 
         Raises:
-            h11.LocalProtocolError: If the request is no valid HTTP; no byte was written.
+            h11.LocalProtocolError: If the request is not valid HTTP; no byte was written.
         """
         assert self._transport is not None
         data = self._h11.send(head) or b""
@@ -96,12 +96,12 @@
         self._update_written()
 
     def _update_written(self) -> None:
-        # A failed write closes the transport and empties its buffer, with nothing of it sent.
+        # A failed write closes the transport and empties its buffer without sending any of it.
         assert self._transport is not None
         self._written = not self._transport.is_closing() and not self._transport.get_write_buffer_size()
 
     def _write_upload(self) -> None:
-        """Write what has come of a streamed body, while the server reads it."""
+        """Write the received part of a streamed body as long as the server reads."""
         while self._upload is not None and not self._write_buffer_full and self._transport is not None:
             if self._transport.is_closing():
                 return
@@ -121,11 +121,11 @@
             upload.discard()
 
     def pause_writing(self) -> None:
-        """Wait for the server to read."""
+        """Pause writing until the server has read."""
         self._write_buffer_full = True
 
     def resume_writing(self) -> None:
-        """Note that all that was written has gone to the kernel."""
+        """Continue after all written data has gone to the kernel."""
         self._write_buffer_full = False
         self._progress += 1
         if self._upload is not None:
--- a/sidecar_balancer/upstream/response.py
+++ b/sidecar_balancer/upstream/response.py
@@ -1,4 +1,4 @@
-"""A server's response, its framing, and the outcome that the end of an exchange proves."""
+"""Responses of servers, their framing, and the outcomes of exchanges."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class Response:
-    """A complete response; the body is empty where it was streamed."""
+    """A complete response; the body is empty if it was streamed."""
 
     status: int
     headers: Headers
@@ -26,8 +26,8 @@
 def is_framed(head: h11.Response) -> bool:
     """Return whether the end of the body can be recognized.
 
-    The framing tells it, or the end of the connection where the server announces that.  A response with
-    neither may have lost its framing on the way.
+    The framing headers determine it, or the end of the connection if the server announces that.  A response
+    with neither may have lost its framing on the way.
     """
     names = {name for name, _ in head.headers}
     if names & {b"content-length", b"transfer-encoding"} or head.status_code in (204, 304):
@@ -37,12 +37,12 @@
 
 
 def classify_outcome(response: Response | None, written: bool, response_began: bool) -> Outcome:
-    """Return what an ended exchange proves; that the request never ran only where this is certain.
+    """Return the outcome of an ended exchange; it says that the request never ran only if that is certain.
 
-    A response that can't be read is an application error and no lost connection: its server is up.
+    A response that can't be parsed is an application error, not a lost connection, as its server is up.
 
     Args:
-        response: The complete response; None where the exchange broke.
+        response: The complete response; None if the exchange failed.
         written: Whether the request's last byte has gone to the kernel.
         response_began: Whether a byte of the response was received.
     """
--- a/sidecar_balancer/upstream/server_connection.py
+++ b/sidecar_balancer/upstream/server_connection.py
@@ -1,6 +1,7 @@
-"""One connection to a server: each request has one end, and nothing is resent silently.
+"""Connections to servers: each request ends once, and nothing is resent silently.
 
-It is known whether a request's last byte was written.  Only then may the server have begun to execute it.
+A connection knows whether a request's last byte was written.  Only then may the server have begun to execute
+it.
 """
 
 from __future__ import annotations
@@ -28,17 +29,17 @@
 
 
 class ServerConnection(RequestConnection):
-    """One connection to a server, which carries one request at a time.
+    """A connection to a server, which carries one request at a time.
 
     Attributes:
         sock: The connection's socket.
         reusable: Whether the connection may carry another request after the one in flight.
-        idle_since: When the last response ended, on the event loop's clock.
-        on_closed: Called once when the connection is closed, whoever closed it.
+        idle_since: The time at which the last response ended, on the event loop's clock.
+        on_closed: Called once when the connection is closed by either side.
     """
 
     def __init__(self, sock: socket.socket, max_body_bytes: int, body_memory: BodyMemory) -> None:
-        """Wrap a connected socket; longer response bodies than `max_body_bytes` are streamed or fail."""
+        """Wrap a connected socket; response bodies longer than `max_body_bytes` are streamed or fail."""
         super().__init__(body_memory)
         self.sock = sock
         self.reusable = True
@@ -54,14 +55,14 @@
         self._stall_timer: asyncio.TimerHandle | None = None
 
     def is_idle(self) -> bool:
-        """Return whether another request may be sent: no end or stray byte waits unread either."""
+        """Return whether another request may be sent, which an unread end or stray byte rules out."""
         is_open = self._transport is not None and not self._transport.is_closing()
         return is_open and self.reusable and self._on_response is None and has_no_unread_input(self.sock)
 
     # -- Reading the response
 
     def data_received(self, data: bytes) -> None:
-        """Parse input; stray bytes end the connection, as nobody knows which request they answer."""
+        """Parse input; stray bytes close the connection, as it is unknown which request they answer."""
         if self._on_response is None:
             self.abort()
             return
@@ -70,7 +71,7 @@
         self._feed_parser(data)
 
     def eof_received(self) -> bool:
-        """End a response that the connection's end delimits; the transport closes itself."""
+        """End a response that is delimited by the end of the connection, and let the transport close."""
         if self._on_response is not None:
             self._feed_parser(b"")
         return False
@@ -99,7 +100,7 @@
 
     def _fail_parsing(self, error: Exception, data: bytes) -> None:
         extra = {"event": "response_malformed"}
-        log.info("response cut short or malformed: %.80s; it began %.60r", error, data, extra=extra)
+        log.info("truncated or malformed response: %.80s; last input: %.60r", error, data, extra=extra)
         self._finish(None)
 
     def _handle_next_event(self) -> bool:
@@ -116,7 +117,7 @@
     def _handle_head(self, head: h11.Response) -> bool:
         self._response_head = head
         if head.status_code == 200 and not self._written:
-            extra = {"event": "response_before_request_end"}  # it can't answer this request
+            extra = {"event": "response_before_request_end"}  # it can't be a response to this request
             log.info("response before the request was complete", extra=extra)
             self._finish(None)
             return False
@@ -150,13 +151,13 @@
     # -- Streaming the response
 
     def _stream_slow_response(self) -> None:
-        """Stream a response of unknown length that comes slowly, so that its beginning is not delayed."""
+        """Stream a response of unknown length that arrives slowly, so that its beginning is not delayed."""
         if self._on_response is not None and self._sink is None and self._body:
             self._begin_streaming(None)
             self._flush_to_sink()
 
     def _begin_streaming(self, length: int | None) -> bool:
-        """Stream a long response to its sink; return whether to parse on."""
+        """Stream a long response to its sink; return whether to continue parsing."""
         head = self._response_head
         if head is None or head.status_code != 200 or self._start_streaming is None:
             self._finish_too_long(head)
@@ -175,7 +176,7 @@
         extra = {"event": "response_too_large"}
         log.info("response of more than %d bytes", self._max_body_bytes, extra=extra)
         if head is not None and head.status_code != 200 and self._start_streaming is not None:
-            # Of an error response, the head alone is of use.
+            # Only the head of an error response is used.
             self._finish(Response(head.status_code, list(head.headers), b""))
         else:
             self._finish(None)
@@ -192,12 +193,12 @@
             self._sink.write_body(data)
 
     def pause(self) -> None:
-        """Stop reading: the client reads too slowly."""
+        """Stop reading, as the client reads too slowly."""
         self._sink_paused = True
         self._update_reading()
 
     def resume(self) -> None:
-        """Read on, for a client that has caught up or has left."""
+        """Resume reading, as the client has caught up or disconnected."""
         self._sink_paused = False
         self._progress += 1
         self._update_reading()
@@ -210,7 +211,7 @@
                 self._transport.resume_reading()
 
     def _check_progress(self, last_progress: int | None = None) -> None:
-        """Give up a server that stalls within a long body; a slow client is no fault of the server."""
+        """End the exchange if the server stalls during a long body; a slow client is not its fault."""
         if self._upload is None and self._sink is None:
             self._stall_timer = None
             return
@@ -219,7 +220,7 @@
         progress = self._progress - unsent_bytes
         if awaits_server and progress == last_progress:
             extra = {"event": "body_stalled"}
-            log.info("no progress of a long body for %.0f s", STALL_TIMEOUT_S, extra=extra)
+            log.info("no progress on a long body for %.0f s", STALL_TIMEOUT_S, extra=extra)
             self._finish(None)
             return
         if self._stall_timer is not None:
@@ -228,7 +229,7 @@
             STALL_TIMEOUT_S, self._check_progress, progress if awaits_server else None
         )
 
-    # -- The end of an exchange and of the connection
+    # -- Ending an exchange or the connection
 
     def _finish(self, response: Response | None) -> None:
         on_response, self._on_response = self._on_response, None
@@ -243,7 +244,7 @@
             on_response(response)
 
     def _end_bodies(self, complete: bool) -> None:
-        """Release what is buffered or streamed for the request that was in flight."""
+        """Release the bodies that are buffered or streamed for the request that was in flight."""
         self._discard_upload()
         self._stop_buffering()
         if self._stall_timer is not None:
@@ -265,10 +266,10 @@
         on_response, self._on_response = self._on_response, None
         if on_response is not None and self.reusable:
             log.info(
-                "connection lost under its request number %d, %.1f ms after it was sent: %s",
+                "connection lost during its request number %d, %.1f ms after it was sent: %s",
                 self._request_count,
                 (asyncio.get_running_loop().time() - self._request_sent_at) * 1000,
-                exc or "it ended",
+                exc or "closed by the server",
                 extra={"event": "server_connection_lost"},
             )
         self.reusable = False
@@ -279,7 +280,7 @@
             self.on_closed()
 
     def abort(self) -> None:
-        """Close at once; what is not written yet never will be."""
+        """Close at once, discarding unwritten data."""
         self.reusable = False
         self._end_bodies(False)
         if self._transport is not None:
