--- a/tests/downstream/test_upload_streaming.py
+++ b/tests/downstream/test_upload_streaming.py
@@ -1,4 +1,4 @@
-"""Long request bodies over loopback: streamed within bounds, and never completed where they break."""
+"""Long request bodies over loopback: streamed in bounded memory, and never completed if they break off."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 from sidecar_balancer.runtime.streams import MAX_BUFFERED_BODY_BYTES
 
 
-async def served_upload(reader: Reader, writer: Writer) -> None:
-    """Says of each body whether it came whole."""
+async def serve_uploads(reader: Reader, writer: Writer) -> None:
+    """Reply whether each body arrived complete."""
     while True:
         head = await read_head(reader)
         if "chunked" in head:
@@ -39,9 +39,9 @@
 @pytest.mark.parametrize("form", ["length", "chunks", "small chunks", "expect"])
 def test_long_request_body_arrives_complete_with_every_framing(form: str) -> None:
     async def scenario() -> None:
-        async with streaming(served_upload) as (w, _):
-            events = w.record_events()
-            reader, writer = await dial(w)
+        async with streaming(serve_uploads) as (environment, _):
+            events = environment.record_events()
+            reader, writer = await dial(environment)
             if "chunks" in form:
                 data = request("pay", Content_Length=None, Transfer_Encoding="chunked")
                 data += chunked(LONG, 300 if "small" in form else 100_000)
@@ -55,7 +55,7 @@
             assert "200 ok" in await read_head(reader)
             assert await reader.readexactly(5) == b"whole"
             assert [each.body_open for each in events if isinstance(each, RequestReceived)] == [True]
-            writer.write(request("pay", body=LONG))  # the connection goes on
+            writer.write(request("pay", body=LONG))  # the connection is still usable
             assert "200 ok" in await read_head(reader)
             writer.close()
 
@@ -64,17 +64,17 @@
 
 def test_deadline_starts_with_the_last_byte_of_the_body() -> None:
     async def scenario() -> None:
-        async with streaming(served_upload) as (w, _):
-            reader, writer = await dial(w)
+        async with streaming(serve_uploads) as (environment, _):
+            reader, writer = await dial(environment)
             data = request("pay", body=LONG)
             writer.write(data[:-1])
             await wait_until(
                 lambda: (
-                    w.sidecar.proxy.in_flight
-                    and next(iter(w.sidecar.proxy.in_flight.values())).attempts.get(0)
+                    environment.sidecar.proxy.in_flight
+                    and next(iter(environment.sidecar.proxy.in_flight.values())).attempts.get(0)
                 )
             )
-            live = next(iter(w.sidecar.proxy.in_flight.values()))
+            live = next(iter(environment.sidecar.proxy.in_flight.values()))
             attempt = live.attempts[0]
             assert attempt is not None
             assert attempt.deadline == math.inf
@@ -103,12 +103,12 @@
         await reader.read()
 
     async def scenario() -> None:
-        async with streaming(script) as (w, _):
-            reader, writer = await dial(w)
+        async with streaming(script) as (environment, _):
+            reader, writer = await dial(environment)
             writer.write(request("pay", Content_Length=str(HUGE)))
             sending = asyncio.create_task(send(writer, HUGE))
-            await wait_until(lambda: w.sidecar.frontend.connections)
-            connection = next(iter(w.sidecar.frontend.connections))
+            await wait_until(lambda: environment.sidecar.frontend.connections)
+            connection = next(iter(environment.sidecar.frontend.connections))
             await wait_until(lambda: connection._reading_paused)
             assert connection._upload is not None
             assert len(connection._upload._buffer) <= MAX_BUFFERED_BODY_BYTES + 64 * 1024
@@ -133,11 +133,11 @@
         reset_connection(writer)
 
     async def scenario() -> None:
-        async with streaming(script) as (w, server):
-            events = w.record_events()
-            reader, writer = await dial(w)
+        async with streaming(script) as (environment, server):
+            events = environment.record_events()
+            reader, writer = await dial(environment)
             writer.write(request("pay", body=LONG)[:-1])
-            # It never ran: a refusal says so, and it comes while the body is still being sent.
+            # It never ran: a rejection says so, and it comes while the body is still being sent.
             assert "503" in await read_head(reader)
             assert server.connections == 1
             ended = [each for each in events if isinstance(each, AttemptEnded)]
@@ -154,8 +154,8 @@
         await reader.read()
 
     async def scenario() -> None:
-        async with streaming(script) as (w, _):
-            reader, writer = await dial(w)
+        async with streaming(script) as (environment, _):
+            reader, writer = await dial(environment)
             writer.write(request("pay", body=LONG)[:-1])
             assert "503" in await read_head(reader)
             writer.close()
@@ -171,15 +171,15 @@
             received.append(await reader.read(-1))
 
     async def scenario() -> None:
-        async with streaming(script) as (w, _):
-            _, writer = await dial(w)
+        async with streaming(script) as (environment, _):
+            _, writer = await dial(environment)
             writer.write(request("pay", body=LONG)[:-1])
-            await wait_until(lambda: w.sidecar.endpoint_pool._body_memory.active_streams == 1)
+            await wait_until(lambda: environment.sidecar.endpoint_pool._body_memory.active_streams == 1)
             writer.close()
-            await wait_until(lambda: not w.sidecar.proxy.in_flight)
+            await wait_until(lambda: not environment.sidecar.proxy.in_flight)
             assert (
-                w.sidecar.endpoint_pool._body_memory.active_streams
-                == w.sidecar.endpoint_pool._body_memory.buffered_bytes
+                environment.sidecar.endpoint_pool._body_memory.active_streams
+                == environment.sidecar.endpoint_pool._body_memory.buffered_bytes
                 == 0
             )
 
@@ -190,8 +190,8 @@
     monkeypatch.setattr(client_connection, "MAX_REQUEST_BODY_BYTES", 500_000)
 
     async def scenario() -> None:
-        async with streaming(served_upload) as (w, _):
-            reader, writer = await dial(w)
+        async with streaming(serve_uploads) as (environment, _):
+            reader, writer = await dial(environment)
             writer.write(request("pay", Content_Length=None, Transfer_Encoding="chunked"))
             writer.write(chunked(LONG, 100_000))
             assert "413" in await read_head(reader)
@@ -203,23 +203,23 @@
 
 def test_body_deadline_allows_a_slow_body_but_no_stall() -> None:
     async def scenario() -> None:
-        async with running_sidecar(lambda *_: None) as w:
-            _, writer = await dial(w)
-            await wait_until(lambda: w.sidecar.frontend.connections)
-            connection: ClientConnection = next(iter(w.sidecar.frontend.connections))
+        async with running_sidecar(lambda *_: None) as environment:
+            _, writer = await dial(environment)
+            await wait_until(lambda: environment.sidecar.frontend.connections)
+            connection: ClientConnection = next(iter(environment.sidecar.frontend.connections))
             writer.write(request("pay", body=LONG)[:-1])
             await wait_until(lambda: connection._head is not None)
             deadline = connection._deadline
             deadline.awaited_since = 100.0
-            for head_at, received, came_at, due in (
-                (100.0, 0, 100.0, 102.5),  # a head and nothing behind it
+            for counted_since, body_bytes, last_input_at, due_at in (
+                (100.0, 0, 100.0, 102.5),  # a head without a body
                 (102.0, 0, 102.0, 103.5),  # a slow head
-                (102.0, 64_000, 103.0, 105.5),  # the slowest that is owed service, with as much to spare
-                (102.0, 32_000_000, 103.0, 113.0),  # what came fast buys no long silence
+                (102.0, 64_000, 103.0, 105.5),  # the slowest client to serve, with as much time to spare
+                (102.0, 32_000_000, 103.0, 113.0),  # bytes that arrived fast don't allow a longer stall
             ):
-                deadline.body_counted_since, deadline.body_bytes = head_at, received
-                deadline.last_input_at = came_at
-                assert deadline.due_at(connection._head is not None) == due
+                deadline.body_counted_since, deadline.body_bytes = counted_since, body_bytes
+                deadline.last_input_at = last_input_at
+                assert deadline.due_at(connection._head is not None) == due_at
             writer.close()
 
     run_scenario(scenario())
--- a/tests/upstream/test_endpoint_pool.py
+++ b/tests/upstream/test_endpoint_pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections: dials, idle connections, and the bound on their number."""
+"""The pool of connections: dials, idle connections, and the limit on their number."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
 
 def test_connections_are_reused_after_their_reuse_delay(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served) as w:
+        async with running_sidecar(served) as environment:
             for _ in range(5):
-                assert (await w.send_request())[0] == 200
+                assert (await environment.send_request())[0] == 200
                 await asyncio.sleep(endpoint_pool._REUSE_DELAY_S)
-            assert len(w.servers[0].writers) == 1
+            assert len(environment.servers[0].writers) == 1
 
     run_on_virtual_clock(scenario(), monkeypatch)
 
@@ -47,24 +47,24 @@
 def test_idle_connection_is_closed_before_its_server_would_close_it() -> None:
     async def scenario() -> None:
         limits = {"max_attempts": 3, "may_cancel": True, "idle_close_us": 1 * S}
-        async with running_sidecar(served, limits=limits) as w:
-            assert (await w.send_request())[0] == 200
+        async with running_sidecar(served, limits=limits) as environment:
+            assert (await environment.send_request())[0] == 200
             loop = asyncio.get_running_loop()
-            (timer,) = w.sidecar.endpoint_pool.endpoints["s-0"].idle.values()
+            (timer,) = environment.sidecar.endpoint_pool.endpoints["s-0"].idle.values()
             assert timer.when() - loop.time() < 0.95
-            await wait_until(lambda: w.servers[0].closed == 1)
+            await wait_until(lambda: environment.servers[0].closed == 1)
 
     run_scenario(scenario())
 
 
-async def send_and_wait(upstream: EndpointPool, seconds: float = 5.0, body: bytes = b"") -> Outcome:
+async def send_and_wait(pool: EndpointPool, seconds: float = 5.0, body: bytes = b"") -> Outcome:
     loop = asyncio.get_running_loop()
     ended: asyncio.Future[Outcome] = loop.create_future()
 
     def end(outcome: Outcome, _: Response | None) -> None:
         ended.set_result(outcome)  # a second outcome would raise here
 
-    upstream.send("s", upstream_request(body), loop.time() + seconds, end)
+    pool.send("s", upstream_request(body), loop.time() + seconds, end)
     return await asyncio.wait_for(ended, WAIT_TIMEOUT_S)
 
 
@@ -83,35 +83,35 @@
 ) -> None:
     async def scenario() -> None:
         with unresponsive_listener() as address:
-            upstream = EndpointPool(dial_limit, 60.0, 10)
-            upstream.update("s", address, None, ServerState.READY)
-            assert await send_and_wait(upstream, seconds) is Outcome.CONNECT_FAILED
-            await wait_until(lambda: upstream.open_count == 0)
+            pool = EndpointPool(dial_limit, 60.0, 10)
+            pool.update("s", address, None, ServerState.READY)
+            assert await send_and_wait(pool, seconds) is Outcome.CONNECT_FAILED
+            await wait_until(lambda: pool.open_count == 0)
 
     run_scenario(scenario())
 
 
 @pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.REMOVED])
 def test_dial_to_a_draining_or_removed_server_is_ended(state: ServerState) -> None:
-    # Guards rule 3: a slow dial would write its request after the grace.
+    # Guards rule 3: a slow dial would write its request after the grace period.
     async def scenario() -> None:
         with unresponsive_listener() as address:
-            upstream = EndpointPool(30.0, 60.0, 10)
-            upstream.update("s", address, None, ServerState.READY)
-            sending = asyncio.create_task(send_and_wait(upstream))
-            await wait_until(lambda: upstream.open_count == 1)
-            upstream.update("s", address, None, state)
+            pool = EndpointPool(30.0, 60.0, 10)
+            pool.update("s", address, None, ServerState.READY)
+            sending = asyncio.create_task(send_and_wait(pool))
+            await wait_until(lambda: pool.open_count == 1)
+            pool.update("s", address, None, state)
             assert await sending is Outcome.CONNECT_FAILED
-            await wait_until(lambda: upstream.open_count == 0)
+            await wait_until(lambda: pool.open_count == 0)
 
     run_scenario(scenario())
 
 
 def test_attempt_past_its_deadline_is_never_sent() -> None:
     async def scenario() -> None:
-        upstream = EndpointPool(1.0, 60.0, 10)
-        upstream.update("s", ("127.0.0.1", 1), None, ServerState.READY)
-        assert await send_and_wait(upstream, -1.0) is Outcome.UNSENT
+        pool = EndpointPool(1.0, 60.0, 10)
+        pool.update("s", ("127.0.0.1", 1), None, ServerState.READY)
+        assert await send_and_wait(pool, -1.0) is Outcome.UNSENT
 
     run_scenario(scenario())
 
@@ -120,19 +120,19 @@
     async def scenario() -> None:
         server = FakeServer("s", hung)
         await server.start()
-        upstream = EndpointPool(1.0, 60.0, 10)
-        upstream.update("s", server.address, None, ServerState.READY)
+        pool = EndpointPool(1.0, 60.0, 10)
+        pool.update("s", server.address, None, ServerState.READY)
         outcomes: list[Outcome] = []
         loop = asyncio.get_running_loop()
-        exchange: Exchange = upstream.send(
-            "s", upstream_request(), loop.time() + 30, lambda o, _: outcomes.append(o)
+        exchange: Exchange = pool.send(
+            "s", upstream_request(), loop.time() + 30, lambda outcome, _: outcomes.append(outcome)
         )
         await wait_until(lambda: server.requests)
-        upstream.cancel(exchange)
-        upstream.cancel(exchange)
+        pool.cancel(exchange)
+        pool.cancel(exchange)
         await wait_until(lambda: server.closed == 1)
         assert outcomes == [Outcome.CANCELLED]
-        assert upstream.open_count == 0
+        assert pool.open_count == 0
         server.stop()
 
     run_scenario(scenario())
@@ -142,17 +142,17 @@
     async def scenario() -> None:
         server = FakeServer("s", served)
         await server.start()
-        upstream = EndpointPool(1.0, 60.0, 10)
-        upstream.update("s", server.address, None, ServerState.READY)
-        assert await send_and_wait(upstream) is Outcome.DELIVERED
-        upstream.update("s", server.address, 5, ServerState.READY)
+        pool = EndpointPool(1.0, 60.0, 10)
+        pool.update("s", server.address, None, ServerState.READY)
+        assert await send_and_wait(pool) is Outcome.DELIVERED
+        pool.update("s", server.address, 5, ServerState.READY)
         await wait_until(lambda: server.closed == 1)
-        assert await send_and_wait(upstream) is Outcome.DELIVERED
+        assert await send_and_wait(pool) is Outcome.DELIVERED
         assert len(server.writers) == 2
         other = FakeServer("s", served)
         await other.start()
-        upstream.update("s", other.address, 5, ServerState.READY)
-        assert await send_and_wait(upstream) is Outcome.DELIVERED
+        pool.update("s", other.address, 5, ServerState.READY)
+        assert await send_and_wait(pool) is Outcome.DELIVERED
         assert len(other.requests) == 1
         server.stop()
         other.stop()
@@ -160,21 +160,21 @@
     run_scenario(scenario())
 
 
-def test_number_of_connections_stays_within_its_bound() -> None:
-    # Guards the descriptors: an idle connection elsewhere makes room, one in use does not.
+def test_number_of_connections_stays_within_its_limit() -> None:
+    # Guards the limit on file descriptors: an idle connection elsewhere makes room, one in use does not.
     async def scenario() -> None:
         servers = [FakeServer("a", served), FakeServer("s", hung)]
-        upstream = EndpointPool(1.0, 60.0, 1)
+        pool = EndpointPool(1.0, 60.0, 1)
         for each in servers:
             await each.start()
-            upstream.update(each.name, each.address, None, ServerState.READY)
+            pool.update(each.name, each.address, None, ServerState.READY)
         loop = asyncio.get_running_loop()
         ended: list[Outcome] = []
-        upstream.send("a", upstream_request(), loop.time() + 30, lambda o, _: ended.append(o))
+        pool.send("a", upstream_request(), loop.time() + 30, lambda outcome, _: ended.append(outcome))
         await wait_until(lambda: ended)
-        upstream.send("s", upstream_request(), loop.time() + 30, lambda o, _: ended.append(o))
+        pool.send("s", upstream_request(), loop.time() + 30, lambda outcome, _: ended.append(outcome))
         await wait_until(lambda: servers[1].requests)
-        assert await send_and_wait(upstream) is Outcome.CONNECT_FAILED
+        assert await send_and_wait(pool) is Outcome.CONNECT_FAILED
         for each in servers:
             each.stop()
 
--- a/tests/upstream/test_response_streaming.py
+++ b/tests/upstream/test_response_streaming.py
@@ -1,4 +1,4 @@
-"""Long responses over loopback: streamed within bounds, and visibly broken where they break."""
+"""Long responses over loopback: streamed in bounded memory, and visibly incomplete if they break off."""
 
 from __future__ import annotations
 
@@ -16,37 +16,37 @@
 
 
 def test_long_response_is_streamed_and_not_ended_by_its_deadline() -> None:
-    more = asyncio.Event()
+    send_rest = asyncio.Event()
 
     async def script(reader: Reader, writer: Writer) -> None:
         await read_head(reader)
         writer.write(b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n" % len(LONG) + LONG[:300_000])
-        await more.wait()
+        await send_rest.wait()
         writer.write(LONG[300_000:])
         await writer.drain()
         await reader.read()
 
     async def scenario() -> None:
-        async with streaming(script) as (w, _):
-            events = w.record_events()
-            reader, writer = await dial(w)
+        async with streaming(script) as (environment, _):
+            events = environment.record_events()
+            reader, writer = await dial(environment)
             writer.write(request())
             assert f"content-length: {len(LONG)}" in await read_head(reader)
             got = await reader.readexactly(300_000)
-            live = next(iter(w.sidecar.proxy.in_flight.values()))
-            attempt = live.attempts[0]
+            in_flight_request = next(iter(environment.sidecar.proxy.in_flight.values()))
+            attempt = in_flight_request.attempts[0]
             assert attempt is not None
             assert not attempt.timers
-            assert live.failsafe_timer is not None
-            assert live.failsafe_timer.cancelled()
-            more.set()
+            assert in_flight_request.failsafe_timer is not None
+            assert in_flight_request.failsafe_timer.cancelled()
+            send_rest.set()
             got += await asyncio.wait_for(reader.readexactly(len(LONG) - 300_000), WAIT_TIMEOUT_S)
             assert got == LONG
             await wait_until(lambda: any(isinstance(each, AttemptEnded) for each in events))
             assert [each.outcome for each in events if isinstance(each, AttemptEnded)] == [Outcome.DELIVERED]
             assert sum(isinstance(each, ResponseStarted) for each in events) == 1
-            writer.write(request())  # the connection goes on
-            more.clear()
+            writer.write(request())  # the connection is still usable
+            send_rest.clear()
             await read_head(reader)
             writer.close()
 
@@ -73,8 +73,8 @@
             await reader.read()
 
     async def scenario() -> None:
-        async with streaming(script) as (w, _):
-            reader, writer = await dial(w)
+        async with streaming(script) as (environment, _):
+            reader, writer = await dial(environment)
             writer.write(request().replace(b"HTTP/1.1", b"HTTP/" + version))
             head = await read_head(reader)
             async with asyncio.timeout(WAIT_TIMEOUT_S):
@@ -97,8 +97,8 @@
         writer.write(b"HTTP/1.1 200 X\r\nConnection: close\r\n\r\nall of it")
 
     async def scenario() -> None:
-        async with streaming(script) as (w, _):
-            assert (await w.send_request())[2] == b"all of it"
+        async with streaming(script) as (environment, _):
+            assert (await environment.send_request())[2] == b"all of it"
 
     run_scenario(scenario())
 
@@ -119,22 +119,22 @@
         await reader.read()
 
     async def scenario() -> None:
-        async with streaming(script) as (w, _):
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address, limit=1_000)
+        async with streaming(script) as (environment, _):
+            reader, writer = await asyncio.open_connection(*environment.sidecar.frontend.address, limit=1_000)
             writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65_536)
             writer.write(request())
-            await wait_until(lambda: w.sidecar.endpoint_pool._body_memory.active_streams == 1)
-            server_side = next(iter(w.sidecar.frontend.connections))
-            await wait_until(lambda: server_side._write_blocked)
-            assert server_side._transport is not None
-            assert server_side._transport.get_write_buffer_size() <= 2 * 64 * 1024
-            assert sent < HUGE  # the rest stays where it is
+            await wait_until(lambda: environment.sidecar.endpoint_pool._body_memory.active_streams == 1)
+            client_connection = next(iter(environment.sidecar.frontend.connections))
+            await wait_until(lambda: client_connection._write_blocked)
+            assert client_connection._transport is not None
+            assert client_connection._transport.get_write_buffer_size() <= 2 * 64 * 1024
+            assert sent < HUGE  # the rest stays at the server
             got = 0
             await read_head(reader)
             async with asyncio.timeout(WAIT_TIMEOUT_S):
                 while got < HUGE:
                     got += len(await reader.read(1_000_000))
-            await wait_until(lambda: w.sidecar.endpoint_pool._body_memory.active_streams == 0)
+            await wait_until(lambda: environment.sidecar.endpoint_pool._body_memory.active_streams == 0)
             writer.close()
 
     run_scenario(scenario())
@@ -156,8 +156,8 @@
     broken = asyncio.Event()
 
     async def scenario() -> None:
-        async with streaming(script) as (w, server):
-            reader, writer = await dial(w)
+        async with streaming(script) as (environment, server):
+            reader, writer = await dial(environment)
             writer.write(request())
             await read_head(reader)
             await reader.readexactly(10_000)
@@ -184,8 +184,8 @@
         reset_connection(writer)
 
     async def scenario() -> None:
-        async with streaming(script) as (w, _):
-            reader, writer = await dial(w)
+        async with streaming(script) as (environment, _):
+            reader, writer = await dial(environment)
             writer.write(request().replace(b"HTTP/1.1", b"HTTP/1.0"))
             await read_head(reader)
             broken.set()
@@ -208,15 +208,20 @@
         ended.set()
 
     async def scenario() -> None:
-        async with streaming(script) as (w, _):
-            reader, writer = await dial(w)
+        async with streaming(script) as (environment, _):
+            reader, writer = await dial(environment)
             writer.write(request())
             await read_head(reader)
             writer.close()
             await asyncio.wait_for(ended.wait(), WAIT_TIMEOUT_S)
-            await wait_until(lambda: not w.sidecar.proxy.in_flight and not w.sidecar.proxy.by_client_request)
-            assert w.sidecar.engine.balancer.pending_attempts == 0
-            assert w.sidecar.endpoint_pool._body_memory.active_streams == 0
+            await wait_until(
+                lambda: (
+                    not environment.sidecar.proxy.in_flight
+                    and not environment.sidecar.proxy.by_client_request
+                )
+            )
+            assert environment.sidecar.engine.balancer.pending_attempts == 0
+            assert environment.sidecar.endpoint_pool._body_memory.active_streams == 0
 
     run_scenario(scenario())
 
@@ -225,21 +230,21 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(server_connection, "_MAX_RESPONSE_BUFFERING_S", 0.05)
-    more = asyncio.Event()
+    send_rest = asyncio.Event()
 
     async def script(reader: Reader, writer: Writer) -> None:
         await read_head(reader)
         writer.write(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nbegun\r\n")
-        await more.wait()
+        await send_rest.wait()
         writer.write(b"5\r\nended\r\n0\r\n\r\n")
         await reader.read()
 
     async def scenario() -> None:
-        async with streaming(script) as (w, _):
-            reader, writer = await dial(w)
+        async with streaming(script) as (environment, _):
+            reader, writer = await dial(environment)
             writer.write(request())
             await read_head(reader)
-            more.set()
+            send_rest.set()
             assert await read_chunked(reader) == b"begunended"
             writer.close()
 
@@ -255,8 +260,8 @@
         await reader.read()
 
     async def scenario() -> None:
-        async with streaming(script) as (w, _):
-            reader, writer = await dial(w)
+        async with streaming(script) as (environment, _):
+            reader, writer = await dial(environment)
             writer.write(request())
             await read_head(reader)
             assert await asyncio.wait_for(reader.read(), WAIT_TIMEOUT_S) == b"begun"
--- a/tests/upstream/test_response_timing.py
+++ b/tests/upstream/test_response_timing.py
@@ -1,4 +1,4 @@
-"""Responses that come early, late, twice, slowly or behind their connection's end."""
+"""Responses that arrive early, late, twice, slowly or after the end of their connection."""
 
 from __future__ import annotations
 
@@ -35,17 +35,17 @@
     body = b"" if kind == "look" else b"x"
 
     async def scenario() -> None:
-        async with running_sidecar(lambda *_: http_response(200, b"first"), drained=True) as w:
-            server = w.servers[0]
+        async with running_sidecar(lambda *_: http_response(200, b"first"), drained=True) as environment:
+            server = environment.servers[0]
             for _ in range(4):
-                assert (await w.send_request(kind=kind, body=body))[2] == b"first"
-                there, seen = server.writers[-1], len(server.requests)
+                assert (await environment.send_request(kind=kind, body=body))[2] == b"first"
+                writer, sent_before = server.writers[-1], len(server.requests)
                 server.script = hung
-                response_task = asyncio.create_task(w.send_request(kind=kind, body=body))
-                await wait_until(lambda seen=seen: len(server.requests) > seen)  # type: ignore[misc]
+                response_task = asyncio.create_task(environment.send_request(kind=kind, body=body))
+                await wait_until(lambda sent_before=sent_before: len(server.requests) > sent_before)  # type: ignore[misc]
                 await asyncio.sleep(late_s)
-                if not there.is_closing():
-                    there.write(http_response(200, b"a second answer"))
+                if not writer.is_closing():
+                    writer.write(http_response(200, b"a second answer"))
                 await asyncio.sleep(0.05)
                 for each in server.writers:
                     if not each.is_closing():
@@ -53,7 +53,7 @@
                 assert (await response_task)[2] == b"its own"
                 server.script = lambda *_: http_response(200, b"first")
                 await asyncio.sleep(0.1)
-            assert len(w.sent()) == 8
+            assert len(environment.sent()) == 8
 
     on_virtual_clock(scenario())
 
@@ -68,29 +68,35 @@
     async def scenario() -> None:
         limits = {"max_attempts": 3, "may_cancel": False}
         classes = [IDEMPOTENT | {"deadline_us": 2 * S}, NON_IDEMPOTENT | {"deadline_us": 4 * S}]
-        async with running_sidecar(hung, drained=True, limits=limits, classes=classes) as w:
-            client = RawClient(w)
+        async with running_sidecar(hung, drained=True, limits=limits, classes=classes) as environment:
+            client = RawClient(environment)
             client.send(request(budget="1.0"))
-            await wait_until(w.sent)
-            (there,), (live,) = w.servers[0].writers, w.sidecar.proxy.in_flight.values()
-            there.write(head + piece * 20)
-            await wait_until(lambda: live.streamed_attempt is not None)
+            await wait_until(environment.sent)
+            (writer,), (in_flight_request,) = (
+                environment.servers[0].writers,
+                environment.sidecar.proxy.in_flight.values(),
+            )
+            writer.write(head + piece * 20)
+            await wait_until(lambda: in_flight_request.streamed_attempt is not None)
             client.leave("reset")
-            await wait_until(lambda: not w.sidecar.frontend.connections)
+            await wait_until(lambda: not environment.sidecar.frontend.connections)
             started_at = asyncio.get_running_loop().time()
-            for _ in range(15):  # well past the time that its client gave it
+            for _ in range(15):  # well past the remaining time that its client stated
                 await asyncio.sleep(0.2)
-                there.write(piece)
-                assert w.servers[0].closed == 0  # nothing may be cancelled
+                writer.write(piece)
+                assert environment.servers[0].closed == 0  # cancellation is disabled
             if ends:
-                there.write(b"0\r\n\r\n")
-            while not nothing_in_flight(w)() and asyncio.get_running_loop().time() < started_at + 10.0:
+                writer.write(b"0\r\n\r\n")
+            while (
+                not nothing_in_flight(environment)() and asyncio.get_running_loop().time() < started_at + 10.0
+            ):
                 await asyncio.sleep(0.2)
-                if not (ends or there.is_closing()):
-                    there.write(piece)
-            assert nothing_in_flight(w)()
+                if not (ends or writer.is_closing()):
+                    writer.write(piece)
+            assert nothing_in_flight(environment)()
             assert asyncio.get_running_loop().time() - started_at < (3.5 if ends else 4.5)
-            assert w.sidecar.endpoint_pool.open_count == int(ends)  # whole, it is used again
+            # After a complete response, the connection is kept for reuse.
+            assert environment.sidecar.endpoint_pool.open_count == int(ends)
             client.sock.close()
 
     on_virtual_clock(scenario())
@@ -100,18 +106,19 @@
     body = bytes(range(250)) * 240
 
     async def scenario() -> None:
-        async with running_sidecar(hung, drained=True) as w:
+        async with running_sidecar(hung, drained=True) as environment:
             sock = socket.socket()
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)  # most of it stays with our kernel
-            sock.connect(w.sidecar.frontend.address)
+            # Most of the response stays in the kernel on the sidecar's side.
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
+            sock.connect(environment.sidecar.frontend.address)
             sock.send(request(Connection="close"))
-            await wait_until(w.sent)
-            (connection,) = w.sidecar.frontend.connections
+            await wait_until(environment.sent)
+            (connection,) = environment.sidecar.frontend.connections
             assert connection._transport is not None
-            connection._transport.pause_reading()  # what it sends now is unread when its answer is written
+            connection._transport.pause_reading()  # input sent now is unread when the response is written
             sock.send(request())
-            w.servers[0].writers[0].write(http_response(200, body))
-            await wait_until(nothing_in_flight(w))
+            environment.servers[0].writers[0].write(http_response(200, body))
+            await wait_until(nothing_in_flight(environment))
             sock.setblocking(False)
             got = b""
             while not got.endswith(body):
@@ -119,8 +126,8 @@
                     got += (data := sock.recv(4_096))
                     assert data, "cut off"
                 await asyncio.sleep(0.01)
-            await wait_until(lambda: not w.sidecar.frontend.connections)
-            assert len(w.sent()) == 1
+            await wait_until(lambda: not environment.sidecar.frontend.connections)
+            assert len(environment.sent()) == 1
             sock.close()
 
     on_virtual_clock(scenario())
@@ -132,18 +139,18 @@
     body = bytes(range(250)) * 400
 
     async def scenario() -> None:
-        async with running_sidecar(hung, drained=True) as w:
+        async with running_sidecar(hung, drained=True) as environment:
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-            sock.connect(w.sidecar.frontend.address)
+            sock.connect(environment.sidecar.frontend.address)
             sock.setblocking(False)
             sock.send(request())
-            await wait_until(w.sent)
-            (connection,) = w.sidecar.frontend.connections
+            await wait_until(environment.sent)
+            (connection,) = environment.sidecar.frontend.connections
             connection._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
             pieces = b"".join(b"2\r\n%b\r\n" % body[at : at + 2] for at in range(0, len(body), 2))
             head = b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n"
-            w.servers[0].writers[0].write(head + pieces + b"0\r\n\r\n")
+            environment.servers[0].writers[0].write(head + pieces + b"0\r\n\r\n")
             await wait_until(lambda: connection._write_blocked)
             got, started_at = b"", asyncio.get_running_loop().time()
             while not got.endswith(b"\r\n0\r\n\r\n"):
@@ -166,47 +173,54 @@
 def test_streamed_response_is_not_cut_off_by_the_hedged_request_that_it_ends(
     on_virtual_clock: RunScenario, first: str, may_cancel: bool
 ) -> None:
-    body = bytes(range(251)) * 1000  # too long to be held whole
+    body = bytes(range(251)) * 1000  # too long to be buffered
 
     async def scenario() -> None:
         limits: dict[str, Any] = {"max_attempts": 3, "may_hedge": True, "may_cancel": may_cancel}
         limits["dial_timeout_us"] = 600_000_000
-        async with running_sidecar(hung, hung, drained=True, limits=limits) as w:
+        async with running_sidecar(hung, hung, drained=True, limits=limits) as environment:
             with unresponsive_listener() as address:
-                if first == "dialling":  # whichever is drawn first, its connection does not come up
-                    places = {name: each.address for name, each in w.sidecar.endpoint_pool.endpoints.items()}
-                    for each in w.sidecar.endpoint_pool.endpoints.values():
+                if first == "dialling":  # whichever is selected first, its connection is not established
+                    addresses = {
+                        name: each.address
+                        for name, each in environment.sidecar.endpoint_pool.endpoints.items()
+                    }
+                    for each in environment.sidecar.endpoint_pool.endpoints.values():
                         each.address = address
-                client = RawClient(w)
+                client = RawClient(environment)
                 client.send(request(budget="5.0"))
-                await wait_until(lambda: w.sidecar.proxy.in_flight)
-                (live,), balancer = w.sidecar.proxy.in_flight.values(), w.sidecar.engine.balancer
+                await wait_until(lambda: environment.sidecar.proxy.in_flight)
+                (in_flight_request,), balancer = (
+                    environment.sidecar.proxy.in_flight.values(),
+                    environment.sidecar.engine.balancer,
+                )
                 (balancer_request,) = balancer.open_requests.values()
                 if first == "dialling":
-                    for name, each in w.sidecar.endpoint_pool.endpoints.items():
-                        each.address = places[name]
+                    for name, each in environment.sidecar.endpoint_pool.endpoints.items():
+                        each.address = addresses[name]
                 else:
-                    await wait_until(w.sent)
-                seen, earlier = len(w.sent()), len(balancer.actions)
-                balancer.components.placement.place(
-                    w.sidecar.engine.clock.now(), balancer_request
-                )  # a hedged request
-                w.sidecar.engine.execute(balancer.actions[earlier:])
-                await wait_until(lambda: len(w.sent()) > seen)
+                    await wait_until(environment.sent)
+                sent_before, actions_before = len(environment.sent()), len(balancer.actions)
+                # Sends a hedged request.
+                balancer.components.placement.place(environment.sidecar.engine.clock.now(), balancer_request)
+                environment.sidecar.engine.execute(balancer.actions[actions_before:])
+                await wait_until(lambda: len(environment.sent()) > sent_before)
                 name = balancer_request.attempts[1].server.name
-                (there,) = [each for each in w.servers if each.name == name]
-                there.writers[-1].write(http_response(200, body)[: -len(body) // 2])
-                await wait_until(lambda: live.streamed_attempt == 1)
+                (server,) = [each for each in environment.servers if each.name == name]
+                server.writers[-1].write(http_response(200, body)[: -len(body) // 2])
+                await wait_until(lambda: in_flight_request.streamed_attempt == 1)
                 await asyncio.sleep(0.1)
-                assert live.attempts.keys() == ({1} if may_cancel or first == "dialling" else {0, 1})
-                assert there.closed == 0
-                there.writers[-1].write(body[-len(body) // 2 :])
+                assert in_flight_request.attempts.keys() == (
+                    {1} if may_cancel or first == "dialling" else {0, 1}
+                )
+                assert server.closed == 0
+                server.writers[-1].write(body[-len(body) // 2 :])
                 reader, writer = await asyncio.open_connection(sock=client.sock)
                 assert (await read_response(reader))[2] == body
-                for late in (*w.servers[0].writers, *w.servers[1].writers):
-                    if late is not there.writers[-1]:
-                        late.write(http_response(200, b"too late"))
-                await wait_until(nothing_in_flight(w))
+                for other_writer in (*environment.servers[0].writers, *environment.servers[1].writers):
+                    if other_writer is not server.writers[-1]:
+                        other_writer.write(http_response(200, b"too late"))
+                await wait_until(nothing_in_flight(environment))
                 writer.close()
 
     on_virtual_clock(scenario())
@@ -217,15 +231,15 @@
     on_virtual_clock: RunScenario, size: int
 ) -> None:
     async def scenario() -> None:
-        async with world_with_unreading_server() as (w, server):
-            events = w.record_events()
+        async with world_with_unreading_server() as (environment, server):
+            events = environment.record_events()
             server.resume_reading.set()
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+            reader, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             writer.write(request("pay", body=bytes(200_000))[:-1])
             await wait_until(lambda: server.received)
             server.writers[0].write(http_response(200, bytes(size)))
             status, _, _ = await read_response(reader)
-            assert status == 503  # it never ran, and its body is gone
+            assert status == 503  # it was not executed, but its body can't be sent again
             ended = [each.outcome for each in events if isinstance(each, AttemptEnded)]
             assert ended == [Outcome.CONNECT_FAILED]
             writer.close()
@@ -237,12 +251,12 @@
     on_virtual_clock: RunScenario,
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served, drained=True) as w:
+        async with running_sidecar(served, drained=True) as environment:
             for _ in range(3):
-                assert (await w.send_request(kind="pay", body=b"x"))[0] == 200
-                w.servers[0].writers[-1].close()
-                stall(0.05)  # the end waits unread, and the connection has rested
-                assert (await w.send_request(kind="pay", body=b"x"))[0] == 200
-            assert len(w.sent()) == 6
+                assert (await environment.send_request(kind="pay", body=b"x"))[0] == 200
+                environment.servers[0].writers[-1].close()
+                stall(0.05)  # the end is unread, and the reuse delay is over
+                assert (await environment.send_request(kind="pay", body=b"x"))[0] == 200
+            assert len(environment.sent()) == 6
 
     on_virtual_clock(scenario())
--- a/tests/upstream/test_server_connection.py
+++ b/tests/upstream/test_server_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a server: when a request counts as written, and when it may be reused."""
+"""Connections to servers: when a request counts as written, and when a connection may be reused."""
 
 from __future__ import annotations
 
@@ -25,26 +25,26 @@
     return http_response(200, b"served")
 
 
-# Guards against a request that is written to a connection which its server has already ended.
-@pytest.mark.parametrize("how", ["end", "stray"])
-def test_connection_with_an_unread_end_or_stray_bytes_is_not_reused(how: str) -> None:
+# Guards against writing a request to a connection that its server has already ended.
+@pytest.mark.parametrize("leftover", ["end", "stray"])
+def test_connection_with_an_unread_end_or_stray_bytes_is_not_reused(leftover: str) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served) as w:
-            assert (await w.send_request(kind="pay", body=b"x"))[0] == 200
-            (connection,) = w.sidecar.endpoint_pool.endpoints["s-0"].idle
-            writer = w.servers[0].writers[0]
-            if how == "end":
-                raw = writer.get_extra_info("socket")
-                raw.shutdown(socket.SHUT_WR)
+        async with running_sidecar(served) as environment:
+            assert (await environment.send_request(kind="pay", body=b"x"))[0] == 200
+            (connection,) = environment.sidecar.endpoint_pool.endpoints["s-0"].idle
+            writer = environment.servers[0].writers[0]
+            if leftover == "end":
+                server_socket = writer.get_extra_info("socket")
+                server_socket.shutdown(socket.SHUT_WR)
             else:
                 writer.write(b"HTTP/1.1 200 X\r\n")
-            # Blocks until the kernel has it, so that the event loop can't have seen it: the peek must.
+            # Blocks until the kernel has it.  The event loop can't have seen it, so only the peek detects it.
             connection.sock.setblocking(True)
             assert connection.sock.recv(1, socket.MSG_PEEK) is not None
             connection.sock.setblocking(False)
             assert not connection.is_idle()
-            assert (await w.send_request(kind="pay", body=b"x"))[0] == 200
-            assert len(w.servers[0].writers) == 2
+            assert (await environment.send_request(kind="pay", body=b"x"))[0] == 200
+            assert len(environment.servers[0].writers) == 2
 
     run_scenario(scenario())
 
@@ -56,14 +56,14 @@
 
 def test_connection_lost_before_the_last_byte_was_written_counts_as_not_executed() -> None:
     async def scenario() -> None:
-        body = bytes(32 * 1024 * 1024)  # more than the kernel takes: the rest waits in the transport
+        body = bytes(32 * 1024 * 1024)  # more than the kernel takes, so that the rest waits in the transport
         listener = socket.create_server(("127.0.0.1", 0))
         connection = await connect(listener.getsockname()[:2], 1024)
-        other, _ = listener.accept()
+        accepted, _ = listener.accept()
         ended: asyncio.Future[Response | None] = asyncio.get_running_loop().create_future()
         connection.request(head(body), body, ended.set_result)
         assert not connection.written
-        other.close()  # with bytes unread: a reset
+        accepted.close()  # unread bytes turn the close into a reset
         assert await asyncio.wait_for(ended, WAIT_TIMEOUT_S) is None
         assert classify_outcome(None, connection.written, connection.response_began) is Outcome.CONNECT_FAILED
         listener.close()
@@ -71,14 +71,14 @@
     run_scenario(scenario())
 
 
-def test_request_counts_as_written_once_all_of_it_is_with_the_kernel() -> None:
+def test_request_counts_as_written_once_the_kernel_has_all_of_it() -> None:
     async def scenario() -> None:
         body = bytes(32 * 1024 * 1024)
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
         connection = await connect(listener.getsockname()[:2], 1024)
-        other, _ = listener.accept()
-        reader, writer = await asyncio.open_connection(sock=other, limit=2**26)
+        accepted, _ = listener.accept()
+        reader, writer = await asyncio.open_connection(sock=accepted, limit=2**26)
         ended: asyncio.Future[Response | None] = asyncio.get_running_loop().create_future()
         connection.request(head(body), body, ended.set_result)
         await reader.readuntil(b"\r\n\r\n")
