--- a/bench/leases.py
+++ b/bench/leases.py
@@ -79,7 +79,7 @@
             end_fault(fault, cluster.tier, first_holder)
             for _ in range(2):
                 await observer.wait_for_command(second_holder)
-            return Trial(takeover_ms, len(observer.commands), observer.out_of_turn_count())
+            return Trial(takeover_ms, len(observer.commands), observer.fencing_violation_count())
 
 
 async def inject_fault(fault: Fault, tier: Tier, holder: int) -> None:
--- a/tests/cluster/test_tier_leases.py
+++ b/tests/cluster/test_tier_leases.py
@@ -49,7 +49,7 @@
         await observer.wait_for_command(await observer.wait_for_holder("snapshot"))
         assert second != first
         assert len(observer.commands) > 3
-        assert observer.out_of_turn_count() == 0
+        assert observer.fencing_violation_count() == 0
         assert list((tmp_path / "tier").glob("tier-*"))
 
 
@@ -65,7 +65,7 @@
         await cluster.tier.wait_until(lambda: cluster.tier.responds(first))
         await observer.wait_for_command(second)
         assert observer.tokens[first]["snapshot"] == 0
-        assert observer.out_of_turn_count() == 0
+        assert observer.fencing_violation_count() == 0
 
 
 @scenario
@@ -81,7 +81,7 @@
         assert observer.tokens[first]["snapshot"] == 0
         cluster.tier.faults.cut_links = set()
         await observer.wait_for_command(second)
-        assert observer.out_of_turn_count() == 0
+        assert observer.fencing_violation_count() == 0
 
 
 @scenario
@@ -97,4 +97,4 @@
             view = await lease_view(cluster.tier, number)
             assert view is not None
             assert view["fenced"] == 0
-        assert observer.out_of_turn_count() == 0
+        assert observer.fencing_violation_count() == 0
--- a/tests/support/lease_observer.py
+++ b/tests/support/lease_observer.py
@@ -82,7 +82,7 @@
     def _commands_of(self, member: int) -> set[ObservedCommand]:
         return {command for command in self.commands if command.member == member}
 
-    def out_of_turn_count(self) -> int:
+    def fencing_violation_count(self) -> int:
         """Commands under a token older than one used before, or under one token of two holders."""
         count = 0
         for lease in {command.lease for command in self.commands}:
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -149,7 +149,7 @@
     """Answers each call with the next of `responses`; without one it lets the call wait."""
 
     def __init__(self) -> None:
-        self.targets: list[str] = []
+        self.request_targets: list[str] = []
         self.responses: asyncio.Queue[bytes] = asyncio.Queue()
         self.called_at: list[float] = []  # on the event loop's clock
         self.called_after_s: list[float] = []  # from each answer to the next call
@@ -161,7 +161,7 @@
             first, _, _ = await read_message(reader)
             if self._answered_at is not None:
                 self.called_after_s.append(loop.time() - self._answered_at)
-            self.targets.append(first.split(" ")[1])
+            self.request_targets.append(first.split(" ")[1])
             self.called_at.append(loop.time())
             getting, leaving = (
                 asyncio.ensure_future(self.responses.get()),
@@ -225,10 +225,10 @@
     *scripts: Callable[[str, Headers, bytes], bytes | None],
     sockets: int = 256,
     overrides_folder: Path | None = None,
-    drained: bool = False,
+    graceful_shutdown: bool = False,
     **changes: Any,
 ) -> AsyncIterator[SidecarEnvironment]:
-    """A sidecar with a server for each script; `drained`: it ends by a drain, with nothing owed any more."""
+    """A sidecar with a server for each script; `graceful_shutdown`: it ends by a drain, nothing pending."""
     servers = [FakeServer(f"s-{number}", script) for number, script in enumerate(scripts)]
     discovery = FakeDiscovery()
     for server in servers:
@@ -244,10 +244,10 @@
     await wait_until(lambda: made.sidecar.engine.balancer.is_started)
     try:
         yield made
-        if drained:
+        if graceful_shutdown:
             made.stop.set()
             await running
-            assert_nothing_owed(made.sidecar)
+            assert_nothing_pending(made.sidecar)
     finally:
         running.cancel()
         await asyncio.gather(running, return_exceptions=True)
@@ -255,7 +255,7 @@
             await each.end()
 
 
-def assert_nothing_owed(sidecar: Sidecar) -> None:
+def assert_nothing_pending(sidecar: Sidecar) -> None:
     """Module, driver and sockets agree that all is over."""
     balancer, upstream = sidecar.engine.balancer, sidecar.endpoint_pool
     assert not sidecar.proxy.in_flight
@@ -273,7 +273,7 @@
 
 
 def request(
-    kind: str = "look",
+    service_class: str = "look",
     path: str = "/api/7f3a9c21e0b4d655",
     body: bytes = b"",
     budget: str = "5.0",
@@ -284,14 +284,14 @@
     given: dict[str, str | None] = {
         "Host": "app.svc",
         "X-Call-Id": "9b1f03aa5c7e2d41",
-        "X-Call-Class": kind,
+        "X-Call-Class": service_class,
         "X-Budget": budget,
-        "Idempotency-Key": "5c0f6e1a" if kind == "amend" else None,
+        "Idempotency-Key": "5c0f6e1a" if service_class == "amend" else None,
         "Content-Length": str(len(body)),
     }
     given |= {name.replace("_", "-"): value for name, value in headers.items()}
     lines = [f"{name}: {value}" for name, value in given.items() if value is not None]
-    verb = method or ("GET" if kind == "look" else "POST")
+    verb = method or ("GET" if service_class == "look" else "POST")
     return "\r\n".join([f"{verb} {path} HTTP/1.1", *lines, "", ""]).encode() + body
 
 
--- a/tests/support/raw_server.py
+++ b/tests/support/raw_server.py
@@ -8,10 +8,10 @@
 
 from loopback import WAIT_TIMEOUT_S, LoopbackServer, SidecarEnvironment, running_sidecar
 
-LONG = bytes(range(251)) * 4_000  # about 1 MB, so that misplaced pieces show
+LONG_BODY = bytes(range(251)) * 4_000  # about 1 MB, so that misplaced pieces show
 
 
-HUGE = 24 * 1024 * 1024
+HUGE_BODY_BYTES = 24 * 1024 * 1024
 
 
 Reader = asyncio.StreamReader
@@ -38,14 +38,16 @@
 
 
 @contextlib.asynccontextmanager
-async def streaming(script: Script, **changes: object) -> AsyncIterator[tuple[SidecarEnvironment, RawServer]]:
+async def sidecar_with_raw_server(
+    script: Script, **changes: object
+) -> AsyncIterator[tuple[SidecarEnvironment, RawServer]]:
     """A sidecar whose only server is a raw one."""
     server = RawServer(script)
     await server.start()
-    async with running_sidecar(lambda *_: None, **changes) as w:  # type: ignore[arg-type]
-        endpoint = w.sidecar.endpoint_pool.endpoints["s-0"]
+    async with running_sidecar(lambda *_: None, **changes) as environment:  # type: ignore[arg-type]
+        endpoint = environment.sidecar.endpoint_pool.endpoints["s-0"]
         endpoint.address = server.address
-        yield w, server
+        yield environment, server
     server.stop()
 
 
@@ -70,5 +72,5 @@
     return b"".join(b"%x;note=1\r\n%b\r\n" % (len(each), each) for each in pieces) + b"0\r\nX-Sum: 1\r\n\r\n"
 
 
-async def dial(w: SidecarEnvironment) -> tuple[Reader, Writer]:
-    return await asyncio.open_connection(*w.sidecar.frontend.address)
+async def connect_client(environment: SidecarEnvironment) -> tuple[Reader, Writer]:
+    return await asyncio.open_connection(*environment.sidecar.frontend.address)
--- a/tests/support/timed_scenes.py
+++ b/tests/support/scenario_helpers.py
@@ -42,13 +42,13 @@
     return None
 
 
-async def fail_discovery_calls(w: SidecarEnvironment, calls: int) -> None:
+async def fail_discovery_calls(environment: SidecarEnvironment, calls: int) -> None:
     """Let so many calls in a row fail."""
-    await wait_until(lambda: w.discovery.targets)
+    await wait_until(lambda: environment.discovery.request_targets)
     for _ in range(calls):
-        seen = len(w.discovery.targets)
-        w.discovery.responses.put_nowait(http_response(503, b""))
-        await wait_until(lambda seen=seen: len(w.discovery.targets) > seen)  # type: ignore[misc]
+        seen = len(environment.discovery.request_targets)
+        environment.discovery.responses.put_nowait(http_response(503, b""))
+        await wait_until(lambda seen=seen: len(environment.discovery.request_targets) > seen)  # type: ignore[misc]
 
 
 class UnreadingServer(FakeServer):
@@ -79,20 +79,20 @@
 class RawClient:
     """A client whose every system call happens at once, between two turns of the event loop."""
 
-    def __init__(self, w: SidecarEnvironment) -> None:
-        self.sock = socket.create_connection(w.sidecar.frontend.address)
+    def __init__(self, environment: SidecarEnvironment) -> None:
+        self.sock = socket.create_connection(environment.sidecar.frontend.address)
 
     def send(self, data: bytes) -> None:
         self.sock.sendall(data)
 
-    def send_some(self, data: bytes) -> None:
+    def send_without_blocking(self, data: bytes) -> None:
         """As much as the kernel takes."""
         self.sock.setblocking(False)
         with contextlib.suppress(BlockingIOError):
             while data:
                 data = data[self.sock.send(data) :]
 
-    def leave(self, how: str) -> None:
+    def disconnect(self, how: str) -> None:
         if how == "half-close":
             self.sock.shutdown(socket.SHUT_WR)
             return
@@ -101,26 +101,28 @@
         self.sock.close()
 
 
-def nothing_in_flight(w: SidecarEnvironment) -> Callable[[], bool]:
-    return lambda: not w.sidecar.proxy.in_flight and not w.sidecar.engine.balancer.open_requests
+def nothing_in_flight(environment: SidecarEnvironment) -> Callable[[], bool]:
+    return lambda: (
+        not environment.sidecar.proxy.in_flight and not environment.sidecar.engine.balancer.open_requests
+    )
 
 
-async def wait_until_nothing_in_flight(w: SidecarEnvironment) -> None:
+async def wait_until_nothing_in_flight(environment: SidecarEnvironment) -> None:
     """What its client left behind is over well before the rule bites."""
     started_at = asyncio.get_running_loop().time()
-    await wait_until(nothing_in_flight(w))
+    await wait_until(nothing_in_flight(environment))
     assert asyncio.get_running_loop().time() - started_at < DISCONNECT_GRACE_S
 
 
 @contextlib.asynccontextmanager
-async def world_with_unreading_server(
+async def sidecar_with_unreading_server(
     **changes: Any,
 ) -> AsyncIterator[tuple[SidecarEnvironment, UnreadingServer]]:
     """A sidecar with one server, which reads nothing until it is told to."""
     server = UnreadingServer()
     await server.start()
-    async with running_sidecar(drained=True, **changes) as w:
-        w.discovery.publish(42, [server.entry()])
-        await wait_until(lambda: w.sidecar.engine.balancer.ready_servers)
-        yield w, server
+    async with running_sidecar(graceful_shutdown=True, **changes) as environment:
+        environment.discovery.publish(42, [server.entry()])
+        await wait_until(lambda: environment.sidecar.engine.balancer.ready_servers)
+        yield environment, server
     await server.end()
--- a/tests/upstream/test_attempt_outcomes.py
+++ b/tests/upstream/test_attempt_outcomes.py
@@ -70,7 +70,7 @@
             return replies.pop() if replies else http_response(200, b"served")
 
         async with running_sidecar(reply_once, reply_once, reply_once) as environment:
-            got, _, body = await environment.send_request(kind="pay", body=b"x")
+            got, _, body = await environment.send_request(service_class="pay", body=b"x")
             assert got == status
             assert (body == b"served") == (status == 200)
             assert len(environment.sent()) == attempts
@@ -98,7 +98,7 @@
     async def scenario() -> None:
         async with running_sidecar(lambda *_: reply, limits={"max_attempts": 1}) as environment:
             events = environment.record_events()
-            assert (await environment.send_request(kind="pay", body=b"x"))[0] == 500
+            assert (await environment.send_request(service_class="pay", body=b"x"))[0] == 500
             assert [each.outcome for each in events if isinstance(each, AttemptEnded)] == [outcome]
 
     run_scenario(scenario())
@@ -119,7 +119,7 @@
         async with running_sidecar(served, served) as environment:
             environment.servers[0].stop()
             for _ in range(3):
-                assert (await environment.send_request(kind="pay", body=b"x"))[0] == 200
+                assert (await environment.send_request(service_class="pay", body=b"x"))[0] == 200
 
     run_scenario(scenario())
 
@@ -136,7 +136,7 @@
 def test_response_body_that_may_be_incomplete_is_not_forwarded(cut: bytes) -> None:
     async def scenario() -> None:
         async with running_sidecar(lambda *_: cut) as environment:
-            response_task = asyncio.create_task(environment.send_request(kind="pay", body=b"x"))
+            response_task = asyncio.create_task(environment.send_request(service_class="pay", body=b"x"))
             await wait_until(environment.sent)
             await asyncio.sleep(0)
             server = environment.servers[0]
@@ -152,7 +152,7 @@
         async with running_sidecar(hung) as environment:
             loop = asyncio.get_running_loop()
             started_at = loop.time()
-            status, _, _ = await environment.send_request(kind="pay", body=b"x", budget="0.6")
+            status, _, _ = await environment.send_request(service_class="pay", body=b"x", budget="0.6")
             assert status == 500
             assert loop.time() - started_at > 0.3
             await wait_until(lambda: environment.servers[0].closed == 1)
--- a/tests/upstream/test_endpoint_changes.py
+++ b/tests/upstream/test_endpoint_changes.py
@@ -16,6 +16,7 @@
     unresponsive_listener,
     wait_until,
 )
+from scenario_helpers import hung, served
 from sidecar_balancer.policy.actions import HealthCheck
 from sidecar_balancer.policy.events import (
     AttemptEnded,
@@ -27,8 +28,7 @@
 from sidecar_balancer.upstream.endpoint_pool import EndpointPool
 from sidecar_balancer.upstream.exchange import Exchange, UpstreamRequest
 from sidecar_balancer.upstream.server_connection import ServerConnection
-from timed_scenes import hung, served
-from virtual import RunScenario
+from virtual_clock import RunScenario
 
 
 @pytest.mark.parametrize("change", ["moves", "restarts"])
@@ -36,7 +36,7 @@
     on_virtual_clock: RunScenario, change: str
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(hung, served, drained=True) as environment:
+        async with running_sidecar(hung, served, graceful_shutdown=True) as environment:
             with unresponsive_listener() as address:
                 entries = [
                     environment.servers[0].entry(address=f"127.0.0.1:{address[1]}"),
@@ -48,7 +48,7 @@
                 )
                 environment.discovery.publish(43, [environment.servers[1].entry(status="leaving")])
                 await wait_until(lambda: len(environment.sidecar.engine.balancer.ready_servers) == 1)
-                response_task = asyncio.create_task(environment.send_request(kind="pay", body=b"x"))
+                response_task = asyncio.create_task(environment.send_request(service_class="pay", body=b"x"))
                 await wait_until(lambda: environment.sidecar.endpoint_pool._dial_tasks)
                 events = environment.record_events()
                 new_start = {"since_ms": 7} if change == "restarts" else {}
@@ -71,7 +71,7 @@
     on_virtual_clock: RunScenario,
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served, served, served, drained=True) as environment:
+        async with running_sidecar(served, served, served, graceful_shutdown=True) as environment:
             with unresponsive_listener() as address:
                 for _ in range(20):
                     assert (await environment.send_request())[0] == 200  # opens connections to all of them
@@ -99,7 +99,7 @@
     on_virtual_clock: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served, served, drained=True) as environment:
+        async with running_sidecar(served, served, graceful_shutdown=True) as environment:
             events = environment.record_events()
             real_send = environment.sidecar.endpoint_pool.send
 
@@ -110,7 +110,7 @@
 
             monkeypatch.setattr(environment.sidecar.endpoint_pool, "send", send_after_removal)
             for _ in range(8):
-                assert (await environment.send_request(kind="pay", body=b"x"))[0] == 200
+                assert (await environment.send_request(service_class="pay", body=b"x"))[0] == 200
             ended = [each.outcome for each in events if isinstance(each, AttemptEnded)]
             assert set(ended) == {Outcome.UNSENT, Outcome.DELIVERED}
             environment.sidecar.proxy.check_health(HealthCheck("s-0"))
@@ -125,9 +125,11 @@
     on_virtual_clock: RunScenario, outcome: str
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(hung, drained=True) as environment:
+        async with running_sidecar(hung, graceful_shutdown=True) as environment:
             (server,) = environment.servers
-            response_task = asyncio.create_task(environment.send_request(kind="pay", body=b"x", budget="1.5"))
+            response_task = asyncio.create_task(
+                environment.send_request(service_class="pay", body=b"x", budget="1.5")
+            )
             await wait_until(environment.sent)
             environment.discovery.publish(42, [server.entry(status="left")])
             await wait_until(lambda: not environment.sidecar.engine.balancer.ready_servers)
@@ -151,9 +153,9 @@
     on_virtual_clock: RunScenario, change: str
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(hung, drained=True) as environment:
+        async with running_sidecar(hung, graceful_shutdown=True) as environment:
             (server,) = environment.servers
-            response_task = asyncio.create_task(environment.send_request(kind="pay", body=b"x"))
+            response_task = asyncio.create_task(environment.send_request(service_class="pay", body=b"x"))
             await wait_until(environment.sent)
             if change == "excluded":
                 environment.sidecar.engine.handle(ServerOverrideRequested("s-0", True))
@@ -226,7 +228,7 @@
         async def connect(*_: object) -> ServerConnection:
             raise UnicodeError("label too long")  # as the lookup of a 70-letter name does, in a thread
 
-        async with running_sidecar(served, drained=True) as environment:
+        async with running_sidecar(served, graceful_shutdown=True) as environment:
             monkeypatch.setattr(endpoint_pool, "connect", connect)
             started_at = asyncio.get_running_loop().time()
             assert (await environment.send_request())[0] == 503
--- a/tests/upstream/test_endpoint_pool.py
+++ b/tests/upstream/test_endpoint_pool.py
@@ -22,7 +22,7 @@
 from sidecar_balancer.upstream.endpoint_pool import EndpointPool
 from sidecar_balancer.upstream.exchange import Exchange, UpstreamRequest
 from sidecar_balancer.upstream.response import Response
-from virtual import run_on_virtual_clock
+from virtual_clock import run_on_virtual_clock
 
 
 def served(*_: object) -> bytes:
--- a/tests/upstream/test_response_timing.py
+++ b/tests/upstream/test_response_timing.py
@@ -18,30 +18,41 @@
     unresponsive_listener,
     wait_until,
 )
+from scenario_helpers import (
+    RawClient,
+    hung,
+    nothing_in_flight,
+    read_chunks,
+    served,
+    sidecar_with_unreading_server,
+)
 from sidecar_balancer.policy.events import (
     AttemptEnded,
 )
 from sidecar_balancer.policy.types import Outcome
 from sidecar_balancer.runtime.streams import STALL_TIMEOUT_S
-from timed_scenes import RawClient, hung, nothing_in_flight, read_chunks, served, world_with_unreading_server
-from virtual import RunScenario, stall
+from virtual_clock import RunScenario, stall
 
 
 @pytest.mark.parametrize("late_s", [0.0, 0.001, 0.009])
-@pytest.mark.parametrize("kind", ["look", "pay"])
+@pytest.mark.parametrize("service_class", ["look", "pay"])
 def test_second_response_is_never_delivered_to_another_request(
-    on_virtual_clock: RunScenario, late_s: float, kind: str
+    on_virtual_clock: RunScenario, late_s: float, service_class: str
 ) -> None:
-    body = b"" if kind == "look" else b"x"
+    body = b"" if service_class == "look" else b"x"
 
     async def scenario() -> None:
-        async with running_sidecar(lambda *_: http_response(200, b"first"), drained=True) as environment:
+        async with running_sidecar(
+            lambda *_: http_response(200, b"first"), graceful_shutdown=True
+        ) as environment:
             server = environment.servers[0]
             for _ in range(4):
-                assert (await environment.send_request(kind=kind, body=body))[2] == b"first"
+                assert (await environment.send_request(service_class=service_class, body=body))[2] == b"first"
                 writer, sent_before = server.writers[-1], len(server.requests)
                 server.script = hung
-                response_task = asyncio.create_task(environment.send_request(kind=kind, body=body))
+                response_task = asyncio.create_task(
+                    environment.send_request(service_class=service_class, body=body)
+                )
                 await wait_until(lambda sent_before=sent_before: len(server.requests) > sent_before)  # type: ignore[misc]
                 await asyncio.sleep(late_s)
                 if not writer.is_closing():
@@ -68,7 +79,9 @@
     async def scenario() -> None:
         limits = {"max_attempts": 3, "may_cancel": False}
         classes = [IDEMPOTENT | {"deadline_us": 2 * S}, NON_IDEMPOTENT | {"deadline_us": 4 * S}]
-        async with running_sidecar(hung, drained=True, limits=limits, classes=classes) as environment:
+        async with running_sidecar(
+            hung, graceful_shutdown=True, limits=limits, classes=classes
+        ) as environment:
             client = RawClient(environment)
             client.send(request(budget="1.0"))
             await wait_until(environment.sent)
@@ -78,7 +91,7 @@
             )
             writer.write(head + piece * 20)
             await wait_until(lambda: in_flight_request.streamed_attempt is not None)
-            client.leave("reset")
+            client.disconnect("reset")
             await wait_until(lambda: not environment.sidecar.frontend.connections)
             started_at = asyncio.get_running_loop().time()
             for _ in range(15):  # well past the remaining time that its client stated
@@ -106,7 +119,7 @@
     body = bytes(range(250)) * 240
 
     async def scenario() -> None:
-        async with running_sidecar(hung, drained=True) as environment:
+        async with running_sidecar(hung, graceful_shutdown=True) as environment:
             sock = socket.socket()
             # Most of the response stays in the kernel on the sidecar's side.
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
@@ -139,7 +152,7 @@
     body = bytes(range(250)) * 400
 
     async def scenario() -> None:
-        async with running_sidecar(hung, drained=True) as environment:
+        async with running_sidecar(hung, graceful_shutdown=True) as environment:
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
             sock.connect(environment.sidecar.frontend.address)
@@ -178,7 +191,7 @@
     async def scenario() -> None:
         limits: dict[str, Any] = {"max_attempts": 3, "may_hedge": True, "may_cancel": may_cancel}
         limits["dial_timeout_us"] = 600_000_000
-        async with running_sidecar(hung, hung, drained=True, limits=limits) as environment:
+        async with running_sidecar(hung, hung, graceful_shutdown=True, limits=limits) as environment:
             with unresponsive_listener() as address:
                 if first == "dialling":  # whichever is selected first, its connection is not established
                     addresses = {
@@ -231,7 +244,7 @@
     on_virtual_clock: RunScenario, size: int
 ) -> None:
     async def scenario() -> None:
-        async with world_with_unreading_server() as (environment, server):
+        async with sidecar_with_unreading_server() as (environment, server):
             events = environment.record_events()
             server.resume_reading.set()
             reader, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
@@ -251,12 +264,12 @@
     on_virtual_clock: RunScenario,
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served, drained=True) as environment:
+        async with running_sidecar(served, graceful_shutdown=True) as environment:
             for _ in range(3):
-                assert (await environment.send_request(kind="pay", body=b"x"))[0] == 200
+                assert (await environment.send_request(service_class="pay", body=b"x"))[0] == 200
                 environment.servers[0].writers[-1].close()
                 stall(0.05)  # the end is unread, and the reuse delay is over
-                assert (await environment.send_request(kind="pay", body=b"x"))[0] == 200
+                assert (await environment.send_request(service_class="pay", body=b"x"))[0] == 200
             assert len(environment.sent()) == 6
 
     on_virtual_clock(scenario())
--- a/tests/upstream/test_server_connection.py
+++ b/tests/upstream/test_server_connection.py
@@ -30,7 +30,7 @@
 def test_connection_with_an_unread_end_or_stray_bytes_is_not_reused(leftover: str) -> None:
     async def scenario() -> None:
         async with running_sidecar(served) as environment:
-            assert (await environment.send_request(kind="pay", body=b"x"))[0] == 200
+            assert (await environment.send_request(service_class="pay", body=b"x"))[0] == 200
             (connection,) = environment.sidecar.endpoint_pool.endpoints["s-0"].idle
             writer = environment.servers[0].writers[0]
             if leftover == "end":
@@ -43,7 +43,7 @@
             assert connection.sock.recv(1, socket.MSG_PEEK) is not None
             connection.sock.setblocking(False)
             assert not connection.is_idle()
-            assert (await environment.send_request(kind="pay", body=b"x"))[0] == 200
+            assert (await environment.send_request(service_class="pay", body=b"x"))[0] == 200
             assert len(environment.servers[0].writers) == 2
 
     run_scenario(scenario())
