--- a/tests/upstream/test_attempt_outcomes.py
+++ b/tests/upstream/test_attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""Attempts over loopback: what is forwarded, what comes back, and what each end proves."""
+"""Attempts over loopback: forwarded requests and responses, and the outcome of each attempt."""
 
 from __future__ import annotations
 
@@ -37,17 +37,17 @@
             sent = request("amend", "/api/7f3a?q=1", b"\0body\xff", X_Caller="acme")
             status, headers, got = await send_request(environment.sidecar.frontend.address, sent)
             assert (status, headers["content-type"], got) == (200, "x/y", body)
-            ((first, given, there),) = environment.sent()
-            assert first == "POST /api/7f3a?q=1 HTTP/1.1"
-            assert there == b"\0body\xff"
-            assert given["x-call-id"] == "9b1f03aa5c7e2d41"
-            assert given["idempotency-key"] == "5c0f6e1a"
-            assert 0.0 < float(given["x-budget"]) < 5.0
+            ((request_line, headers_sent, body_sent),) = environment.sent()
+            assert request_line == "POST /api/7f3a?q=1 HTTP/1.1"
+            assert body_sent == b"\0body\xff"
+            assert headers_sent["x-call-id"] == "9b1f03aa5c7e2d41"
+            assert headers_sent["idempotency-key"] == "5c0f6e1a"
+            assert 0.0 < float(headers_sent["x-budget"]) < 5.0
 
     run_scenario(scenario())
 
 
-# Guards rule 2: of an unsafe request only these ends prove that it never ran.
+# Guards rule 2: of these outcomes, only a rejection proves that a non-idempotent request never ran.
 @pytest.mark.parametrize(
     ("reply", "status", "attempts"),
     [
@@ -66,10 +66,10 @@
     async def scenario() -> None:
         replies = [reply]
 
-        def first_so(*_: object) -> bytes:
+        def reply_once(*_: object) -> bytes:
             return replies.pop() if replies else http_response(200, b"served")
 
-        async with running_sidecar(first_so, first_so, first_so) as environment:
+        async with running_sidecar(reply_once, reply_once, reply_once) as environment:
             got, _, body = await environment.send_request(service_class="pay", body=b"x")
             assert got == status
             assert (body == b"served") == (status == 200)
@@ -124,7 +124,7 @@
     run_scenario(scenario())
 
 
-# Guards rule 1: an answer that ends with its connection may have been cut short, so it is never passed on.
+# Guards rule 1: a response that ends with its connection may be truncated, so it is never forwarded.
 @pytest.mark.parametrize(
     "cut",
     [
@@ -169,9 +169,8 @@
             await wait_until(environment.sent)
             writer.close()
             await wait_until(lambda: environment.servers[0].closed == 1)
-            assert (
-                not environment.sidecar.proxy.in_flight
-            )  # the late outcome reached the module, and nothing is kept
+            # The late outcome was handled, and nothing is kept.
+            assert not environment.sidecar.proxy.in_flight
 
     run_scenario(scenario())
 
@@ -184,17 +183,17 @@
             slow.setblocking(False)
             await asyncio.get_running_loop().sock_connect(slow, environment.sidecar.frontend.address)
             reader, writer = await asyncio.open_connection(sock=slow, limit=16)
-            writer.write(request() * 50)  # and it reads nothing
+            writer.write(request() * 50)  # without reading any response
             await wait_until(environment.sent)
             assert len((await environment.send_request())[2]) == 60_000
             for _ in range(3):
-                assert (await read_answer_slowly(reader)) == 60_000
+                assert (await read_response_slowly(reader)) == 60_000
             writer.close()
 
     run_scenario(scenario())
 
 
-async def read_answer_slowly(reader: asyncio.StreamReader) -> int:
+async def read_response_slowly(reader: asyncio.StreamReader) -> int:
     head_bytes = b""
     while not head_bytes.endswith(b"\r\n\r\n"):
         head_bytes += await asyncio.wait_for(reader.readexactly(1), WAIT_TIMEOUT_S)
@@ -202,7 +201,7 @@
 
 
 def test_nothing_is_sent_for_an_ended_request_even_without_cancellation() -> None:
-    # Guards rule 1: a dial that came up after the final answer would still write the request.
+    # Guards rule 1: a dial that completed after the final response would still write the request.
     async def scenario() -> None:
         limits = {"max_attempts": 3, "may_cancel": False, "dial_timeout_us": 600 * S}
         with unresponsive_listener() as address:
