--- a/bench/leases.py
+++ b/bench/leases.py
@@ -79,7 +79,7 @@
             end(fault, cluster.tier, first)
             for _ in range(2):
                 await observer.wait_for_command(second)
-            return Trial(succession_ms, len(observer.commands), observer.out_of_turn_count())
+            return Trial(succession_ms, len(observer.commands), observer.fencing_violation_count())
 
 
 async def begin(fault: Fault, tier: Tier, holder: int) -> None:
--- a/tests/cluster/test_cli.py
+++ b/tests/cluster/test_cli.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from harness import ROOT, Tier, format_address, free_ports, new_host, running_tier, scenario
+from harness import ROOT, Tier, format_address, free_addresses, new_host, running_tier, scenario
 from stub_cluster import running_cluster
 from stub_servers import StubServer
 
@@ -61,7 +61,7 @@
 
 @scenario
 async def test_an_address_where_nothing_listens_is_one_line_and_exit_code_1() -> None:
-    nowhere = format_address(free_ports(new_host(), 1)[0])
+    nowhere = format_address(free_addresses(new_host(), 1)[0])
     completed = await run("members", "--door", nowhere, "--wait", "1")
     assert completed.code == 1
     assert len(completed.err.splitlines()) == 1
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -33,7 +33,7 @@
 
 
 async def all_alive(tier: Tier) -> bool:
-    """Whether every sidecar that runs has all others alive."""
+    """Return whether every running sidecar sees all others as alive."""
     for number in tier.processes:
         view = await tier.members(number)
         if view is None or any(status != "alive" for status, _ in view["members"].values()):
@@ -42,7 +42,7 @@
 
 
 async def is_dead(tier: Tier, member: int, observers: tuple[int, ...] | None = None) -> bool:
-    """Whether the member is dead for each observer (None: each other sidecar that runs)."""
+    """Return whether each observer (None: each other running sidecar) sees the member as dead."""
     statuses = set()
     for observer in observers or tuple(tier.processes):
         if observer != member:
@@ -52,7 +52,7 @@
 
 
 async def disabled_everywhere(tier: Tier, servers: set[str]) -> bool:
-    """Whether exactly these servers are disabled at every sidecar that runs."""
+    """Return whether exactly these servers are disabled at every running sidecar."""
     for number in tier.processes:
         view = await tier.members(number)
         if view is None or set(view["excluded"]) != servers:
@@ -61,13 +61,13 @@
 
 
 async def dropped_at_least(tier: Tier, number: int, reason: str, count: int) -> bool:
-    """Whether the sidecar has dropped so many datagrams for this reason."""
+    """Return whether the sidecar has dropped at least this many datagrams for this reason."""
     view = await tier.members(number)
     return view is not None and view["dropped"].get(reason, 0) >= count
 
 
 async def peer_verdicts(cluster: Cluster, number: int, server: str) -> int | None:
-    """How many peers the sidecar counts with a verdict against the server."""
+    """Return how many peers' verdicts against the server the sidecar counts."""
     servers = (await cluster.tier.call_admin(number, "GET", "/api/servers")).json()
     if servers is None:
         return None
@@ -140,7 +140,7 @@
         await tier.wait_until(lambda: disabled_everywhere(tier, set()))
 
 
-# A member that refutes a suspicion raises its incarnation; within this period nobody is suspected.
+# Refuting a suspicion raises the incarnation; with this long period no member is suspected during a test.
 WITHOUT_SUSPICIONS = {"on": True, "period_ms": 60_000, "probe_timeout_ms": 30_000}
 
 
@@ -148,7 +148,7 @@
 async def tier_with_persisted_state(
     folder: Path, membership: dict[str, Any] | None = None
 ) -> AsyncIterator[Tier]:
-    """Three sidecars: 2 has persisted state, 1 a damaged snapshot, 0 none."""
+    """Run three sidecars: 2 has persisted state, 1 a damaged snapshot, 0 none."""
     tier = Tier(3, folder, seed=13)
     tier.config_changes = lambda _: {"state": {"on": True, "every_ms": 50}}
     await tier.open()
@@ -170,7 +170,7 @@
 
 
 async def view_once_ready(tier: Tier, number: int) -> dict[str, Any]:
-    """The sidecar's view of the members, once ready: its admin server answers before it has restored."""
+    """Return the sidecar's view of the members once ready: it responds before its state is restored."""
     await tier.wait_until(lambda: tier.is_ready(number))
     view = await tier.members(number)
     assert view is not None
@@ -235,12 +235,12 @@
         assert (await tier.call_admin(0, "PUT", "/api/exclude/s-1")).status == 200
         await tier.wait_until(lambda: disabled_everywhere(tier, {"s-1"}))
         await tier.kill(3)
-        for observer in (0, 1, 2):  # one by one: at this loss a view may waver
+        for observer in (0, 1, 2):  # one by one: at this loss a view may change back and forth
             await tier.wait_until(partial(is_dead, tier, 3, observers=(observer,)), 60.0)
 
 
 def _false_verdicts(origin: int) -> list[bytes]:
-    """Datagrams with verdicts against every server and the zone."""
+    """Return datagrams with verdicts against every server and the zone."""
     updates: list[Update] = [
         VerdictUpdate(origin, 0, 100 + number, f"a-{number}", WireVerdict.EJECTED, 1 << 16, 60_000)
         for number in range(4)
--- a/tests/cluster/test_recovery.py
+++ b/tests/cluster/test_recovery.py
@@ -1,4 +1,4 @@
-"""Restart after kill -9 under load: from the disk, from the peers, and cold (docs/recovery.md)."""
+"""Restart after kill -9 under load: with state from disk, from peers, or none (docs/recovery.md)."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 MAX_BYTES = 1 << 20
 
 
-def catalogue(count: int = 4) -> list[StubServer]:
+def make_servers(count: int = 4) -> list[StubServer]:
     return [StubServer(f"a-{number}", "a") for number in range(count)]
 
 
@@ -29,7 +29,7 @@
 
 
 async def is_ejection_on_disk(folder: Path, server: str) -> bool:
-    """Whether sidecar 0 has persisted the server's ejection; reads a copy, as opening a store writes."""
+    """Return whether sidecar 0 has persisted the ejection; read a copy, as opening a store writes."""
     copy = folder / "copy"
     shutil.copytree(folder / "n0", copy)
     state = state_records.decode(Store(copy, MAX_BYTES).open().records)
@@ -51,7 +51,7 @@
 
 @scenario
 async def test_after_kill_9_under_load_it_restores_its_disk_and_nothing_runs_twice(tmp_path: Path) -> None:
-    async with running_cluster(tmp_path, 1, catalogue(), "a", config_changes=STATE) as cluster:
+    async with running_cluster(tmp_path, 1, make_servers(), "a", config_changes=STATE) as cluster:
         cluster.load.start()
         await cluster.load.wait_for_responses(200)
         cluster.servers[0].crash()
@@ -70,7 +70,7 @@
 @scenario
 async def test_without_state_on_disk_it_takes_its_peers_state_before_it_is_ready(tmp_path: Path) -> None:
     async with running_cluster(
-        tmp_path, 3, catalogue(), "a", membership=MEMBERSHIP_ON, config_changes=STATE
+        tmp_path, 3, make_servers(), "a", membership=MEMBERSHIP_ON, config_changes=STATE
     ) as cluster:
         cluster.load.start()
         await cluster.load.wait_for_responses(300)
@@ -91,7 +91,7 @@
 @scenario
 async def test_cut_off_from_its_peers_it_starts_cold_within_its_time_limit(tmp_path: Path) -> None:
     async with running_cluster(
-        tmp_path, 3, catalogue(), "a", membership=MEMBERSHIP_ON, config_changes=STATE
+        tmp_path, 3, make_servers(), "a", membership=MEMBERSHIP_ON, config_changes=STATE
     ) as cluster:
         cluster.tier.faults.cut_links = {frozenset((0, peer)) for peer in (1, 2)}
         await cluster.tier.kill(0)
--- a/tests/cluster/test_relays.py
+++ b/tests/cluster/test_relays.py
@@ -1,6 +1,6 @@
-"""Relays as processes: a fake registry, relays and sidecars, with faults between them.
+"""Relays as processes between a fake registry and sidecars, under faults.
 
-No time is measured here; tests/relay/test_failover.py shows on a virtual clock what must come within 6 s.
+No times are measured here: tests/relay/test_failover.py checks the 6 s limit on a virtual clock.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 
 import pytest
 
-from harness import ROOT, WAIT_TIMEOUT_S, format_address, free_ports, new_host
+from harness import ROOT, WAIT_TIMEOUT_S, format_address, free_addresses, new_host
 from loopback import run_scenario, send_request
 from registry import FakeRegistry, entry
 from sidecar_balancer.addresses import Address
 
-LANES = [{"name": "look", "giveUpUs": 2_000_000, "repeat": "read_like"}]
+SERVICE_CLASSES = [{"name": "look", "giveUpUs": 2_000_000, "repeat": "read_like"}]
 POLL_INTERVAL_S = 0.05
 ADMIN_TIMEOUT_S = 2.0
 
@@ -38,7 +38,7 @@
 
 
 class Process:
-    """A relay or a sidecar as a process, and its admin server."""
+    """Relay or sidecar as a process, and a client of its admin server."""
 
     def __init__(self, name: str, listen: Address, admin: Address) -> None:
         self.name, self.listen, self.admin = name, listen, admin
@@ -66,7 +66,7 @@
             await self._process.wait()
 
     async def get(self, path: str) -> dict[str, Any] | None:
-        """Request a path of the admin API; None where no object comes back."""
+        """Request a path of the admin API; return the JSON object, or None if the response holds none."""
         request = f"GET /api/{path} HTTP/1.1\r\nHost: x\r\n\r\n".encode()
         try:
             status, _, body = await asyncio.wait_for(send_request(self.admin, request), ADMIN_TIMEOUT_S)
@@ -76,7 +76,7 @@
 
 
 class ProcessTier:
-    """A registry in this process, and relays and sidecars as processes."""
+    """Registry in this process, and relays and sidecars as processes."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -86,13 +86,13 @@
 
     async def start(self, relays: int, sidecars: int) -> None:
         await self.registry.start()
-        ports = free_ports(new_host(), 2 * (relays + sidecars))
+        addresses = free_addresses(new_host(), 2 * (relays + sidecars))
         for number in range(relays):
-            self.relays.append(Process(f"relay-{number}", ports.pop(), ports.pop()))
+            self.relays.append(Process(f"relay-{number}", addresses.pop(), addresses.pop()))
             await self.start_relay(number)
         await wait_until(self.relays_have_a_list)
         for number in range(sidecars):
-            sidecar = Process(f"sidecar-{number}", ports.pop(), ports.pop())
+            sidecar = Process(f"sidecar-{number}", addresses.pop(), addresses.pop())
             self.sidecars.append(sidecar)
             await self.start_sidecar(sidecar)
         await self.in_force("s-0", "ready")
@@ -113,29 +113,34 @@
         await relay.start("sidecar_balancer.cli", "relay", "--config", str(path))
 
     async def start_sidecar(self, sidecar: Process) -> None:
-        platform = {
+        sidecar_config = {
             "name": sidecar.name,
             "listen": format_address(sidecar.listen),
-            "discovery": "127.0.0.1:1",  # nothing listens there: the list comes by the relays alone
+            "discovery": "127.0.0.1:1",  # nothing listens there: only the relays provide the list
             "mgmt": format_address(sidecar.admin),
             "seed": "7",
-            "settings": {"lanes": LANES, "discovery": "on_request"},
+            "settings": {"lanes": SERVICE_CLASSES, "discovery": "on_request"},
         }
-        config, own = self.folder / f"{sidecar.name}.json", self.folder / f"{sidecar.name}.toml"
-        config.write_text(json.dumps(platform))
-        own.write_text(
+        config_path, own_config_path = (
+            self.folder / f"{sidecar.name}.json",
+            self.folder / f"{sidecar.name}.toml",
+        )
+        config_path.write_text(json.dumps(sidecar_config))
+        own_config_path.write_text(
             "".join(f'[[relays]]\naddress = "{format_address(relay.listen)}"\n' for relay in self.relays)
         )
-        assert len(tomllib.loads(own.read_text())["relays"]) == len(self.relays)
-        await sidecar.start("sidecar_balancer", RELAY_CONFIG=str(config), WEIRLOCK_CONFIG=str(own))
+        assert len(tomllib.loads(own_config_path.read_text())["relays"]) == len(self.relays)
+        await sidecar.start(
+            "sidecar_balancer", RELAY_CONFIG=str(config_path), WEIRLOCK_CONFIG=str(own_config_path)
+        )
 
     async def states(self, name: str) -> list[str | None]:
-        """Return a server's state at each sidecar; None: it is not listed there."""
+        """Return a server's state at each sidecar; None: not listed, or the sidecar does not respond."""
         views = [await sidecar.get("servers") for sidecar in self.sidecars]
         return [None if view is None or name not in view else view[name]["state"] for view in views]
 
     async def in_force(self, name: str, state: str | None) -> None:
-        """Wait until every sidecar has a server in that state (None: it was removed from the list)."""
+        """Wait until every sidecar has the server in that state (None: removed from the list)."""
 
         async def is_in_force() -> bool:
             views = [await sidecar.get("servers") for sidecar in self.sidecars]
@@ -203,7 +208,7 @@
         async with process_tier(tmp_path, relays=2) as tier:
             await tier.registry.go_down()
             tier.registry.restart(3, [entry("s-1"), entry("s-9")])
-            assert await tier.states("s-0") == ["ready"] * 3  # they keep the list that they hold
+            assert await tier.states("s-0") == ["ready"] * 3  # the sidecars keep their list
             await tier.registry.start()
             await tier.in_force("s-9", "ready")
             await tier.in_force("s-0", None)
@@ -234,8 +239,8 @@
     run_scenario(scenario())
 
 
-async def assert_ends_with_one_line(*command: str, **environ: str) -> None:
-    """Start a program with a bad configuration: it ends with exit code 2 and the reason in one line."""
+async def assert_start_fails_with_one_line(*command: str, **environ: str) -> None:
+    """Start a program with a bad configuration; assert that it exits with 2 and a one-line reason."""
     process = await asyncio.create_subprocess_exec(
         *(sys.executable, "-m", *command),
         cwd=ROOT,
@@ -264,11 +269,11 @@
         "listen = [",
     ],
 )
-def test_a_bad_configuration_of_a_relay_ends_its_start_with_one_line(config: str, tmp_path: Path) -> None:
+def test_a_relay_with_a_bad_configuration_fails_to_start_with_one_line(config: str, tmp_path: Path) -> None:
     async def scenario() -> None:
         path = tmp_path / "relay.toml"
         path.write_text(config)
-        await assert_ends_with_one_line("sidecar_balancer.cli", "relay", "--config", str(path))
+        await assert_start_fails_with_one_line("sidecar_balancer.cli", "relay", "--config", str(path))
 
     run_scenario(scenario())
 
@@ -285,14 +290,18 @@
         "[[relays]]\naddress = '127.0.0.1:9'\n[[relays]]\naddress = '127.0.0.1:9'",
     ],
 )
-def test_bad_relays_of_a_sidecar_end_its_start_with_one_line(relays: str, tmp_path: Path) -> None:
+def test_a_sidecar_with_bad_relays_fails_to_start_with_one_line(relays: str, tmp_path: Path) -> None:
     async def scenario() -> None:
-        config, own = tmp_path / "config.json", tmp_path / "own.toml"
-        platform = {"listen": "127.0.0.1:9", "discovery": "127.0.0.1:1", "settings": {"lanes": LANES}}
-        config.write_text(json.dumps(platform))
-        own.write_text(relays)
-        await assert_ends_with_one_line(
-            "sidecar_balancer", RELAY_CONFIG=str(config), WEIRLOCK_CONFIG=str(own)
+        config_path, own_config_path = tmp_path / "config.json", tmp_path / "own.toml"
+        sidecar_config = {
+            "listen": "127.0.0.1:9",
+            "discovery": "127.0.0.1:1",
+            "settings": {"lanes": SERVICE_CLASSES},
+        }
+        config_path.write_text(json.dumps(sidecar_config))
+        own_config_path.write_text(relays)
+        await assert_start_fails_with_one_line(
+            "sidecar_balancer", RELAY_CONFIG=str(config_path), WEIRLOCK_CONFIG=str(own_config_path)
         )
 
     run_scenario(scenario())
--- a/tests/cluster/test_tier_leases.py
+++ b/tests/cluster/test_tier_leases.py
@@ -1,4 +1,4 @@
-"""Leases across sidecar processes: one holder at a time, whatever happens to it (docs/leases.md)."""
+"""Leases across sidecar processes: one holder at a time, under faults of the holder (docs/leases.md)."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class LeaseCluster(NamedTuple):
-    """A cluster with leases, and an observer of them."""
+    """Cluster with leases, and an observer of them."""
 
     cluster: Cluster
     observer: LeaseObserver
@@ -27,17 +27,19 @@
 
 @contextlib.asynccontextmanager
 async def lease_cluster(folder: Path, zones: str = "aba") -> AsyncIterator[LeaseCluster]:
-    """Three sidecars with leases and the tier's snapshot, before two servers in each of two zones."""
+    """Run three sidecars with leases and the tier snapshot, and two servers in each of two zones."""
     servers = [StubServer(f"{zone}-{number}", zone) for zone in "ab" for number in range(2)]
     state = {"on": True, "every_ms": 30, "tier_folder": str(folder / "tier")}
     changes = {"duties": LEASES, "state": state, "locality": LOCALITY}
-    started = running_cluster(folder, SIZE, servers, zones, membership=MEMBERSHIP_ON, config_changes=changes)
-    async with started as cluster:
+    cluster_context = running_cluster(
+        folder, SIZE, servers, zones, membership=MEMBERSHIP_ON, config_changes=changes
+    )
+    async with cluster_context as cluster:
         yield LeaseCluster(cluster, LeaseObserver(cluster.tier))
 
 
 @scenario
-async def test_a_killed_holder_is_succeeded_and_no_command_is_out_of_turn(tmp_path: Path) -> None:
+async def test_a_killed_holder_is_succeeded_and_no_command_violates_fencing(tmp_path: Path) -> None:
     async with lease_cluster(tmp_path) as (cluster, observer):
         first = await observer.wait_for_holder("snapshot")
         await observer.wait_for_command(first)
@@ -49,7 +51,7 @@
         await observer.wait_for_command(await observer.wait_for_holder("snapshot"))
         assert second != first
         assert len(observer.commands) > 3
-        assert observer.out_of_turn_count() == 0
+        assert observer.fencing_violation_count() == 0
         assert list((tmp_path / "tier").glob("tier-*"))
 
 
@@ -65,7 +67,7 @@
         await cluster.tier.wait_until(lambda: cluster.tier.responds(first))
         await observer.wait_for_command(second)
         assert observer.tokens[first]["snapshot"] == 0
-        assert observer.out_of_turn_count() == 0
+        assert observer.fencing_violation_count() == 0
 
 
 @scenario
@@ -81,7 +83,7 @@
         assert observer.tokens[first]["snapshot"] == 0
         cluster.tier.faults.cut_links = set()
         await observer.wait_for_command(second)
-        assert observer.out_of_turn_count() == 0
+        assert observer.fencing_violation_count() == 0
 
 
 @scenario
@@ -97,4 +99,4 @@
             view = await lease_view(cluster.tier, number)
             assert view is not None
             assert view["fenced"] == 0
-        assert observer.out_of_turn_count() == 0
+        assert observer.fencing_violation_count() == 0
--- a/tests/cluster/test_zones.py
+++ b/tests/cluster/test_zones.py
@@ -1,4 +1,4 @@
-"""Zones across sidecar processes: failed and unresponsive ones, operators' overrides, recovery
+"""Zones across sidecar processes: failed and unresponsive zones, operator overrides, recovery
 (docs/zones.md)."""
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @pytest.fixture
 def servers() -> list[StubServer]:
-    """Three servers in each of two zones."""
+    """Return three servers in each of two zones."""
     return [StubServer(f"{zone}-{number}", zone) for zone in "ab" for number in range(3)]
 
 
@@ -52,7 +52,7 @@
     tmp_path: Path, servers: list[StubServer]
 ) -> None:
     async with running_cluster(tmp_path, 1, servers, "a", config_changes=LOCALITY) as cluster:
-        cluster.load.only_idempotent()
+        cluster.load.send_only_idempotent()
         cluster.load.start()
         await cluster.load.wait_for_responses(200)
         for server in cluster.servers_in("a"):
@@ -109,7 +109,7 @@
     tmp_path: Path, servers: list[StubServer]
 ) -> None:
     async with running_cluster(tmp_path, 1, servers, "b", config_changes=LOCALITY) as cluster:
-        cluster.load.only_idempotent()
+        cluster.load.send_only_idempotent()
         cluster.load.start()
         await cluster.load.wait_for_responses(200)
         for _ in range(3):
--- a/tests/support/admin_calls.py
+++ b/tests/support/admin_calls.py
@@ -1,4 +1,4 @@
-"""Calls of an in-process sidecar's admin server, for the admin tests."""
+"""Calls to the admin server of an in-process sidecar, for the admin tests."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def served(*_: object) -> bytes:
-    """The response of a server that is up."""
+    """Return the response of a server that is up."""
     return http_response(200, b"served")
 
 
@@ -27,19 +27,19 @@
 
 
 async def readiness(environment: SidecarEnvironment) -> int:
-    """Return the status of the client side's readiness check."""
+    """Return the status of the readiness check on the clients' listener."""
     return (await send_request(environment.sidecar.frontend.address, request(path="/health/ready")))[0]
 
 
 async def disabled_servers(environment: SidecarEnvironment) -> set[str]:
-    """Return the listed servers that the balancer holds as disabled."""
+    """Return the listed servers that the balancer treats as disabled."""
     data = b"GET /api/servers HTTP/1.1\r\nHost: ops\r\n\r\n"
     _, _, body = await send_request(admin_server(environment).address, data)
     return {name for name, server in json.loads(body).items() if server["excluded"]}
 
 
 async def wait_until_disabled(environment: SidecarEnvironment, servers: set[str]) -> None:
-    """Wait until these of the listed servers are disabled and no others."""
+    """Wait until exactly these of the listed servers are disabled."""
     async with asyncio.timeout(WAIT_TIMEOUT_S):
         while await disabled_servers(environment) != servers:
             pass
--- a/tests/support/discovery_world.py
+++ b/tests/support/discovery_world.py
@@ -1,4 +1,4 @@
-"""What tests of discovery read inside a sidecar of `loopback.running_sidecar`."""
+"""Accessors to the internals of a sidecar of `loopback.running_sidecar`, for the tests of discovery."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def served(*_: object) -> bytes:
-    """The script of a server that answers every request."""
+    """Return the response of a server that is up."""
     return http_response(200, b"served")
 
 
@@ -25,16 +25,16 @@
 
 
 def pooled_servers(environment: SidecarEnvironment) -> set[str]:
-    """Return the names of the servers that the sidecar holds connections or addresses for."""
+    """Return the names of the servers in the sidecar's endpoint pool."""
     return set(environment.sidecar.endpoint_pool.endpoints)
 
 
 def consecutive_failures(environment: SidecarEnvironment) -> int:
-    """Return how many polls in a row the balancer has seen fail."""
+    """Return how many discovery calls in a row have failed, as the balancer counts them."""
     return balancer_of(environment).components.discovery.failed_calls
 
 
 def now_us(environment: SidecarEnvironment) -> int:
-    """Return the time on the sidecar's clock, in microseconds."""
+    """Return the time on the sidecar's clock, in µs."""
     now: int = environment.sidecar.engine.clock.now()
     return now
--- a/tests/support/harness.py
+++ b/tests/support/harness.py
@@ -1,9 +1,9 @@
 """A tier of sidecars as separate OS processes on loopback, with a UDP fault proxy between them.
 
-Sidecar `i` listens for peers at its own address R_i; the tier's `peers` list names the proxy's socket Q_i of
-each.  A datagram that comes to Q_i from R_j goes on to R_i from Q_j, so each sidecar sees its peers at the
-addresses that its configuration names, and the proxy may drop, duplicate, delay, corrupt or cut it.
-Faults are drawn from a fixed seed; processes are ended by their own id when the tier closes.
+Sidecar `i` receives datagrams at its own address R_i, but the `peers` list names proxy socket Q_i for it.
+The proxy forwards a datagram that arrives at Q_i from R_j to R_i from Q_j, so each sidecar sees its peers at
+the addresses in its configuration.  The proxy may drop, duplicate, delay or corrupt datagrams and cut links.
+Faults are drawn from a fixed seed; the processes are killed by their ids when the tier closes.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 from sidecar_balancer.addresses import Address
 
 ROOT = Path(__file__).parent.parent.parent
-WAIT_TIMEOUT_S = 30.0  # the timeout for what must happen; no test takes it as proof of anything
+WAIT_TIMEOUT_S = 30.0  # timeout of conditions that must come true; no test relies on its length
 SCENARIO_TIMEOUT_S = 120.0
 ADMIN_TIMEOUT_S = 1.0
 POLL_INTERVAL_S = 0.05
@@ -43,13 +43,13 @@
 
 
 def new_host() -> str:
-    """A loopback address that nothing else of this machine's tests listens on or connects from."""
+    """Return a loopback address that no other test on this machine listens on or connects from."""
     number = next(_host_numbers)
     return f"127.{64 + os.getpid() % 128}.{os.getpid() // 128 % 256}.{1 + number % 254}"
 
 
-def free_ports(host: str, count: int, kind: socket.SocketKind = socket.SOCK_STREAM) -> list[Address]:
-    """Different ports that are free on `host`: all are bound before any is released."""
+def free_addresses(host: str, count: int, kind: socket.SocketKind = socket.SOCK_STREAM) -> list[Address]:
+    """Return distinct addresses with free ports on `host`: all are bound before any is released."""
     with contextlib.ExitStack() as bound:
         addresses = []
         for _ in range(count):
@@ -60,9 +60,9 @@
 
 
 def program_command(root: Path) -> list[str]:
-    """The command of the `run` line in deploy/balancer.toml of the version in `root`, with this interpreter.
+    """Return the `run` command in deploy/balancer.toml of the version in `root`, with this interpreter.
 
-    Earlier versions' package had another name.
+    The package had another name in earlier versions.
     """
     with (root / "deploy" / "balancer.toml").open("rb") as file:
         words = shlex.split(tomllib.load(file)["run"])
@@ -70,13 +70,13 @@
 
 
 def format_address(address: Address) -> str:
-    """The address as HOST:PORT."""
+    """Return the address as HOST:PORT."""
     return "{}:{}".format(*address)
 
 
 @dataclass
 class NetworkFaults:
-    """What the proxy does to datagrams; `cut_links` holds pairs of members that do not reach each other."""
+    """Faults that the proxy applies; `cut_links` holds pairs of members that cannot reach each other."""
 
     loss: float = 0.0
     duplication: float = 0.0
@@ -90,13 +90,13 @@
 
 
 class AdminResponse(NamedTuple):
-    """The answer of a sidecar's admin server; status 0 where none came."""
+    """Response of a sidecar's admin server; status 0 if there was none."""
 
     status: int
     body: bytes
 
     def json(self) -> dict[str, Any] | None:
-        """The body of a 200, else None."""
+        """Return the decoded body of a 200 response, else None."""
         if self.status != 200:
             return None
         value: dict[str, Any] = json.loads(self.body)
@@ -104,7 +104,7 @@
 
 
 class FaultProxy(asyncio.DatagramProtocol):
-    """The socket Q_i of one member; `forward` takes each datagram with its sender's address."""
+    """Proxy socket Q_i of one member; `forward` receives each datagram with its sender's address."""
 
     def __init__(self, forward: Callable[[Address, bytes], None]) -> None:
         self._forward = forward
@@ -112,7 +112,7 @@
 
     @property
     def address(self) -> Address:
-        """Where the proxy listens."""
+        """The address that the proxy listens on."""
         assert self.transport is not None
         host, port = self.transport.get_extra_info("sockname")[:2]
         return host, port
@@ -132,12 +132,12 @@
         self.folder = folder
         self.faults = NetworkFaults()
         host = new_host()
-        tcp_addresses = free_ports(host, 2 * size)
-        self.peer_addresses = free_ports(host, size, socket.SOCK_DGRAM)
+        tcp_addresses = free_addresses(host, 2 * size)
+        self.peer_addresses = free_addresses(host, size, socket.SOCK_DGRAM)
         self.admin_addresses = tcp_addresses[:size]
         self.client_addresses = tcp_addresses[size:]
-        self.program_folder = ROOT  # benchmarks set that of an earlier version
-        self.config_changes: Callable[[int], dict[str, Any]] = lambda _: {}  # by sidecar
+        self.program_folder = ROOT  # benchmarks set the folder of an earlier version
+        self.config_changes: Callable[[int], dict[str, Any]] = lambda _: {}  # changes by sidecar
         self.proxies: list[FaultProxy] = []
         self.processes: dict[int, asyncio.subprocess.Process] = {}
         self._member_by_address = {address: number for number, address in enumerate(self.peer_addresses)}
@@ -151,7 +151,7 @@
         for number in range(self.size):
             proxy = FaultProxy(functools.partial(self._forward, number))
             await loop.create_datagram_endpoint(
-                functools.partial(_itself, proxy), local_addr=("127.0.0.1", 0)
+                functools.partial(_return_proxy, proxy), local_addr=("127.0.0.1", 0)
             )
             self.proxies.append(proxy)
 
@@ -170,14 +170,14 @@
                 stderr=log,
             )
 
-    def signal(self, number: int, which: signal.Signals) -> None:
+    def signal(self, number: int, signum: signal.Signals) -> None:
         """Send a signal to sidecar `number`."""
-        self.processes[number].send_signal(which)
+        self.processes[number].send_signal(signum)
 
     async def kill(self, number: int) -> None:
-        """End sidecar `number` with SIGKILL."""
+        """Kill sidecar `number` with SIGKILL."""
         process = self.processes.pop(number)
-        with contextlib.suppress(ProcessLookupError):  # it ended by itself: what waits for it reports that
+        with contextlib.suppress(ProcessLookupError):  # it has exited; whatever waits for it reports that
             process.kill()
         await process.wait()
 
@@ -188,7 +188,7 @@
         await self.wait_until(self.all_ready)
 
     async def close(self) -> None:
-        """End all processes and close the proxies."""
+        """Kill all processes and close the proxies."""
         for number in list(self.processes):
             with contextlib.suppress(ProcessLookupError):
                 self.signal(number, signal.SIGCONT)
@@ -200,7 +200,7 @@
     # -- Configuration ----------------------------------------------------------------------------------
 
     def config(self, number: int, membership: dict[str, Any] | None = None) -> dict[str, Any]:
-        """The configuration of sidecar `number`."""
+        """Return the configuration of sidecar `number`."""
         settings = {"lanes": SERVICE_CLASSES, "me": number, "groupSize": self.size, "zone": "a"}
         return {
             "name": f"n{number}",
@@ -254,19 +254,19 @@
         return AdminResponse(int(head.split(b" ")[1]) if head.startswith(b"HTTP/1.1 ") else 0, body)
 
     async def members(self, number: int) -> dict[str, Any] | None:
-        """Sidecar `number`'s view of the members; None while it does not answer."""
+        """Return sidecar `number`'s view of the members; None while it does not respond."""
         return (await self.call_admin(number, "GET", "/api/members")).json()
 
     async def responds(self, number: int) -> bool:
-        """Whether sidecar `number` answers with its view of the members."""
+        """Return whether sidecar `number` responds with its view of the members."""
         return await self.members(number) is not None
 
     async def is_ready(self, number: int) -> bool:
-        """Whether sidecar `number` is ready for clients."""
+        """Return whether sidecar `number` is ready for clients."""
         return (await self.call_admin(number, "GET", "/api/ready")).status == 200
 
     async def all_ready(self) -> bool:
-        """Whether every sidecar that runs is ready."""
+        """Return whether every running sidecar is ready."""
         for number in self.processes:
             if not await self.is_ready(number):
                 return False
@@ -278,27 +278,29 @@
         started_s = loop.time()
         while not await condition():
             if loop.time() - started_s > timeout_s:
-                raise AssertionError(f"not within {timeout_s} s; the logs end:\n{self.log_tails()}")
+                raise AssertionError(
+                    f"condition not met in {timeout_s} s; last log lines:\n{self.log_tails()}"
+                )
             await asyncio.sleep(POLL_INTERVAL_S)
         return loop.time() - started_s
 
     def log(self, number: int) -> str:
-        """Sidecar `number`'s log."""
+        """Return sidecar `number`'s log."""
         return (self.folder / f"n{number}" / "log").read_text(encoding="utf-8")
 
     def log_tails(self, lines: int = 6) -> str:
-        """The last lines of each sidecar's log."""
+        """Return the last lines of each sidecar's log."""
         numbers = [number for number in range(self.size) if (self.folder / f"n{number}" / "log").exists()]
         return "\n".join(line for number in numbers for line in self.log(number).splitlines()[-lines:])
 
 
-def _itself(proxy: FaultProxy) -> FaultProxy:
+def _return_proxy(proxy: FaultProxy) -> FaultProxy:
     return proxy
 
 
 @contextlib.asynccontextmanager
 async def running_tier(size: int, folder: Path, seed: int = 7) -> AsyncIterator[Tier]:
-    """A tier of `size` sidecars, all started; ended on leaving."""
+    """Start a tier of `size` sidecars; kill it on exit."""
     tier = Tier(size, folder, seed)
     await tier.open()
     try:
@@ -310,7 +312,7 @@
 
 
 def run_scenario(coroutine: Coroutine[Any, Any, None]) -> None:
-    """Run a coroutine in a loop of its own within `SCENARIO_TIMEOUT_S`."""
+    """Run a coroutine in its own event loop within `SCENARIO_TIMEOUT_S`."""
 
     async def bounded() -> None:
         async with asyncio.timeout(SCENARIO_TIMEOUT_S):
@@ -320,7 +322,7 @@
 
 
 def scenario(test: Callable[_P, Coroutine[Any, Any, None]]) -> Callable[_P, None]:
-    """Make a test of a coroutine function (see `run_scenario`)."""
+    """Make a test function of a coroutine function (see `run_scenario`)."""
 
     @functools.wraps(test)
     def run(*args: _P.args, **kwargs: _P.kwargs) -> None:
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -1,4 +1,4 @@
-"""Feeds scripted events to one balancer and keeps its actions; settings and servers for tests."""
+"""Driver that feeds events to one balancer and records its actions; settings and servers for tests."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from sidecar_balancer.policy.settings import Settings
 from sidecar_balancer.policy.types import ListKind, Outcome, ServerState
 
-MS = 1_000
+MS = 1_000  # in µs, the unit of the balancer's clock
 S = 1_000_000
 START = 50 * S
 
@@ -47,12 +47,12 @@
     "deduplication_window_us": 2 * S,
 }
 
-_Kind = TypeVar("_Kind")
+_ActionT = TypeVar("_ActionT")
 
 
 def settings(**changes: Any) -> Settings:
-    """Settings of a permissive deployment; `limits` and `rules` are merged, the rest replaced."""
-    given: dict[str, Any] = {
+    """Return permissive settings; changes to `limits` and `rules` are merged, others replace the value."""
+    values: dict[str, Any] = {
         "classes": [IDEMPOTENT, NON_IDEMPOTENT, IDEMPOTENCY_KEY],
         "zone": "east",
         "tick_us": 5 * MS,
@@ -67,8 +67,8 @@
         },
     }
     for key, value in changes.items():
-        given[key] = {**given[key], **value} if isinstance(given.get(key), dict) else value
-    return read_settings(given)
+        values[key] = {**values[key], **value} if isinstance(values.get(key), dict) else value
+    return read_settings(values)
 
 
 def server_names(count: int) -> list[str]:
@@ -76,11 +76,11 @@
 
 
 class BalancerDriver:
-    """Feeds events to one balancer; its timers fire as time advances.
+    """Driver of one balancer: feeds it events, records its actions and fires its timers as time advances.
 
     Attributes:
-        now: clock time in microseconds.
-        timeline: all actions with the time at which they were produced.
+        now: time on the balancer's clock, in µs.
+        timeline: all actions, each with the time at which the balancer returned it.
     """
 
     def __init__(self, balancer_settings: Settings | None = None, seed: int = 7, now: int = START) -> None:
@@ -102,12 +102,12 @@
     def receive_list(
         self, listed: Iterable[str | ListedServer], kind: ListKind = ListKind.SNAPSHOT
     ) -> list[Action]:
-        """Receive an endpoint list; names stand for ready servers in the own zone."""
+        """Feed an endpoint list; a bare name stands for a ready server in the balancer's zone."""
         entries = [ListedServer(entry, zone="east") if isinstance(entry, str) else entry for entry in listed]
         return self.feed(EndpointListReceived(kind, entries, 1))
 
     def drain(self, server: str, state: ServerState = ServerState.DRAINING) -> list[Action]:
-        """Receive another state of one server."""
+        """Feed a delta that gives one server another state."""
         return self.receive_list([ListedServer(server, zone="east", state=state)], ListKind.DELTA)
 
     def request(
@@ -118,7 +118,7 @@
         key: int | None = None,
         tenant: str | None = None,
     ) -> int:
-        """Receive a request; return its number."""
+        """Feed a request; return its number."""
         number, self._next_request = self._next_request, self._next_request + 1
         self.feed(RequestReceived(number, name, tenant, key, remaining_us, cost_us))
         return number
@@ -131,7 +131,7 @@
         answered: bool | None = None,
         report: dict[str, float] | None = None,
     ) -> list[Action]:
-        """End an attempt, the latest one by default."""
+        """Feed the end of an attempt, by default of the request's latest one."""
         attempts = self.attempts(request)
         index = len(attempts) - 1 if attempt is None else attempt
         sent_at, sent = attempts[index]
@@ -140,7 +140,7 @@
         return self.feed(AttemptEnded(request, index, sent.server, outcome, elapsed_us, is_answered, report))
 
     def advance(self, span_us: int) -> None:
-        """Let time pass; timers fire when they are due."""
+        """Advance the clock; fire the timers that fall due, in order."""
         until = self.now + span_us
         while True:
             due = [timer for timer in self._timers if timer[0] <= until]
@@ -153,7 +153,7 @@
         self.now = until
 
     def attempts(self, request: int | None = None) -> list[tuple[int, SendAttempt]]:
-        """The attempts sent, with their times: of one request, or all."""
+        """Return the attempts sent, with their times: those of one request, or all."""
         return [
             (at, action)
             for at, action in self.timeline
@@ -161,17 +161,17 @@
         ]
 
     def target_of(self, request: int) -> str:
-        """The server of the request's latest attempt."""
+        """Return the server of the request's latest attempt."""
         return self.attempts(request)[-1][1].server
 
-    def actions_of(self, kind: type[_Kind]) -> list[_Kind]:
-        """All actions of one type so far."""
-        return [action for _, action in self.timeline if isinstance(action, kind)]
+    def actions_of(self, action_type: type[_ActionT]) -> list[_ActionT]:
+        """Return all actions of one type so far."""
+        return [action for _, action in self.timeline if isinstance(action, action_type)]
 
     def serve_traffic(
         self, count: int, every_us: int = 20 * MS, taking_us: int = 50 * MS, name: str = "look"
     ) -> None:
-        """Receive requests at a fixed interval, each delivered after the same latency."""
+        """Feed requests at a fixed interval, each delivered after the same latency."""
         pending: list[tuple[int, int]] = []
         for _ in range(count):
             self.advance(every_us)
@@ -189,7 +189,7 @@
 def serve_one_at_a_time(
     driver: BalancerDriver, count: int, taking_us: int = 50 * MS, every_us: int = 400 * MS
 ) -> None:
-    """Serve little traffic: each request has its response before the next one is received."""
+    """Feed light traffic: each request has its response before the next one is received."""
     for _ in range(count):
         request = driver.request()
         driver.advance(taking_us)
--- a/tests/support/lease_observer.py
+++ b/tests/support/lease_observer.py
@@ -1,4 +1,4 @@
-"""What the admin servers of a tier tell of its leases and commands, gathered over time."""
+"""Observer of a tier's leases and fenced commands, polled from the admin servers."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class ObservedCommand(NamedTuple):
-    """A command of a lease's holder.
+    """Command of a lease holder.
 
-    The sidecars' monotonic clocks are one on this machine, so the commands of all can be put in order.
+    All sidecars on one machine read the same monotonic clock, so their commands can be put in order.
     """
 
     issued_us: int
@@ -21,12 +21,12 @@
 
 
 async def lease_view(tier: Tier, number: int) -> dict[str, Any] | None:
-    """Sidecar `number`'s view of the leases; None while it does not answer."""
+    """Return sidecar `number`'s view of the leases; None while it does not respond."""
     return (await tier.call_admin(number, "GET", "/api/duties")).json()
 
 
 class LeaseObserver:
-    """Polls all sidecars that run; `tokens` holds the latest view: the token held, by sidecar and lease."""
+    """Poller of all running sidecars; `tokens` holds each one's tokens by lease, as of the latest poll."""
 
     def __init__(self, tier: Tier) -> None:
         self.tier = tier
@@ -34,13 +34,13 @@
         self.tokens: dict[int, dict[str, int]] = {}
 
     async def poll(self) -> None:
-        """Note the commands and tokens of every sidecar that answers."""
+        """Record the commands and tokens of every sidecar that responds."""
         self.tokens = {}
         for number in list(self.tier.processes):
             await self.poll_member(number)
 
     async def poll_member(self, number: int) -> None:
-        """Note the commands and tokens of one sidecar, if it answers."""
+        """Record the commands and tokens of one sidecar, if it responds."""
         view = await lease_view(self.tier, number)
         if view is None:
             return
@@ -50,13 +50,13 @@
         }
 
     async def holder(self, lease: str, except_member: int | None = None) -> int | None:
-        """A sidecar that holds the lease."""
+        """Return a sidecar that holds the lease, or None."""
         await self.poll()
         holders = (number for number, tokens in self.tokens.items() if tokens[lease])
         return next((number for number in holders if number != except_member), None)
 
     async def wait_for_holder(self, lease: str, except_member: int | None = None) -> int:
-        """Wait until a sidecar holds the lease."""
+        """Wait until a sidecar holds the lease; return its number."""
         found: list[int] = []
 
         async def is_held() -> bool:
@@ -69,7 +69,7 @@
         return found[0]
 
     async def wait_for_command(self, member: int) -> None:
-        """Wait for a new command of this sidecar."""
+        """Wait until this sidecar has issued another command."""
         await self.poll()
         before = self._commands_of(member)
 
@@ -82,8 +82,8 @@
     def _commands_of(self, member: int) -> set[ObservedCommand]:
         return {command for command in self.commands if command.member == member}
 
-    def out_of_turn_count(self) -> int:
-        """Commands under a token older than one used before, or under one token of two holders."""
+    def fencing_violation_count(self) -> int:
+        """Count commands with an older token than the command before, and tokens used by several holders."""
         count = 0
         for lease in {command.lease for command in self.commands}:
             ordered = sorted(command for command in self.commands if command.lease == lease)
--- a/tests/support/load_generator.py
+++ b/tests/support/load_generator.py
@@ -1,4 +1,4 @@
-"""A closed loop of clients: each sends its next request as soon as it has the response to the last."""
+"""Closed-loop clients: each sends its next request as soon as it has the response to the last."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from stub_servers import read_message
 
 RESPONSE_TIMEOUT_S = 10.0
-RETRY_PAUSE_S = 0.01  # the application's own, after a response other than 200
+RETRY_PAUSE_S = 0.01  # a client's pause after a response other than 200
 _NEVER = 10**9
 
 
 class ResponseRecord(NamedTuple):
-    """What became of one request."""
+    """Outcome of one request."""
 
-    at_s: float  # of the loop's clock
+    at_s: float  # end of the request, on the event loop's clock
     took_s: float
-    status: int  # 0: the connection broke
+    status: int  # 0: the connection failed, or no response came within the timeout
     server: str
     sidecar: int
 
@@ -33,7 +33,7 @@
 
 @dataclass
 class LoadGenerator:
-    """`clients` for each sidecar; one request in `requests_per_payment` is not idempotent."""
+    """Load of `clients` clients per sidecar; one request in `requests_per_payment` is non-idempotent."""
 
     tier: Tier
     clients: int = 4
@@ -52,23 +52,23 @@
                 self._tasks.append(asyncio.create_task(self._run_client(sidecar, rng)))
 
     async def stop(self) -> None:
-        """Let each client receive its last response."""
+        """Stop each client after its current response."""
         self._stopping = True
         await asyncio.gather(*self._tasks)
 
-    def only_idempotent(self) -> None:
-        """Send no more requests that are not idempotent."""
+    def send_only_idempotent(self) -> None:
+        """Send no more non-idempotent requests."""
         self.requests_per_payment = _NEVER
 
     async def wait_for_responses(self, count: int) -> None:
-        """Wait until `count` more responses have come."""
+        """Wait until `count` more requests have ended."""
         target = len(self.responses) + count
         while len(self.responses) < target:
             self._arrived.clear()
             await self._arrived.wait()
 
     def since(self, at_s: float) -> list[ResponseRecord]:
-        """The responses that came at or after this time of the loop's clock."""
+        """Return the outcomes at or after this time on the event loop's clock."""
         return [response for response in self.responses if response.at_s >= at_s]
 
     async def _run_client(self, sidecar: int, rng: random.Random) -> None:
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -1,4 +1,4 @@
-"""A small world over loopback sockets: scripted servers and discovery, and a client that sends raw bytes."""
+"""A sidecar in this process with scripted servers and discovery on loopback sockets, and a raw client."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 from sidecar_balancer.policy.events import Event
 from sidecar_balancer.sidecar.sidecar import Sidecar
 
-WAIT_TIMEOUT_S = 20.0  # for what must come; no test takes it as proof of anything
+WAIT_TIMEOUT_S = 20.0  # timeout of conditions that must come true; no test relies on its length
 
 Headers = dict[str, str]
 
 
 def run_scenario(scenario: Coroutine[Any, Any, None]) -> None:
-    """Run an asynchronous test, which may not hang."""
+    """Run an asynchronous test with a timeout."""
 
     async def bounded() -> None:
         async with asyncio.timeout(60.0):
@@ -36,18 +36,18 @@
 
 
 async def wait_until(condition: Callable[[], object]) -> None:
-    """Wait for something to become true."""
+    """Wait until the condition holds."""
     async with asyncio.timeout(WAIT_TIMEOUT_S):
-        while not condition():  # noqa: ASYNC110  # no event stands for an arbitrary condition
+        while not condition():  # noqa: ASYNC110  # an arbitrary condition has no event to wait for
             await asyncio.sleep(0.005)
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[str, Headers, bytes]:
-    """Read a request or an answer: first line, headers, body."""
+    """Read a request or a response: first line, headers, body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
-    first, *lines = head.strip().split("\r\n")
+    first_line, *lines = head.strip().split("\r\n")
     headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
-    return first, headers, await reader.readexactly(int(headers.get("content-length", "0")))
+    return first_line, headers, await reader.readexactly(int(headers.get("content-length", "0")))
 
 
 def http_response(status: int = 200, body: bytes = b"done", **headers: str) -> bytes:
@@ -57,7 +57,7 @@
 
 
 def reset_connection(writer: asyncio.StreamWriter) -> None:
-    """Break a connection as a process that dies does."""
+    """Reset a connection, as when its process is killed."""
     sock = writer.get_extra_info("socket")
     if sock.fileno() < 0:
         return
@@ -66,34 +66,34 @@
 
 
 class LoopbackServer:
-    """What listens on a port that the kernel picks."""
+    """Base of the servers that listen on a loopback port chosen by the kernel."""
 
     address: Address = ("127.0.0.1", 0)
     _server: asyncio.Server | None = None
-    _serving: set[asyncio.Task[Any]]
+    _connection_tasks: set[asyncio.Task[Any]]
 
     async def start(self) -> None:
-        self._serving = set()
-        self._server = await asyncio.start_server(self._connected, "127.0.0.1", 0)
+        self._connection_tasks = set()
+        self._server = await asyncio.start_server(self._handle_connection, "127.0.0.1", 0)
         self.address = self._server.sockets[0].getsockname()[:2]
 
-    async def _connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
-        self._serving.add(task)
+        self._connection_tasks.add(task)
         try:
             await self._serve(reader, writer)
         finally:
-            self._serving.discard(task)
+            self._connection_tasks.discard(task)
             if not task.get_loop().is_closed():
                 writer.close()
 
     async def end(self) -> None:
-        """Stop, with nothing left behind."""
+        """Stop listening, then cancel the tasks of open connections and wait for them."""
         self.stop()
-        for task in self._serving:
+        for task in self._connection_tasks:
             task.cancel()
-        await asyncio.gather(*self._serving, return_exceptions=True)
+        await asyncio.gather(*self._connection_tasks, return_exceptions=True)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         raise NotImplementedError
@@ -104,14 +104,14 @@
 
 
 class FakeServer(LoopbackServer):
-    """A server that answers as `script` says; None is silence, b"" a reset."""
+    """Server whose responses come from `script`: None sends nothing, b"" resets the connection."""
 
     def __init__(self, name: str, script: Callable[[str, Headers, bytes], bytes | None]) -> None:
         self.name = name
         self.script = script
         self.requests: list[tuple[str, Headers, bytes]] = []
         self.writers: list[asyncio.StreamWriter] = []
-        self.closed = 0  # connections that the other side ended
+        self.closed = 0  # connections that the peer closed
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.append(writer)
@@ -134,7 +134,7 @@
             writer.close()
 
     def stop(self) -> None:
-        """Die: no new connections, and those that are open break."""
+        """Stop as a killed process does: refuse new connections and reset the open ones."""
         super().stop()
         for writer in self.writers:
             reset_connection(writer)
@@ -146,41 +146,41 @@
 
 
 class FakeDiscovery(LoopbackServer):
-    """Answers each call with the next of `responses`; without one it lets the call wait."""
+    """Discovery service that answers each call with the next of `responses`, once there is one."""
 
     def __init__(self) -> None:
         self.targets: list[str] = []
         self.responses: asyncio.Queue[bytes] = asyncio.Queue()
         self.called_at: list[float] = []  # on the event loop's clock
-        self.called_after_s: list[float] = []  # from each answer to the next call
-        self._answered_at: float | None = None
+        self.called_after_s: list[float] = []  # from each response to the next call
+        self._responded_at: float | None = None
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         loop = asyncio.get_running_loop()
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
-            first, _, _ = await read_message(reader)
-            if self._answered_at is not None:
-                self.called_after_s.append(loop.time() - self._answered_at)
-            self.targets.append(first.split(" ")[1])
+            request_line, _, _ = await read_message(reader)
+            if self._responded_at is not None:
+                self.called_after_s.append(loop.time() - self._responded_at)
+            self.targets.append(request_line.split(" ")[1])
             self.called_at.append(loop.time())
-            getting, leaving = (
+            response_task, disconnect_task = (
                 asyncio.ensure_future(self.responses.get()),
                 asyncio.ensure_future(reader.read()),
             )
             try:
-                await asyncio.wait((getting, leaving), return_when=asyncio.FIRST_COMPLETED)
-                if getting.done():  # else the caller has left: the answer is for another
-                    writer.write(getting.result())
+                await asyncio.wait((response_task, disconnect_task), return_when=asyncio.FIRST_COMPLETED)
+                if response_task.done():  # else the client has disconnected: the next call gets the response
+                    writer.write(response_task.result())
                     await writer.drain()
-                    self._answered_at = loop.time()
+                    self._responded_at = loop.time()
             finally:
-                getting.cancel()
-                leaving.cancel()
+                response_task.cancel()
+                disconnect_task.cancel()
         writer.close()
 
     def publish(self, index: int, entries: list[Any], snapshot: bool = False) -> None:
-        told = {"index": index, "snapshot": snapshot, "endpoints": entries}
-        self.responses.put_nowait(http_response(200, json.dumps(told).encode()))
+        endpoint_list = {"index": index, "snapshot": snapshot, "endpoints": entries}
+        self.responses.put_nowait(http_response(200, json.dumps(endpoint_list).encode()))
 
 
 class SidecarEnvironment:
@@ -194,23 +194,23 @@
         self.stop = asyncio.Event()
 
     def sent(self) -> list[tuple[str, Headers, bytes]]:
-        """All requests that reached servers, by server."""
+        """Return all requests that reached the servers, grouped by server."""
         return [request for server in self.servers for request in server.requests]
 
     def record_events(self) -> list[Event]:
-        """From now on, the events that the balancer is given."""
-        heard: list[Event] = []
-        real = self.sidecar.engine.balancer.handle
+        """Return a list that receives every event the balancer handles from now on."""
+        events: list[Event] = []
+        original_handle = self.sidecar.engine.balancer.handle
 
         def handle(now: int, event: Event) -> list[Action]:
-            heard.append(event)
-            return real(now, event)
+            events.append(event)
+            return original_handle(now, event)
 
         self.sidecar.engine.balancer.handle = handle  # type: ignore[method-assign]
-        return heard
+        return events
 
     def move_discovery(self, address: Address) -> None:
-        """What SIGHUP does, with a configuration that names another discovery."""
+        """Reload the configuration as SIGHUP does, with another discovery address."""
         self.sidecar.reload(replace(self.config, discovery=address))
 
     async def send_request(self, **changes: Any) -> tuple[int, Headers, bytes]:
@@ -228,43 +228,45 @@
     drained: bool = False,
     **changes: Any,
 ) -> AsyncIterator[SidecarEnvironment]:
-    """A sidecar with a server for each script; `drained`: it ends by a drain, with nothing owed any more."""
+    """Run a sidecar with one server per script; `drained`: drain it on exit, with nothing left in flight."""
     servers = [FakeServer(f"s-{number}", script) for number, script in enumerate(scripts)]
     discovery = FakeDiscovery()
     for server in servers:
         await server.start()
     await discovery.start()
-    given = settings(**{"limits": LIMITS, **changes})
-    known = parse_list({"index": 41, "snapshot": True, "endpoints": [each.entry() for each in servers]})
-    config = SidecarConfig(("127.0.0.1", 0), discovery.address, 7, sockets, given, known)
+    sidecar_settings = settings(**{"limits": LIMITS, **changes})
+    endpoint_list = parse_list(
+        {"index": 41, "snapshot": True, "endpoints": [each.entry() for each in servers]}
+    )
+    config = SidecarConfig(("127.0.0.1", 0), discovery.address, 7, sockets, sidecar_settings, endpoint_list)
     if overrides_folder is not None:
         config = replace(config, overrides_folder=overrides_folder, admin_address=("127.0.0.1", 0))
-    made = SidecarEnvironment(config, servers, discovery)
-    running = asyncio.create_task(made.sidecar.run(made.stop))
-    await wait_until(lambda: made.sidecar.engine.balancer.is_started)
+    environment = SidecarEnvironment(config, servers, discovery)
+    sidecar_task = asyncio.create_task(environment.sidecar.run(environment.stop))
+    await wait_until(lambda: environment.sidecar.engine.balancer.is_started)
     try:
-        yield made
+        yield environment
         if drained:
-            made.stop.set()
-            await running
-            assert_nothing_owed(made.sidecar)
+            environment.stop.set()
+            await sidecar_task
+            assert_nothing_owed(environment.sidecar)
     finally:
-        running.cancel()
-        await asyncio.gather(running, return_exceptions=True)
+        sidecar_task.cancel()
+        await asyncio.gather(sidecar_task, return_exceptions=True)
         for each in (*servers, discovery):
             await each.end()
 
 
 def assert_nothing_owed(sidecar: Sidecar) -> None:
-    """Module, driver and sockets agree that all is over."""
-    balancer, upstream = sidecar.engine.balancer, sidecar.endpoint_pool
+    """Assert that the balancer, the proxy and the connections agree that nothing is in flight."""
+    balancer, endpoint_pool = sidecar.engine.balancer, sidecar.endpoint_pool
     assert not sidecar.proxy.in_flight
     assert not sidecar.proxy.by_client_request
     assert not balancer.open_requests
     assert balancer.pending_attempts == 0
     assert balancer.components.load.pending_at_ejected == 0
     assert [each.in_flight for each in balancer.servers.values() if each.in_flight] == []
-    assert upstream.open_count == 0
+    assert endpoint_pool.open_count == 0
     assert sidecar.frontend.is_empty()
     assert (sidecar.frontend.body_memory.active_streams, sidecar.frontend.body_memory.buffered_bytes) == (
         0,
@@ -280,8 +282,8 @@
     method: str | None = None,
     **headers: str | None,
 ) -> bytes:
-    """The bytes of a request; a header given as None is left out."""
-    given: dict[str, str | None] = {
+    """Return the bytes of a request; a header given as None is left out."""
+    values: dict[str, str | None] = {
         "Host": "app.svc",
         "X-Call-Id": "9b1f03aa5c7e2d41",
         "X-Call-Class": kind,
@@ -289,14 +291,14 @@
         "Idempotency-Key": "5c0f6e1a" if kind == "amend" else None,
         "Content-Length": str(len(body)),
     }
-    given |= {name.replace("_", "-"): value for name, value in headers.items()}
-    lines = [f"{name}: {value}" for name, value in given.items() if value is not None]
-    verb = method or ("GET" if kind == "look" else "POST")
-    return "\r\n".join([f"{verb} {path} HTTP/1.1", *lines, "", ""]).encode() + body
+    values |= {name.replace("_", "-"): value for name, value in headers.items()}
+    lines = [f"{name}: {value}" for name, value in values.items() if value is not None]
+    http_method = method or ("GET" if kind == "look" else "POST")
+    return "\r\n".join([f"{http_method} {path} HTTP/1.1", *lines, "", ""]).encode() + body
 
 
 async def send_request(address: Address, data: bytes) -> tuple[int, Headers, bytes]:
-    """Send raw bytes on a connection of their own; give status, headers and body of the answer."""
+    """Send raw bytes on a new connection; return status, headers and body of the response."""
     reader, writer = await asyncio.open_connection(*address)
     try:
         writer.write(data)
@@ -306,12 +308,12 @@
 
 
 async def read_response(reader: asyncio.StreamReader) -> tuple[int, Headers, bytes]:
-    first, headers, body = await asyncio.wait_for(read_message(reader), WAIT_TIMEOUT_S)
-    return int(first.split(" ")[1]), headers, body
+    status_line, headers, body = await asyncio.wait_for(read_message(reader), WAIT_TIMEOUT_S)
+    return int(status_line.split(" ")[1]), headers, body
 
 
 async def is_closed(reader: asyncio.StreamReader) -> bool:
-    """Wait for the other side to end the connection."""
+    """Return whether the peer ends the connection before it sends anything more."""
     try:
         return await asyncio.wait_for(reader.read(1), WAIT_TIMEOUT_S) == b""
     except ConnectionError:
@@ -320,7 +322,7 @@
 
 @contextlib.contextmanager
 def unresponsive_listener() -> Iterator[Address]:
-    """A listener whose queue is full: connections to it never come up."""
+    """Provide a listener whose backlog is full, so that connections to it are never established."""
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen(0)
--- a/tests/support/raw_server.py
+++ b/tests/support/raw_server.py
@@ -1,4 +1,4 @@
-"""A server that handles raw bytes, and readers of HTTP messages with long bodies."""
+"""A scripted server on raw bytes, and readers and writers of HTTP messages with long bodies."""
 
 from __future__ import annotations
 
@@ -8,23 +8,16 @@
 
 from loopback import WAIT_TIMEOUT_S, LoopbackServer, SidecarEnvironment, running_sidecar
 
-LONG = bytes(range(251)) * 4_000  # about 1 MB, so that misplaced pieces show
-
-
+LONG = bytes(range(251)) * 4_000  # about 1 MB, repeats every 251 bytes: misplaced pieces show
 HUGE = 24 * 1024 * 1024
 
-
 Reader = asyncio.StreamReader
-
-
 Writer = asyncio.StreamWriter
-
-
 Script = Callable[[Reader, Writer], Awaitable[None]]
 
 
 class RawServer(LoopbackServer):
-    """A server that handles the bytes of each connection as its script says."""
+    """Server whose script reads and writes the bytes of each connection."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
@@ -39,13 +32,13 @@
 
 @contextlib.asynccontextmanager
 async def streaming(script: Script, **changes: object) -> AsyncIterator[tuple[SidecarEnvironment, RawServer]]:
-    """A sidecar whose only server is a raw one."""
+    """Run a sidecar whose only server is a `RawServer`."""
     server = RawServer(script)
     await server.start()
-    async with running_sidecar(lambda *_: None, **changes) as w:  # type: ignore[arg-type]
-        endpoint = w.sidecar.endpoint_pool.endpoints["s-0"]
+    async with running_sidecar(lambda *_: None, **changes) as environment:  # type: ignore[arg-type]
+        endpoint = environment.sidecar.endpoint_pool.endpoints["s-0"]
         endpoint.address = server.address
-        yield w, server
+        yield environment, server
     server.stop()
 
 
@@ -66,9 +59,9 @@
 
 
 def chunked(body: bytes, size: int) -> bytes:
-    pieces = [body[at : at + size] for at in range(0, len(body), size)]
-    return b"".join(b"%x;note=1\r\n%b\r\n" % (len(each), each) for each in pieces) + b"0\r\nX-Sum: 1\r\n\r\n"
+    chunks = [body[start : start + size] for start in range(0, len(body), size)]
+    return b"".join(b"%x;note=1\r\n%b\r\n" % (len(each), each) for each in chunks) + b"0\r\nX-Sum: 1\r\n\r\n"
 
 
-async def dial(w: SidecarEnvironment) -> tuple[Reader, Writer]:
-    return await asyncio.open_connection(*w.sidecar.frontend.address)
+async def dial(environment: SidecarEnvironment) -> tuple[Reader, Writer]:
+    return await asyncio.open_connection(*environment.sidecar.frontend.address)
--- a/tests/support/registry.py
+++ b/tests/support/registry.py
@@ -1,4 +1,4 @@
-"""A fake registry in the published form: an index, changes since an index, and watches that wait."""
+"""A fake registry with the published API: the list at an index, changes since an index, and watches."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 def entry(name: Any = "s-1", **changes: Any) -> Entry:
-    """Return an entry of the list in the published form; no server needs to run there."""
-    members = {"name": name, "address": "127.0.0.1:9", "zone": "a", "type": "m", "group": 1}
-    return members | {"status": "active", "weight": 1.0, "since_ms": 0} | changes
+    """Return an endpoint list entry in the published format; no server runs at its address."""
+    fields = {"name": name, "address": "127.0.0.1:9", "zone": "a", "type": "m", "group": 1}
+    return fields | {"status": "active", "weight": 1.0, "since_ms": 0} | changes
 
 
 class FakeRegistry(LoopbackServer):
-    """Holds a list and serves it; `is_unresponsive` lets requests wait for ever."""
+    """Registry that serves its endpoint list; while it `is_unresponsive`, it answers no request."""
 
     def __init__(self, entries: list[Entry] | None = None, index: int = 100) -> None:
         self.index = index
@@ -30,20 +30,20 @@
         self.changes: list[tuple[int, Entry]] = []
         self.request_count = 0
         self.is_unresponsive = False
-        self._oldest_index = index  # from which changes are known
+        self._oldest_index = index  # the lowest index that changes can be listed from
         self._changed = asyncio.Event()
         self._port = 0
 
     async def start(self) -> None:
-        self._serving = set()
+        self._connection_tasks = set()
         self._server = await asyncio.start_server(
-            self._connected, "127.0.0.1", self._port, backlog=_LISTEN_BACKLOG
+            self._handle_connection, "127.0.0.1", self._port, backlog=_LISTEN_BACKLOG
         )
         self.address = self._server.sockets[0].getsockname()[:2]
         self._port = self.address[1]
 
     def change(self, *changed: Entry) -> int:
-        """Change entries in one step; return the index of that step."""
+        """Change entries under one new index; return that index."""
         self.index += 1
         for listed in changed:
             self.changes.append((self.index, listed))
@@ -54,14 +54,14 @@
         return self.index
 
     def restart(self, index: int, entries: list[Entry]) -> None:
-        """Continue with another index, and without the changes before it."""
+        """Continue with another index and list, without the changes made before."""
         self.index = self._oldest_index = index
         self.changes.clear()
         self.entries = {listed["name"]: listed for listed in entries}
         self._wake_watches()
 
     async def go_down(self) -> None:
-        """Refuse connections and break those that are open; `start` serves again at the same address."""
+        """Refuse new connections and close the open ones; `start` serves again at the same address."""
         await self.end()
 
     def _wake_watches(self) -> None:
@@ -80,7 +80,7 @@
                     wait_s = int(parameters.get("wait_ms", 0)) / 1000
                     await asyncio.wait_for(self._changed.wait(), wait_s)
             if self.is_unresponsive:
-                await reader.read()  # until the caller gives up
+                await reader.read()  # until the client closes the connection
                 return
             writer.write(http_response(200, json.dumps(self._list_after(after)).encode()))
             await writer.drain()
--- a/tests/support/relay_tier.py
+++ b/tests/support/relay_tier.py
@@ -16,12 +16,12 @@
 from sidecar_balancer.relay.app import Relay
 from sidecar_balancer.relay.config import RelayConfig, RelayLimits
 
-CHANGE_IN_FORCE_S = 6.0  # from a change at the registry to every sidecar that reaches a relay
+CHANGE_IN_FORCE_S = 6.0  # limit from a change at the registry until every sidecar that reaches a relay has it
 LIMITS = RelayLimits(snapshots=2)
 READINESS_REQUEST = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
 
 _ANY_PORT = ("127.0.0.1", 0)
-_RETRY_S = 1.0  # of a sidecar, after all sources failed
+_RETRY_S = 1.0  # a sidecar's delay before it polls again after all sources failed
 
 
 def list_request(**query: object) -> bytes:
@@ -31,7 +31,7 @@
 
 
 class SidecarClient:
-    """The discovery client of a sidecar and the list that it holds."""
+    """Discovery client of a sidecar, and its endpoint list."""
 
     def __init__(self, sources: list[Address], index: int) -> None:
         self.endpoints = EndpointList()
@@ -56,13 +56,13 @@
         await self.client.close()
 
     def status_of(self, name: str) -> str | None:
-        """Return a server's status in the list held; None: it is not listed."""
+        """Return a server's status in the endpoint list; None if it is not listed."""
         listed = {member["name"]: member["status"] for member in self.endpoints.snapshot()["endpoints"]}
         return listed.get(name)
 
 
 class RelayTier:
-    """A registry, relays in front of it, and sidecars that prefer them in different orders."""
+    """Registry, relays in front of it, and sidecars that prefer the relays in different orders."""
 
     def __init__(self, registry: FakeRegistry) -> None:
         self.registry = registry
@@ -94,7 +94,7 @@
             self.add_sidecar(sources[first:] + sources[:first])
 
     async def kill_relay(self, number: int) -> Address:
-        """End a relay; return the address that it had."""
+        """Stop a relay; return the address that it had."""
         address = self.relays[number].address()
         self._stops[number].set()
         await self._running[number]
@@ -107,7 +107,7 @@
         return sum(relay.service.counters.calls for relay in self.relays)
 
     async def in_force(self, name: str, status: str | None, within_s: float = CHANGE_IN_FORCE_S) -> None:
-        """Wait until every sidecar lists a server with that status; it may not take longer than allowed."""
+        """Wait until every sidecar lists the server with the status, which must take at most `within_s`."""
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         await wait_until(lambda: all(sidecar.status_of(name) == status for sidecar in self.sidecars))
@@ -126,7 +126,7 @@
 async def relay_tier(
     relays: int, sidecars: int = 6, limits: RelayLimits = LIMITS
 ) -> AsyncIterator[RelayTier]:
-    """A tier whose relays have the list and whose sidecars have received a first update."""
+    """Run a tier whose relays have the list and whose sidecars have received a first update."""
     registry = FakeRegistry([entry("s-0"), entry("s-1")])
     await registry.start()
     tier = RelayTier(registry)
--- a/tests/support/simulated_network.py
+++ b/tests/support/simulated_network.py
@@ -1,8 +1,8 @@
 """An in-process network of `Swim` members on one clock, for tests and `bench/membership.py`; no sockets.
 
-Each datagram takes `delay_ms` and is lost at the rate `loss`; members that are `down` neither receive nor
-send; `cut_links` holds pairs of members that do not reach each other.  Each member may run on a clock of
-its own offset (`clock_offsets_us`): nothing is compared between clocks, so offsets must change nothing.
+Each datagram takes `delay_ms` and is lost with probability `loss`; members that are `down` neither receive
+nor send; `cut_links` holds pairs of members that cannot reach each other.  Each member's clock may have its
+own offset (`clock_offsets_us`): nothing is compared between clocks, so offsets must change nothing.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class SimulatedNetwork:
-    """`size` members with seeds derived from `seed`, which draws the losses too."""
+    """Network of `size` members; their seeds and the losses are derived from `seed`."""
 
     def __init__(
         self,
@@ -48,22 +48,22 @@
         self._in_flight: list[_InFlight] = []
 
     def clock(self, member: int) -> int:
-        """The member's own clock in µs."""
+        """Return the time on the member's own clock, in µs."""
         return self.now_us + self.clock_offsets_us[member]
 
     def restart(self, member: int, seed: int) -> None:
-        """Start the member anew under its number, remembering nothing."""
+        """Start the member again under its number, without its former state."""
         self.members[member] = Swim(member, len(self.members), seed, self.settings, self.clock(member))
         self.down.discard(member)
 
     def run(self, span_ms: int, step_ms: int = 5) -> None:
-        """Let `span_ms` pass."""
+        """Advance the time by `span_ms`."""
         end_us = self.now_us + span_ms * _US_PER_MS
         while self.now_us < end_us:
             self.step(step_ms)
 
     def step(self, step_ms: int = 5) -> None:
-        """Let `step_ms` pass, deliver what is due and tick every member."""
+        """Advance the time by `step_ms`, deliver the datagrams due and tick every live member."""
         self.now_us += step_ms * _US_PER_MS
         due = [datagram for datagram in self._in_flight if datagram.due_us <= self.now_us]
         self._in_flight = [datagram for datagram in self._in_flight if datagram.due_us > self.now_us]
@@ -75,25 +75,27 @@
                 self._send(number, member.tick(self.clock(number)))
 
     def publish(self, member: int, subject: str, verdict: WireVerdict, evidence: int, ttl_ms: int) -> None:
-        """Let the member publish a verdict for all service classes."""
+        """Have the member publish a verdict for all service classes."""
         self.members[member].publish(self.clock(member), subject, verdict, evidence, ttl_ms)
 
     def agreeing_members(self, member: int, subject: str, verdict: WireVerdict) -> int:
-        """How many others state the verdict, as the member sees it."""
+        """Return how many other members state the verdict, as this member sees it."""
         return self.members[member].tier_view.agreeing_members(self.clock(member), subject, verdict)
 
     def statuses(self, member: int) -> set[MemberStatus]:
-        """The member's status as the other live members see it."""
+        """Return the statuses that the other live members have for the member."""
         return {self.members[other].members[member].status for other in self.live() if other != member}
 
     def live(self) -> list[int]:
-        """The members that are not down."""
+        """Return the members that are not down."""
         return [member for member in range(len(self.members)) if member not in self.down]
 
     def _send(self, sender: int, datagrams: list[Datagram]) -> None:
         for target, data in datagrams:
             if len(data) > DATAGRAM_MAX_BYTES:
-                raise AssertionError(f"a datagram of {len(data)} bytes, over the protocol's size")
+                raise AssertionError(
+                    f"datagram of {len(data)} bytes exceeds the protocol's {DATAGRAM_MAX_BYTES}"
+                )
             self.sent_bytes += len(data)
             if frozenset((sender, target)) in self.cut_links or self._random.random() < self.loss:
                 continue
--- a/tests/support/stub_cluster.py
+++ b/tests/support/stub_cluster.py
@@ -1,4 +1,4 @@
-"""A tier of sidecar processes before stub servers, with discovery and clients in the test's own process."""
+"""A tier of sidecar processes with stub servers, discovery and clients in the test's own process."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def settings(number: int, size: int, zone: str = "a", **changes: Any) -> dict[str, Any]:
-    """The settings of sidecar `number` of `size`, in their wire form."""
+    """Return the settings of sidecar `number` of `size`, in their wire form."""
     return {
         "lanes": SERVICE_CLASSES,
         "bounds": LIMITS,
@@ -42,7 +42,7 @@
 
 @dataclass
 class Cluster:
-    """A tier, its servers, its discovery service and its clients."""
+    """Tier with its servers, its discovery service and its clients."""
 
     tier: Tier
     servers: list[StubServer]
@@ -50,11 +50,11 @@
     load: LoadGenerator
 
     def servers_in(self, zone: str) -> list[StubServer]:
-        """The servers of one zone."""
+        """Return the servers of one zone."""
         return [server for server in self.servers if server.zone == zone]
 
     def executed_twice(self) -> set[str]:
-        """Call ids of requests that are not idempotent and were executed twice, over all servers."""
+        """Return the call ids of non-idempotent requests executed more than once, over all servers."""
         executions: Counter[str] = Counter()
         for server in self.servers:
             executions.update(server.executions)
@@ -66,23 +66,23 @@
             server.crash()
 
     async def restart_zone(self, name: str, notify: bool = True) -> None:
-        """Restart every server of a zone; `notify`: discovery reports it."""
+        """Restart every server of a zone; `notify`: answer discovery's watches with the restarted servers."""
         for server in self.servers_in(name):
             await server.restart()
         if notify:
             self.discovery.notify_watches()
 
     async def zones(self, number: int) -> dict[str, Any]:
-        """Sidecar `number`'s view of its zones; empty while it does not answer."""
+        """Return sidecar `number`'s view of its zones; empty while it does not respond."""
         return (await self.tier.call_admin(number, "GET", "/api/zones")).json() or {}
 
     async def zone_evacuated(self, zone: str, sidecars: Iterable[int] | None = None) -> bool:
-        """Whether these sidecars (None: all) have evacuated the zone."""
+        """Return whether these sidecars (None: all) have evacuated the zone."""
         views = [await self._zone(number, zone) for number in sidecars or self.tier.processes]
         return all(view is not None and view["left_for_ms"] is not None for view in views)
 
     async def zone_in_use(self, zone: str) -> bool:
-        """Whether no sidecar has the zone evacuated."""
+        """Return whether every sidecar responds and none has the zone evacuated."""
         views = [await self._zone(number, zone) for number in self.tier.processes]
         return all(view is not None and view["left_for_ms"] is None for view in views)
 
@@ -104,7 +104,7 @@
     setting_changes: dict[str, Any] | None = None,
     program_folder: Path | None = None,
 ) -> AsyncIterator[Cluster]:
-    """A tier of `size` sidecars (sidecar i in zone `zones[i]`) before these servers, all ready on entry."""
+    """Run a tier of `size` sidecars (sidecar i in zone `zones[i]`) with these servers, all ready on entry."""
     discovery = StubDiscovery(servers)
     for server in servers:
         await server.start()
--- a/tests/support/stub_servers.py
+++ b/tests/support/stub_servers.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the servers and the discovery service of a tier, in the test's own process."""
+"""Stub servers and a stub discovery service for a tier, in the test's own process."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from harness import format_address
 from sidecar_balancer.addresses import Address
 
-WARM_UP_S = 4.0  # from a start until a server works at full speed
+WARM_UP_S = 4.0  # from a restart until a server works at full speed
 INITIAL_SPEED_RATIO = 0.2
 OVERLOAD_WINDOW_S = 2.0
 OVERLOAD_MULTIPLE = 3.0
 WATCH_TIMEOUT_S = 20.0
-GUARANTEES = {  # as the settings state them to the sidecars
+GUARANTEES = {  # as stated in the sidecars' settings
     "coldFrom": INITIAL_SPEED_RATIO,
     "coldUs": int(WARM_UP_S * 1e6),
     "fallMultiple": OVERLOAD_MULTIPLE,
@@ -30,7 +30,7 @@
 
 
 class HttpMessage(NamedTuple):
-    """A request or response with its first line, its headers by lower-case name, and its body."""
+    """Request or response: its first line, its headers by lower-case name, and its body."""
 
     first_line: str
     headers: dict[str, str]
@@ -47,12 +47,12 @@
 
 
 def http_response(status: int, body: bytes = b"done") -> bytes:
-    """The bytes of a response."""
+    """Return the bytes of a response."""
     return f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
 
 
 def reset_connection(writer: asyncio.StreamWriter) -> None:
-    """Break a connection as a process does that dies."""
+    """Reset a connection, as when its process is killed."""
     sock = writer.get_extra_info("socket")
     if sock is not None and sock.fileno() >= 0:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -60,10 +60,10 @@
 
 
 class StubServer:
-    """One server: it works on `slots` requests at a time, each for `work_s` divided by its speed.
+    """Server that works on `slots` requests at a time, each for `work_s` divided by its speed.
 
-    It is up, crashed (connections are reset, new ones refused) or unresponsive (it accepts everything and
-    answers nothing).
+    It is up, crashed (open connections are reset, new ones refused) or unresponsive (it accepts every
+    connection and request and sends no response).
     """
 
     def __init__(self, name: str, zone: str, work_s: float = 0.02, slots: int = 4) -> None:
@@ -71,14 +71,12 @@
         self.zone = zone
         self.address: Address = ("127.0.0.1", 0)
         self.unresponsive = False
-        self.failing_classes: set[str] = set()  # answered with 500
-        self.started_ms = 0  # Unix time of its last start; 0: long ago
+        self.failing_classes: set[str] = set()  # service classes whose requests get a 500
+        self.started_ms = 0  # Unix time of its last restart; 0: long ago
         self.response_count = 0
         self.attempts_by_sidecar: Counter[int] = Counter()
-        self.executions: Counter[str] = Counter()  # of requests that are not idempotent, by call id
-        self.peak_overload_ratio = (
-            0.0  # the largest part, of what overloads it while it warms up, it was sent
-        )
+        self.executions: Counter[str] = Counter()  # of non-idempotent requests, by call id
+        self.peak_overload_ratio = 0.0  # highest ratio of arrivals to the overload limit while warming up
         self._work_s = work_s
         self._slots = slots
         self._arrivals_s: deque[float] = deque()
@@ -99,13 +97,13 @@
             reset_connection(writer)
 
     async def restart(self) -> None:
-        """Start again and warm up."""
+        """Start again, warming up."""
         self.started_ms = time.time_ns() // 1_000_000
         self._slot_semaphore = asyncio.Semaphore(self._slots)
         await self.start()
 
     def endpoint_entry(self) -> dict[str, Any]:
-        """The server's entry in discovery's list."""
+        """Return the server's entry in the endpoint list."""
         return {
             "name": self.name,
             "address": format_address(self.address),
@@ -122,7 +120,7 @@
         return min(1.0, INITIAL_SPEED_RATIO + (1.0 - INITIAL_SPEED_RATIO) * age_s / WARM_UP_S)
 
     def _note_arrival(self) -> None:
-        """Compare the arrivals of the last window with what overloads the server in that time."""
+        """Record an arrival; compare the last window's arrivals with the number that overloads the server."""
         now_s, speed_ratio = time.time(), self._speed_ratio()
         self._arrivals_s.append(now_s)
         while self._arrivals_s[0] < now_s - OVERLOAD_WINDOW_S:
@@ -165,7 +163,7 @@
 
 
 class StubDiscovery:
-    """The discovery service: the complete list, and watches that wait for changes."""
+    """Discovery service that sends the complete list, and lets watches wait for a new version."""
 
     def __init__(self, servers: list[StubServer]) -> None:
         self.address: Address = ("127.0.0.1", 0)
@@ -185,13 +183,13 @@
             self._server.close()
 
     def notify_watches(self) -> None:
-        """Answer all watches with the present list, under a new version."""
+        """Answer all waiting watches with the current list under a new version."""
         self._version += 1
         self._changed.set()
         self._changed = asyncio.Event()
 
     def endpoint_list(self) -> dict[str, Any]:
-        """The complete list."""
+        """Return the complete list."""
         endpoints = [server.endpoint_entry() for server in self._servers]
         return {"index": self._version, "snapshot": True, "endpoints": endpoints}
 
--- a/tests/support/timed_scenes.py
+++ b/tests/support/timed_scenes.py
@@ -1,4 +1,4 @@
-"""Scenes on a virtual clock: raw clients, a server that does not read, and checks that nothing is left."""
+"""Helpers for scenarios on a virtual clock: raw clients, a server that does not read, waits and scripts."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
     wait_until,
 )
 
-DISCONNECT_GRACE_S = 0.1  # no attempt begins later than that after its client left
+DISCONNECT_GRACE_S = 0.1  # no attempt begins later than this after its client disconnected
 DISCONNECT_KINDS = ["close", "half-close", "reset"]
-PIPELINED_INPUT = bytes(300_000)  # sent behind a request: more than is read before that is answered
+PIPELINED_INPUT = bytes(300_000)  # sent after a request: more than is read before its response
 
 
 @contextlib.contextmanager
 def collect_loop_exceptions() -> Iterator[list[BaseException | None]]:
-    """What callbacks of the event loop raise meanwhile, which would else count as a fault of the scenario."""
-    loop, faults = asyncio.get_running_loop(), list[BaseException | None]()
-    before = loop.get_exception_handler()
-    loop.set_exception_handler(lambda _, context: faults.append(context.get("exception")))
+    """Collect what event loop callbacks raise meanwhile, which would otherwise fail the scenario."""
+    loop, exceptions = asyncio.get_running_loop(), list[BaseException | None]()
+    previous_handler = loop.get_exception_handler()
+    loop.set_exception_handler(lambda _, context: exceptions.append(context.get("exception")))
     try:
-        yield faults
+        yield exceptions
     finally:
-        loop.set_exception_handler(before)
+        loop.set_exception_handler(previous_handler)
 
 
 def served(*_: object) -> bytes:
@@ -42,17 +42,17 @@
     return None
 
 
-async def fail_discovery_calls(w: SidecarEnvironment, calls: int) -> None:
-    """Let so many calls in a row fail."""
-    await wait_until(lambda: w.discovery.targets)
+async def fail_discovery_calls(environment: SidecarEnvironment, calls: int) -> None:
+    """Answer this many discovery calls in a row with an error."""
+    await wait_until(lambda: environment.discovery.targets)
     for _ in range(calls):
-        seen = len(w.discovery.targets)
-        w.discovery.responses.put_nowait(http_response(503, b""))
-        await wait_until(lambda seen=seen: len(w.discovery.targets) > seen)  # type: ignore[misc]
+        seen = len(environment.discovery.targets)
+        environment.discovery.responses.put_nowait(http_response(503, b""))
+        await wait_until(lambda seen=seen: len(environment.discovery.targets) > seen)  # type: ignore[misc]
 
 
 class UnreadingServer(FakeServer):
-    """A server that reads nothing until it is told to, and keeps what comes."""
+    """Server that reads nothing until `resume_reading` is set, and keeps the data it receives."""
 
     def __init__(self) -> None:
         super().__init__("s-9", hung)
@@ -77,16 +77,16 @@
 
 
 class RawClient:
-    """A client whose every system call happens at once, between two turns of the event loop."""
+    """Client whose system calls are made at once, between two iterations of the event loop."""
 
-    def __init__(self, w: SidecarEnvironment) -> None:
-        self.sock = socket.create_connection(w.sidecar.frontend.address)
+    def __init__(self, environment: SidecarEnvironment) -> None:
+        self.sock = socket.create_connection(environment.sidecar.frontend.address)
 
     def send(self, data: bytes) -> None:
         self.sock.sendall(data)
 
     def send_some(self, data: bytes) -> None:
-        """As much as the kernel takes."""
+        """Send as much as the kernel accepts."""
         self.sock.setblocking(False)
         with contextlib.suppress(BlockingIOError):
             while data:
@@ -101,14 +101,16 @@
         self.sock.close()
 
 
-def nothing_in_flight(w: SidecarEnvironment) -> Callable[[], bool]:
-    return lambda: not w.sidecar.proxy.in_flight and not w.sidecar.engine.balancer.open_requests
+def nothing_in_flight(environment: SidecarEnvironment) -> Callable[[], bool]:
+    return lambda: (
+        not environment.sidecar.proxy.in_flight and not environment.sidecar.engine.balancer.open_requests
+    )
 
 
-async def wait_until_nothing_in_flight(w: SidecarEnvironment) -> None:
-    """What its client left behind is over well before the rule bites."""
+async def wait_until_nothing_in_flight(environment: SidecarEnvironment) -> None:
+    """Wait until a disconnected client's requests are over, within less than `DISCONNECT_GRACE_S`."""
     started_at = asyncio.get_running_loop().time()
-    await wait_until(nothing_in_flight(w))
+    await wait_until(nothing_in_flight(environment))
     assert asyncio.get_running_loop().time() - started_at < DISCONNECT_GRACE_S
 
 
@@ -116,11 +118,11 @@
 async def world_with_unreading_server(
     **changes: Any,
 ) -> AsyncIterator[tuple[SidecarEnvironment, UnreadingServer]]:
-    """A sidecar with one server, which reads nothing until it is told to."""
+    """Run a sidecar with one server, which reads nothing until told to."""
     server = UnreadingServer()
     await server.start()
-    async with running_sidecar(drained=True, **changes) as w:
-        w.discovery.publish(42, [server.entry()])
-        await wait_until(lambda: w.sidecar.engine.balancer.ready_servers)
-        yield w, server
+    async with running_sidecar(drained=True, **changes) as environment:
+        environment.discovery.publish(42, [server.entry()])
+        await wait_until(lambda: environment.sidecar.engine.balancer.ready_servers)
+        yield environment, server
     await server.end()
--- a/tests/support/virtual.py
+++ b/tests/support/virtual.py
@@ -1,6 +1,6 @@
-"""An event loop on a virtual clock, which moves only while nothing else is left to do.
+"""An event loop on a virtual clock, which advances only when nothing else is left to do.
 
-Loopback sockets are real; what was written to one can be read before the clock moves on.
+Loopback sockets are real; data written to one becomes readable before the clock advances.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
 
 MAX_SCENARIO_S = 600.0  # on the virtual clock
 
-_KERNEL_WAIT_S = 0.001  # of real time before the clock moves on: what the kernel carries arrives by then
-_CLOSING_TURNS = 5  # of the event loop, in which closed connections end
+_KERNEL_WAIT_S = 0.001  # of real time before the clock advances, for data in the kernel to arrive
+_CLOSING_ITERATIONS = 5  # iterations of the event loop for closed connections to end
 _MODULES_WITH_CLOCKS = (clock, status_handlers, status_log)
 
 
 class _VirtualSelector(selectors.EpollSelector):
-    """Waits by moving the clock."""
+    """Selector that advances the clock instead of waiting."""
 
     now = 1000.0
 
@@ -41,9 +41,9 @@
         self.times = PollTimes(self.now)
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        entered = self.now
+        entered_s = self.now
         events = self._select(timeout)
-        self.times.record_poll(entered, self.now, timeout)
+        self.times.record_poll(entered_s, self.now, timeout)
         return events
 
     def _select(self, timeout: float | None) -> list[tuple[selectors.SelectorKey, int]]:
@@ -58,7 +58,7 @@
 
 
 class VirtualClockLoop(asyncio.SelectorEventLoop):
-    """An event loop on a clock of its own."""
+    """Event loop with a clock of its own."""
 
     def __init__(self) -> None:
         self._virtual_selector = _VirtualSelector()
@@ -69,7 +69,7 @@
         return self._virtual_selector.now
 
     def advance(self, span_s: float) -> None:
-        """Let time pass while the program does nothing, as on a machine that stalls."""
+        """Advance the clock while the program does nothing, as on a machine that stalls."""
         self._virtual_selector.now += span_s
 
 
@@ -86,7 +86,7 @@
 
 
 def _replace_clocks(loop: VirtualClockLoop, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let the modules that read the system's clocks read the virtual one."""
+    """Replace the system's clocks with the virtual one in the modules that read them."""
     offset_s = time.time() - loop.time()
     virtual_time = SimpleNamespace(
         monotonic_ns=lambda: round(loop.time() * 1e9),
@@ -100,7 +100,7 @@
 async def _run_bounded(scenario: Scenario) -> None:
     async with asyncio.timeout(MAX_SCENARIO_S):
         await scenario
-    for _ in range(_CLOSING_TURNS):
+    for _ in range(_CLOSING_ITERATIONS):
         await asyncio.sleep(0)
     remaining = asyncio.all_tasks() - {asyncio.current_task()}
     assert not remaining, f"tasks left behind: {remaining}"
