--- a/tests/compatibility/golden_cases.py
+++ b/tests/compatibility/golden_cases.py
@@ -1,4 +1,4 @@
-"""Inputs of the golden files on stored data and datagrams, and where the golden files are."""
+"""Inputs of the golden files for stored data and datagrams, and the folder of the golden files."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 from typing import Any
 
 import msgpack  # type: ignore[import-untyped]
-from golden_scenes import LANES, entry, listed
+from golden_scenes import SERVICE_CLASSES, endpoint_list, entry
 
 DATA = Path(__file__).parent / "data"
-LIST = listed(41, *(entry(f"s-{number}") for number in range(1, 5)))
-SETTINGS = {"lanes": LANES, "zone": "a", "discovery": "on_request", "groupSize": 4}
-TOKEN = 9  # of the shared snapshot
-CUT = 7  # bytes that the cut log lacks: its last record is short
+ENDPOINT_LIST = endpoint_list(41, *(entry(f"s-{number}") for number in range(1, 5)))
+SETTINGS = {"lanes": SERVICE_CLASSES, "zone": "a", "discovery": "on_request", "groupSize": 4}
+SNAPSHOT_TOKEN = 9  # of the tier snapshot
+TRUNCATED_BYTES = 7  # bytes cut off the end of the log, so that its last record is incomplete
 
 Flushes = list[list[tuple[str, bytes | None]]]
 
 
-def golden(name: str) -> Any:
-    """A golden JSON file."""
+def load_golden(name: str) -> Any:
+    """Return the content of a golden JSON file."""
     return json.loads((DATA / name).read_text("utf-8"))
 
 
 def files(folder: Path) -> dict[str, bytes]:
-    """Every file below a folder, by its relative name."""
+    """Return the content of every file below a folder, by relative path."""
     return {str(each.relative_to(folder)): each.read_bytes() for each in folder.rglob("*") if each.is_file()}
 
 
@@ -34,10 +34,10 @@
 
 
 def flushes() -> Flushes:
-    """The changes of one life: what the snapshot holds, then two flushes to the log."""
+    """Return the changes of one process lifetime: those in the snapshot, then two flushes to the log."""
     pack = msgpack.packb
     first = [
-        ("list", pack(["192.0.2.1:8500", json.dumps(LIST)])),
+        ("list", pack(["192.0.2.1:8500", json.dumps(ENDPOINT_LIST)])),
         ("server/s-1", pack([1.0, 0, None])),
         ("server/s-2", pack([1.35, 4_000_000, None])),
         ("server/10.1.0.18:8443", pack([0.85, 0, 1_700_000_000_000_000])),
@@ -68,20 +68,20 @@
         _verdict(1, -1, "s-1", 3, 8_000),
     ]
     third: list[tuple[str, bytes | None]] = [
-        ("list", pack(["192.0.2.1:8500", json.dumps(LIST | {"index": 42})])),
+        ("list", pack(["192.0.2.1:8500", json.dumps(ENDPOINT_LIST | {"index": 42})])),
         ("server/s-2", None),
         ("server/s-3", pack([1.0, 2_000_000, None])),
     ]
     return [list(first), second, third]
 
 
-ORDERS: dict[str, Any] = {
+OVERRIDES: dict[str, Any] = {
     "excluded": sorted(["s-0", "../../up", "10.1.0.18:8443", "ñandú %2F", ".", "..", "a b=c", "x" * 64]),
     "zones": {"a": "drain", "b.c": "pin", "zone/ü=1": "drain"},
     "evacuated": True,
 }
 
-# Name -> kind, incarnation, sequence number, target, updates as datagrams carry them.
+# By name: kind, incarnation, sequence number, target, and updates in their wire form.
 DATAGRAMS: dict[str, tuple[int, int, int, int, list[list[Any]]]] = {
     "ping": (0, 0, 1, -1, []),
     "ack": (1, 4_294_967_295, 4_294_967_295, -1, []),
--- a/tests/compatibility/golden_processes.py
+++ b/tests/compatibility/golden_processes.py
@@ -1,4 +1,4 @@
-"""Processes of the program, started as deployments start them, and raw sockets round them."""
+"""Processes of the program, started as deployments start them, and raw sockets around them."""
 
 from __future__ import annotations
 
@@ -19,60 +19,67 @@
 from typing import Any
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-PATIENCE_S = 30.0  # for what must come; no test takes it as proof of anything
+WAIT_TIMEOUT_S = 30.0  # timeout of conditions that must come true; no test relies on its length
 
 Address = tuple[str, int]
-_hosts = itertools.count(1)
+_host_numbers = itertools.count(1)
 
 
-def own_host() -> str:
-    """A loopback address that no other test process listens on."""
-    number = next(_hosts)
+def new_host() -> str:
+    """Return a loopback address that no other test process listens on."""
+    number = next(_host_numbers)
     return f"127.{192 + os.getpid() % 48}.{os.getpid() // 48 % 256}.{1 + number % 254}"
 
 
 def free_addresses(count: int, kind: socket.SocketKind = socket.SOCK_STREAM) -> list[Address]:
-    """Distinct free addresses on a loopback host of their own."""
-    host = own_host()
-    with contextlib.ExitStack() as held:
-        found: list[Address] = []
+    """Return distinct free addresses on a loopback host of their own."""
+    host = new_host()
+    with contextlib.ExitStack() as bound_sockets:
+        addresses: list[Address] = []
         for _ in range(count):
-            sock = held.enter_context(socket.socket(socket.AF_INET, kind))
+            sock = bound_sockets.enter_context(socket.socket(socket.AF_INET, kind))
             sock.bind((host, 0))
-            found.append((host, int(sock.getsockname()[1])))
-        return found
+            addresses.append((host, int(sock.getsockname()[1])))
+        return addresses
 
 
-def text(address: Address) -> str:
+def format_address(address: Address) -> str:
     return "{}:{}".format(*address)
 
 
-def masked(data: bytes, names: dict[str, Address], patterns: dict[str, str] | None = None) -> str:
-    """Bytes as text, with addresses and what matches a pattern's group 1 replaced by placeholders."""
-    told = data.decode("latin-1")
-    for name, address in names.items():
-        told = told.replace(text(address), f"<{name}>")
+def mask(data: bytes, addresses: dict[str, Address], patterns: dict[str, str] | None = None) -> str:
+    """Return bytes as text, with addresses and the matches of patterns' group 1 replaced by placeholders."""
+    text = data.decode("latin-1")
+    for name, address in addresses.items():
+        text = text.replace(format_address(address), f"<{name}>")
     for name, pattern in (patterns or {}).items():
-        told = re.sub(pattern, partial(_placed, name), told)
-    return told
+        text = re.sub(pattern, partial(_insert_placeholder, name), text)
+    return text
 
 
-def _placed(name: str, found: re.Match[str]) -> str:
-    return found[0].replace(found[1], f"<{name}>")
+def _insert_placeholder(name: str, match: re.Match[str]) -> str:
+    return match[0].replace(match[1], f"<{name}>")
 
 
-def deployed(name: str) -> str:
-    """A command line of deploy/balancer.toml."""
+def deployed_command(name: str) -> str:
+    """Return a command line of deploy/balancer.toml."""
     with open(ROOT / "deploy" / "balancer.toml", "rb") as file:
         return str(tomllib.load(file)[name])
 
 
 @contextlib.contextmanager
 def _process(command: list[str], log: Path, **environ: str) -> Iterator[subprocess.Popen[bytes]]:
-    kept = {name: value for name, value in os.environ.items() if not name.startswith(("RELAY_", "WEIRLOCK_"))}
-    with open(log, "ab") as errors:
+    inherited = {
+        name: value for name, value in os.environ.items() if not name.startswith(("RELAY_", "WEIRLOCK_"))
+    }
+    with open(log, "ab") as log_file:
         process = subprocess.Popen(
-            command, cwd=ROOT, env=kept | environ, stdin=subprocess.DEVNULL, stdout=errors, stderr=errors
+            command,
+            cwd=ROOT,
+            env=inherited | environ,
+            stdin=subprocess.DEVNULL,
+            stdout=log_file,
+            stderr=log_file,
         )
     try:
         yield process
@@ -83,18 +90,18 @@
 
 @contextlib.contextmanager
 def sidecar(folder: Path, config: dict[str, Any]) -> Iterator[subprocess.Popen[bytes]]:
-    """A sidecar process by the `run` line, its files in `folder`; killed by its id on leaving."""
+    """Run a sidecar process by the `run` line, with its files in `folder`; kill it by its id on exit."""
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / "config.json"
     path.write_text(json.dumps(config), encoding="utf-8")
-    command = ["/bin/sh", "-c", deployed("run")]
+    command = ["/bin/sh", "-c", deployed_command("run")]
     with _process(command, folder / "log", RELAY_CONFIG=str(path), TMPDIR=str(folder)) as process:
         yield process
 
 
 @contextlib.contextmanager
 def relay(folder: Path, config: str) -> Iterator[subprocess.Popen[bytes]]:
-    """A relay process by the `weirlock` command that the project's metadata names."""
+    """Run a relay process by the `weirlock` command in the project's metadata."""
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / "relay.toml"
     path.write_text(config, encoding="utf-8")
@@ -107,26 +114,26 @@
 
 
 def simulate(lines: list[str]) -> tuple[int, list[str]]:
-    """Play input lines through a process of the `sim` line: its exit code and the lines of its replies."""
-    given = "".join(f"{line}\n" for line in lines).encode()
-    command = ["/bin/sh", "-c", deployed("sim")]
-    done = subprocess.run(
-        command, cwd=ROOT, input=given, capture_output=True, timeout=PATIENCE_S, check=False
+    """Send input lines to a process of the `sim` line; return its exit code and its reply lines."""
+    input_data = "".join(f"{line}\n" for line in lines).encode()
+    command = ["/bin/sh", "-c", deployed_command("sim")]
+    completed = subprocess.run(
+        command, cwd=ROOT, input=input_data, capture_output=True, timeout=WAIT_TIMEOUT_S, check=False
     )
-    return done.returncode, done.stdout.decode().splitlines()
+    return completed.returncode, completed.stdout.decode().splitlines()
 
 
-def until(condition: Callable[[], bool], what: str) -> None:
+def wait_until(condition: Callable[[], bool], expected: str) -> None:
     """Wait until a condition holds."""
-    began = time.monotonic()
+    started_s = time.monotonic()
     while not condition():
-        if time.monotonic() > began + PATIENCE_S:
-            raise AssertionError(f"{what} did not come in {PATIENCE_S} s")
+        if time.monotonic() > started_s + WAIT_TIMEOUT_S:
+            raise AssertionError(f"{expected}: not within {WAIT_TIMEOUT_S} s")
         time.sleep(0.02)
 
 
-def message(sock: socket.socket) -> bytes:
-    """Read one HTTP message with a length, or up to the end of the connection."""
+def read_message(sock: socket.socket) -> bytes:
+    """Read one HTTP message, up to its Content-Length or, without one, the end of its head or of the data."""
     data = b""
     while True:
         head, end, body = data.partition(b"\r\n\r\n")
@@ -140,35 +147,35 @@
 
 
 def exchange(address: Address, data: bytes) -> bytes:
-    """Send a message on a connection of its own and read the answer."""
-    with socket.create_connection(address, PATIENCE_S) as sock:
+    """Send a message on a new connection and return the response."""
+    with socket.create_connection(address, WAIT_TIMEOUT_S) as sock:
         sock.sendall(data)
-        return message(sock)
+        return read_message(sock)
 
 
 def call(address: Address, method: str, path: str) -> tuple[int, str]:
-    """Make a call with an empty body; status 0 where nothing answers yet."""
+    """Send a request with an empty body; return status and body, status 0 if nothing listens yet."""
     data = f"{method} {path} HTTP/1.1\r\nHost: here\r\n\r\n".encode()
     try:
-        answer = exchange(address, data)
+        response = exchange(address, data)
     except OSError:
         return 0, ""
-    head, _, body = answer.partition(b"\r\n\r\n")
+    head, _, body = response.partition(b"\r\n\r\n")
     return (int(head.split(b" ")[1]) if head else 0), body.decode()
 
 
-def accepted(listener: socket.socket) -> socket.socket:
-    """The next connection to a listening socket."""
-    if not select.select([listener], [], [], PATIENCE_S)[0]:
-        raise AssertionError(f"no connection came in {PATIENCE_S} s")
+def accept(listener: socket.socket) -> socket.socket:
+    """Return the next connection to a listening socket."""
+    if not select.select([listener], [], [], WAIT_TIMEOUT_S)[0]:
+        raise AssertionError(f"no connection within {WAIT_TIMEOUT_S} s")
     sock, _ = listener.accept()
-    sock.settimeout(PATIENCE_S)
+    sock.settimeout(WAIT_TIMEOUT_S)
     return sock
 
 
 @contextlib.contextmanager
-def listening() -> Iterator[tuple[socket.socket, Address]]:
-    """A listening socket on a loopback host of its own."""
-    with socket.create_server((own_host(), 0), backlog=64) as listener:
+def listening_socket() -> Iterator[tuple[socket.socket, Address]]:
+    """Provide a listening socket on a loopback host of its own."""
+    with socket.create_server((new_host(), 0), backlog=64) as listener:
         host, port = listener.getsockname()
         yield listener, (host, port)
--- a/tests/compatibility/golden_scenes.py
+++ b/tests/compatibility/golden_scenes.py
@@ -1,4 +1,4 @@
-"""What is done to the processes: each scene gives plain data that a golden file can hold."""
+"""Scenarios of the processes: each returns plain data that a golden file can hold."""
 
 from __future__ import annotations
 
@@ -13,49 +13,55 @@
 from typing import Any
 
 from golden_processes import (
-    PATIENCE_S,
+    WAIT_TIMEOUT_S,
     Address,
-    accepted,
+    accept,
     call,
     exchange,
+    format_address,
     free_addresses,
-    listening,
-    masked,
-    message,
-    own_host,
+    listening_socket,
+    mask,
+    new_host,
+    read_message,
     relay,
     sidecar,
-    text,
-    until,
+    wait_until,
 )
 
-LANES = [
+SERVICE_CLASSES = [
     {"name": "look", "giveUpUs": 5_000_000, "repeat": "read_like"},
     {"name": "amend", "giveUpUs": 5_000_000, "repeat": "idempotency_key", "group": "all"},
     {"name": "pay", "giveUpUs": 5_000_000, "repeat": "non_idempotent"},
 ]
-LIST = "/registry/instances"
+LIST_PATH = "/registry/instances"
 
 
 def entry(name: str, zone: str = "a", address: str = "127.0.0.1:9", **changes: Any) -> dict[str, Any]:
-    """A line of the server list in discovery's form."""
-    given = {"name": name, "address": address, "zone": zone, "type": "m", "group": 1}
-    return given | {"status": "active", "weight": 1.0, "since_ms": 0} | changes
+    """Return an entry of the endpoint list in discovery's format."""
+    fields = {"name": name, "address": address, "zone": zone, "type": "m", "group": 1}
+    return fields | {"status": "active", "weight": 1.0, "since_ms": 0} | changes
 
 
-def listed(index: int, *entries: dict[str, Any], snapshot: bool = True) -> dict[str, Any]:
+def endpoint_list(index: int, *entries: dict[str, Any], snapshot: bool = True) -> dict[str, Any]:
     return {"index": index, "snapshot": snapshot, "endpoints": list(entries)}
 
 
 def base_config(listen: Address, discovery: str = "127.0.0.1:1") -> dict[str, Any]:
-    settings = {"lanes": LANES, "zone": "a", "discovery": "on_request"}
-    return {"name": "n0", "listen": text(listen), "discovery": discovery, "seed": "7", "settings": settings}
+    settings = {"lanes": SERVICE_CLASSES, "zone": "a", "discovery": "on_request"}
+    return {
+        "name": "n0",
+        "listen": format_address(listen),
+        "discovery": discovery,
+        "seed": "7",
+        "settings": settings,
+    }
 
 
 # The admin API
 
 
-ORDERS = [
+ADMIN_COMMANDS = [
     "exclude/s-1",
     "exclude/nobody",
     "include/s-1",
@@ -66,7 +72,7 @@
     "evacuate",
     "rejoin",
 ]
-DECLINED = [
+REJECTED_CALLS = [
     ("GET", "nothing"),
     ("PUT", "nothing"),
     ("PUT", "status"),
@@ -76,7 +82,7 @@
 
 
 def shape(value: Any) -> Any:
-    """Keys, texts and flags as they are; of a number its type; of like rows one; digits in texts as N."""
+    """Return a value with numbers as type names, digits in texts as N and list rows of one shape once."""
     if isinstance(value, dict):
         return {key: shape(each) for key, each in value.items()}
     if isinstance(value, list):
@@ -91,21 +97,21 @@
     return type(value).__name__
 
 
-def admin_scene(folder: Path) -> dict[str, Any]:
-    """Every call of the admin API of the first of two sidecars with peer plane, duties, zones and state."""
+def admin_scenario(folder: Path) -> dict[str, Any]:
+    """Make every admin API call to the first of two sidecars with membership, leases, zones and state."""
     tcp, udp = free_addresses(4), free_addresses(2, socket.SOCK_DGRAM)
     with ExitStack() as stack:
-        listener, address = stack.enter_context(listening())
-        servers = [entry(f"s-{zone}", zone, text(address)) for zone in "aab"]
+        listener, address = stack.enter_context(listening_socket())
+        servers = [entry(f"s-{zone}", zone, format_address(address)) for zone in "aab"]
         servers = [each | {"name": f"s-{number}"} for number, each in enumerate(servers, 1)]
         for number in range(2):
             config = base_config(tcp[number]) | {
                 "name": f"n{number}",
                 "seed": f"{1000 + number:x}",
-                "known": listed(1, *servers),
-                "mgmt": text(tcp[2 + number]),
-                "peer_listen": text(udp[number]),
-                "peers": [text(each) for each in udp],
+                "known": endpoint_list(1, *servers),
+                "mgmt": format_address(tcp[2 + number]),
+                "peer_listen": format_address(udp[number]),
+                "peers": [format_address(each) for each in udp],
                 "peer_plane": {"on": True, "period_ms": 100, "probe_timeout_ms": 40},
                 "duties": {"on": True, "term_ms": 600, "renew_ms": 200, "skew_ms": 20, "retry_ms": 50},
                 "locality": {"on": True},
@@ -119,56 +125,65 @@
             }
             config["settings"] |= {"me": number, "groupSize": 2}
             stack.enter_context(sidecar(folder / f"n{number}", config))
-        door, doors = tcp[2], tcp[2:]
-        for each in doors:
-            _seen([each], "ready", lambda _: True)
-        assert call(door, "PUT", "/api/exclude/s-2")[0] == 200  # so that members have a verdict to show
-        told: dict[str, Any] = {}
+        admin_address, admin_addresses = tcp[2], tcp[2:]
+        for each in admin_addresses:
+            _poll_until([each], "ready", lambda _: True)
+        assert call(admin_address, "PUT", "/api/exclude/s-2")[0] == 200  # so that `members` shows a verdict
+        recorded: dict[str, Any] = {}
         for name in ("status", "servers", "ready"):
-            told[f"GET {name}"] = _answered(door, "GET", name)
-        told["GET duties"] = [200, shape(_seen(doors, "duties", lambda duties: bool(duties["acts"])))]
-        zones = _seen([door], "zones", lambda held: held["probing"] is not None)
-        told["GET zones"] = [200, shape(zones | {"probing": "whether this one holds the duty"})]
-        members = _seen(
-            [door], "members", lambda held: held["verdicts"] and held["members"]["1"][0] == "alive"
+            recorded[f"GET {name}"] = _call_admin(admin_address, "GET", name)
+        recorded["GET duties"] = [
+            200,
+            shape(_poll_until(admin_addresses, "duties", lambda duties: bool(duties["acts"]))),
+        ]
+        zones = _poll_until([admin_address], "zones", lambda view: view["probing"] is not None)
+        recorded["GET zones"] = [200, shape(zones | {"probing": "whether this one holds the duty"})]
+        members = _poll_until(
+            [admin_address],
+            "members",
+            lambda view: view["verdicts"] and view["members"]["1"][0] == "alive",
         )
-        # What is dropped at the start of a tier depends on which process was the first.
-        told["GET members"] = [200, shape(members | {"dropped": {}})]
-        with socket.create_connection(tcp[0], PATIENCE_S) as client:
+        # Which datagrams are dropped when a tier starts depends on which process starts first.
+        recorded["GET members"] = [200, shape(members | {"dropped": {}})]
+        with socket.create_connection(tcp[0], WAIT_TIMEOUT_S) as client:
             client.sendall(_request("look", "GET"))
-            with accepted(listener) as sock:
-                message(sock)
-                sock.sendall(REPLY + b"hello")
-            message(client)
-        told["GET status (after a request)"] = _answered(door, "GET", "status")
-        used = _seen([door], "servers", lambda held: any(row["latency_ms"] for row in held.values()))
+            with accept(listener) as sock:
+                read_message(sock)
+                sock.sendall(RESPONSE_HEAD + b"hello")
+            read_message(client)
+        recorded["GET status (after a request)"] = _call_admin(admin_address, "GET", "status")
+        used = _poll_until(
+            [admin_address],
+            "servers",
+            lambda view: any(row["latency_ms"] for row in view.values()),
+        )
         [row] = [row for row in used.values() if row["latency_ms"]]
-        told["GET servers (one that was used)"] = [200, shape(row | {"zone": "a"})]
-        for name in ORDERS:
-            told[f"PUT {name}"] = _answered(door, "PUT", name)
-        for method, name in DECLINED:
-            told[f"{method} {name} (declined)"] = _answered(door, method, name)
-        return told
+        recorded["GET servers (one that was used)"] = [200, shape(row | {"zone": "a"})]
+        for name in ADMIN_COMMANDS:
+            recorded[f"PUT {name}"] = _call_admin(admin_address, "PUT", name)
+        for method, name in REJECTED_CALLS:
+            recorded[f"{method} {name} (declined)"] = _call_admin(admin_address, method, name)
+        return recorded
 
 
-def _seen(doors: list[Address], name: str, holds: Callable[[Any], Any]) -> Any:
-    """The first answer to a read from any of these for which the condition holds."""
+def _poll_until(admin_addresses: list[Address], name: str, condition: Callable[[Any], Any]) -> Any:
+    """Read from these addresses in turn until a response meets the condition; return it."""
     found: list[Any] = []
 
-    def look() -> bool:
-        for door in doors:
-            status, body = call(door, "GET", f"/api/{name}")
+    def poll() -> bool:
+        for admin_address in admin_addresses:
+            status, body = call(admin_address, "GET", f"/api/{name}")
             if status == 200:
-                told = json.loads(body) if body.startswith("{") else body
-                found.extend([told] if holds(told) else [])
+                value = json.loads(body) if body.startswith("{") else body
+                found.extend([value] if condition(value) else [])
         return bool(found)
 
-    until(look, f"what is expected of {name}")
+    wait_until(poll, f"expected value of {name}")
     return found[0]
 
 
-def _answered(door: Address, method: str, name: str) -> list[Any]:
-    status, body = call(door, method, f"/api/{name}")
+def _call_admin(admin_address: Address, method: str, name: str) -> list[Any]:
+    status, body = call(admin_address, method, f"/api/{name}")
     try:
         return [status, shape(json.loads(body))]
     except ValueError:
@@ -177,28 +192,28 @@
 
 # Discovery and relays
 
-AGE = {"age": r"(?i)X-Source-Age-Ms: (\d+)"}
+AGE_PATTERNS = {"age": r"(?i)X-Source-Age-Ms: (\d+)"}
 
 
-def http_list(given: dict[str, Any], *headers: str) -> bytes:
-    """An answer of discovery."""
-    body = json.dumps(given).encode()
+def http_list(content: dict[str, Any], *headers: str) -> bytes:
+    """Return a response of discovery."""
+    body = json.dumps(content).encode()
     lines = ["HTTP/1.1 200 OK", f"Content-Length: {len(body)}", *headers, "Connection: close", "", ""]
     return "\r\n".join(lines).encode() + body
 
 
 class Registry:
-    """A stand-in for discovery on threads: answers each call by the version that it names.
+    """Discovery stub on threads that responds to each call by the version it names.
 
-    A watch of the newest version waits as long as it asks to; `requests` holds each different call once, in
-    the order of their first coming, with placeholders.
+    A watch of the newest version waits for as long as it asks; `requests` holds each distinct call once, with
+    placeholders, in the order of first arrival.
     """
 
-    def __init__(self, answers: dict[int | None, bytes]) -> None:
-        self.answers = answers
+    def __init__(self, responses: dict[int | None, bytes]) -> None:
+        self.responses = responses
         self.requests: list[str] = []
         self.changed = threading.Condition()
-        self._sock = socket.create_server((own_host(), 0), backlog=64)
+        self._sock = socket.create_server((new_host(), 0), backlog=64)
         host, port = self._sock.getsockname()
         self.address: Address = (host, port)
         self._is_closed = False
@@ -214,16 +229,16 @@
         self._sock.shutdown(socket.SHUT_RDWR)
         self._sock.close()
 
-    def answer(self, after: int | None, data: bytes) -> None:
-        """Answer calls that name this version (None: those for the whole list) from now on."""
+    def set_response(self, after: int | None, data: bytes) -> None:
+        """Set the response to calls that name this version (None: calls for the whole list)."""
         with self.changed:
-            self.answers[after] = data
+            self.responses[after] = data
             self.changed.notify_all()
 
-    def heard(self, count: int) -> None:
-        """Wait until so many different calls have come."""
+    def wait_for_requests(self, count: int) -> None:
+        """Wait until this many distinct calls have arrived."""
         with self.changed:
-            assert self.changed.wait_for(lambda: len(self.requests) >= count, PATIENCE_S), self.requests
+            assert self.changed.wait_for(lambda: len(self.requests) >= count, WAIT_TIMEOUT_S), self.requests
 
     def _accept(self) -> None:
         with contextlib.suppress(OSError):
@@ -233,96 +248,108 @@
 
     def _serve(self, sock: socket.socket) -> None:
         with contextlib.suppress(OSError), sock:
-            sock.settimeout(PATIENCE_S)
-            data = message(sock)
-            told = masked(data, {"discovery": self.address}, {"wait": r"wait_ms=(\d+)"} | AGE)
+            sock.settimeout(WAIT_TIMEOUT_S)
+            data = read_message(sock)
+            request = mask(data, {"discovery": self.address}, {"wait": r"wait_ms=(\d+)"} | AGE_PATTERNS)
             after = re.search(rb"after=(\d+)", data)
             wait = re.search(rb"wait_ms=(\d+)", data)
             version = int(after[1]) if after else None
             with self.changed:
-                if told not in self.requests:
-                    self.requests.append(told)
+                if request not in self.requests:
+                    self.requests.append(request)
                     self.changed.notify_all()
-                wait_s = int(wait[1]) / 1000 if wait else PATIENCE_S
-                self.changed.wait_for(lambda: version in self.answers or self._is_closed, wait_s)
-                answer = self.answers.get(version, http_list(listed(version or 0, snapshot=False)))
-            sock.sendall(answer)
-
-
-def discovery_scene(folder: Path) -> list[str]:
-    """The calls that a sidecar makes of discovery: the first, a watch, watches behind a relay's answers."""
-    answers: dict[int | None, bytes] = {
-        0: http_list(listed(41, entry("s-1"))),
-        41: http_list(listed(42, entry("s-2"), snapshot=False), 'ETag: "t-42"', "X-Source-Age-Ms: 5"),
-        42: http_list(listed(43, entry("s-1"), entry("s-2")), 'ETag: "t-43"', "X-Source-Age-Ms: 5"),
+                wait_s = int(wait[1]) / 1000 if wait else WAIT_TIMEOUT_S
+                self.changed.wait_for(lambda: version in self.responses or self._is_closed, wait_s)
+                response = self.responses.get(version, http_list(endpoint_list(version or 0, snapshot=False)))
+            sock.sendall(response)
+
+
+def discovery_scenario(folder: Path) -> list[str]:
+    """Return a sidecar's calls to discovery: the first, a watch, and watches after a relay's responses."""
+    responses: dict[int | None, bytes] = {
+        0: http_list(endpoint_list(41, entry("s-1"))),
+        41: http_list(endpoint_list(42, entry("s-2"), snapshot=False), 'ETag: "t-42"', "X-Source-Age-Ms: 5"),
+        42: http_list(endpoint_list(43, entry("s-1"), entry("s-2")), 'ETag: "t-43"', "X-Source-Age-Ms: 5"),
     }
-    with Registry(answers) as registry:
-        config = base_config(free_addresses(1)[0], text(registry.address))
+    with Registry(responses) as registry:
+        config = base_config(free_addresses(1)[0], format_address(registry.address))
         with sidecar(folder / "n0", config):
-            registry.heard(4)
+            registry.wait_for_requests(4)
         return registry.requests[:4]
 
 
-def relay_scene(folder: Path) -> dict[str, Any]:
-    """The calls that a relay makes of discovery, and the bytes of its answers."""
-    told: dict[str, Any] = {}
+def relay_scenario(folder: Path) -> dict[str, Any]:
+    """Return the calls that a relay makes to discovery, and the bytes of its responses."""
+    recorded: dict[str, Any] = {}
     listen = free_addresses(1)[0]
     servers = [entry("s-1"), entry("s-2", "b", since_ms=1234, status="leaving")]
     with Registry({}) as registry:
-        names = {"discovery": registry.address, "relay": listen}
+        addresses = {"discovery": registry.address, "relay": listen}
 
-        def ask(line: str, *headers: str) -> str:
+        def fetch(line: str, *headers: str) -> str:
             head = "\r\n".join([f"{line} HTTP/1.1", "Host: r", *headers, "", ""])
-            return masked(exchange(listen, head.encode()), names)
+            return mask(exchange(listen, head.encode()), addresses)
 
-        config = f'listen = "{text(listen)}"\nupstreams = ["{text(registry.address)}"]\n'
+        config = f'listen = "{format_address(listen)}"\nupstreams = ["{format_address(registry.address)}"]\n'
         with relay(folder / "relay", config):
-            registry.heard(1)
-            told["before any list"] = ask(f"GET {LIST}")
-            told["not ready"] = ask("GET /health/ready")
-            registry.answer(None, http_list(listed(41, *servers)))
-            until(lambda: ask("GET /health/ready").startswith("HTTP/1.1 200"), "the relay's list")
-            whole = told["whole list"] = ask(f"GET {LIST}")
-            tag = re.search(r"(?i)etag: (\S+)", whole)
+            registry.wait_for_requests(1)
+            recorded["before any list"] = fetch(f"GET {LIST_PATH}")
+            recorded["not ready"] = fetch("GET /health/ready")
+            registry.set_response(None, http_list(endpoint_list(41, *servers)))
+            wait_until(lambda: fetch("GET /health/ready").startswith("HTTP/1.1 200"), "the relay's list")
+            whole_list = recorded["whole list"] = fetch(f"GET {LIST_PATH}")
+            tag = re.search(r"(?i)etag: (\S+)", whole_list)
             assert tag is not None
-            watch, held = f"GET {LIST}?after=41", f"If-None-Match: {tag[1]}"
-            told["nothing new"] = ask(watch + "&wait_ms=0", held, "X-Source-Age-Ms: 0")
-            registry.answer(41, http_list(listed(42, entry("s-3"), snapshot=False)))
-            told["changes"] = ask(watch + "&wait_ms=30000", held)
-            told["ready"] = ask("GET /health/ready")
-            told["unknown path"] = ask("GET /nothing")
-            told["wrong method"] = ask(f"PUT {LIST}")
-            told["bad number"] = ask(f"GET {LIST}?after=x")
-            registry.heard(3)
-        told["calls of discovery"] = registry.requests[:3]
+            watch, if_none_match = f"GET {LIST_PATH}?after=41", f"If-None-Match: {tag[1]}"
+            recorded["nothing new"] = fetch(watch + "&wait_ms=0", if_none_match, "X-Source-Age-Ms: 0")
+            registry.set_response(41, http_list(endpoint_list(42, entry("s-3"), snapshot=False)))
+            recorded["changes"] = fetch(watch + "&wait_ms=30000", if_none_match)
+            recorded["ready"] = fetch("GET /health/ready")
+            recorded["unknown path"] = fetch("GET /nothing")
+            recorded["wrong method"] = fetch(f"PUT {LIST_PATH}")
+            recorded["bad number"] = fetch(f"GET {LIST_PATH}?after=x")
+            registry.wait_for_requests(3)
+        recorded["calls of discovery"] = registry.requests[:3]
     return {
-        name: re.sub(AGE["age"], "X-Source-Age-Ms: <age>", each) if isinstance(each, str) else each
-        for name, each in told.items()
+        name: re.sub(AGE_PATTERNS["age"], "X-Source-Age-Ms: <age>", each) if isinstance(each, str) else each
+        for name, each in recorded.items()
     }
 
 
-# Requests and answers
+# Requests and responses
 
-REPLY = (
+RESPONSE_HEAD = (
     b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 5\r\nX-Own: 1\r\n"
     b"Connection: close\r\n\r\n"
 )
 
 
 def _request(
-    kind: str, method: str, *headers: str, body: bytes = b"", ident: str = "9b1f03aa5c7e2d41"
+    service_class: str, method: str, *headers: str, body: bytes = b"", request_id: str = "9b1f03aa5c7e2d41"
 ) -> bytes:
-    about = [f"X-Call-Id: {ident}", f"X-Call-Class: {kind}", "X-Caller: acme", "X-Budget: 4.5", *headers]
+    lines = [
+        f"X-Call-Id: {request_id}",
+        f"X-Call-Class: {service_class}",
+        "X-Caller: acme",
+        "X-Budget: 4.5",
+        *headers,
+    ]
     if body:
-        about.append(f"Content-Length: {len(body)}")
-    return "\r\n".join([f"{method} /api/7f?x=%20y HTTP/1.1", "Host: app.svc", *about, "", ""]).encode() + body
+        lines.append(f"Content-Length: {len(body)}")
+    return "\r\n".join([f"{method} /api/7f?x=%20y HTTP/1.1", "Host: app.svc", *lines, "", ""]).encode() + body
 
 
-# Each: the client's request and the server's answer, None where no server is to be asked.
+# The client's request and the server's response, by name; None where no server should get the request.
 EXCHANGES: dict[str, tuple[bytes, bytes | None]] = {
-    "read": (_request("look", "GET", "Accept: */*", "X-Call-Info: a=1,b=2", "X-Again: 1"), REPLY + b"hello"),
-    "body": (_request("pay", "POST", "Content-Type: text/plain", body=b"twelve bytes"), REPLY + b"hello"),
-    "keyed": (_request("amend", "POST", "Idempotency-Key: 5c0f6e1a", body=b"k"), REPLY + b"hello"),
+    "read": (
+        _request("look", "GET", "Accept: */*", "X-Call-Info: a=1,b=2", "X-Again: 1"),
+        RESPONSE_HEAD + b"hello",
+    ),
+    "body": (
+        _request("pay", "POST", "Content-Type: text/plain", body=b"twelve bytes"),
+        RESPONSE_HEAD + b"hello",
+    ),
+    "keyed": (_request("amend", "POST", "Idempotency-Key: 5c0f6e1a", body=b"k"), RESPONSE_HEAD + b"hello"),
     "chunked answer": (
         _request("look", "GET"),
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n5\r\nhello\r\n0\r\n\r\n",
@@ -343,27 +370,29 @@
 }
 
 
-def proxy_scene(folder: Path) -> dict[str, list[str | None]]:
-    """Each request as it leaves for the server, and each answer as it leaves for the client."""
-    told: dict[str, list[str | None]] = {}
+def proxy_scenario(folder: Path) -> dict[str, list[str | None]]:
+    """Return each request as forwarded to the server, and each response as sent to the client."""
+    recorded: dict[str, list[str | None]] = {}
     listen = free_addresses(1)[0]
-    with listening() as (listener, address):
-        config = base_config(listen) | {"known": listed(1, entry("s-1", address=text(address)))}
-        names = {"server": address, "sidecar": listen}
+    with listening_socket() as (listener, address):
+        config = base_config(listen) | {
+            "known": endpoint_list(1, entry("s-1", address=format_address(address)))
+        }
+        addresses = {"server": address, "sidecar": listen}
         volatile = {"budget": r"(?i)X-Budget: (\d+\.\d{6})\r", "date": r"(?i)\r\nDate: ([^\r]*)"}
         with sidecar(folder / "n0", config):
-            until(lambda: call(listen, "GET", "/health/ready")[0] == 200, "a ready sidecar")
-            for name, (request, reply) in EXCHANGES.items():
-                with socket.create_connection(listen, PATIENCE_S) as client:
+            wait_until(lambda: call(listen, "GET", "/health/ready")[0] == 200, "a ready sidecar")
+            for name, (request, server_response) in EXCHANGES.items():
+                with socket.create_connection(listen, WAIT_TIMEOUT_S) as client:
                     client.sendall(request)
-                    asked = None
-                    if reply is not None:
-                        with accepted(listener) as sock:
-                            asked = masked(message(sock), names, volatile)
-                            sock.sendall(reply)
-                    answer = message(client)
+                    forwarded = None
+                    if server_response is not None:
+                        with accept(listener) as sock:
+                            forwarded = mask(read_message(sock), addresses, volatile)
+                            sock.sendall(server_response)
+                    response = read_message(client)
                     client.shutdown(socket.SHUT_WR)
                     while piece := client.recv(65536):
-                        answer += piece
-                    told[name] = [asked, masked(answer, names, volatile)]
-    return told
+                        response += piece
+                    recorded[name] = [forwarded, mask(response, addresses, volatile)]
+    return recorded
--- a/tests/compatibility/golden_subjects.py
+++ b/tests/compatibility/golden_subjects.py
@@ -1,4 +1,4 @@
-"""The only module of these tests that imports the package: bytes and plain lists in and out.
+"""The only module of these tests that imports the package: it takes and returns bytes and plain lists.
 
 When modules or classes are renamed, the imports and names here follow; the signatures, the tests and the
 golden files stay as they are.
@@ -19,7 +19,7 @@
 from sidecar_balancer.membership import codec, messages
 from sidecar_balancer.membership.settings import MembershipSettings
 from sidecar_balancer.membership.transport import MembershipTransport
-from sidecar_balancer.persistence import tier_snapshot as tier
+from sidecar_balancer.persistence import tier_snapshot
 from sidecar_balancer.persistence.persister import StatePersister, resume_membership
 from sidecar_balancer.persistence.state_records import EndpointListRecord
 from sidecar_balancer.persistence.store import Store
@@ -27,11 +27,11 @@
 from sidecar_balancer.policy.events import EndpointListReceived
 from sidecar_balancer.policy.types import ListKind
 
-_MOST = 1 << 20
+_MAX_BYTES = 1 << 20
 
 
 def plain(value: Any) -> Any:
-    """Turn dataclasses into the list of their values in order, and enums into theirs."""
+    """Convert dataclasses to the list of their values in order, and enums to their values."""
     if isinstance(value, enum.Enum):
         return value.value
     if dataclasses.is_dataclass(value) and not isinstance(value, type):
@@ -47,8 +47,8 @@
 
 
 def write_store(folder: Path, flushes: list[list[tuple[str, bytes | None]]]) -> None:
-    """Write changes (None: a deletion) as one life of the program, each inner list with one flush."""
-    store = Store(folder, _MOST)
+    """Write changes (None: a deletion) as one process does, with one flush for each inner list."""
+    store = Store(folder, _MAX_BYTES)
     store.open()
     for changes in flushes:
         for key, value in changes:
@@ -57,75 +57,75 @@
 
 
 def read_store(folder: Path) -> tuple[dict[str, bytes], int]:
-    """Read a state folder's records, and count the notes on files that were cut or refused."""
-    found = Store(folder, _MOST).open()
-    return found.records, len(found.warnings)
+    """Return a state folder's records, and the number of warnings about truncated or rejected files."""
+    loaded = Store(folder, _MAX_BYTES).open()
+    return loaded.records, len(loaded.warnings)
 
 
-def write_shared_snapshot(folder: Path, token: int, records: dict[str, bytes]) -> bool:
-    return tier.write(folder, token, records)
+def write_tier_snapshot(folder: Path, token: int, records: dict[str, bytes]) -> bool:
+    return tier_snapshot.write(folder, token, records)
 
 
-def read_shared_snapshot(folder: Path) -> tuple[int, dict[str, bytes], int]:
-    """Read a tier's snapshot: its token, its records and the number of notes."""
-    token, records, notes = tier.read(folder, _MOST)
-    return token, records, len(notes)
+def read_tier_snapshot(folder: Path) -> tuple[int, dict[str, bytes], int]:
+    """Read a tier snapshot: its token, its records and the number of warnings."""
+    token, records, warnings = tier_snapshot.read(folder, _MAX_BYTES)
+    return token, records, len(warnings)
 
 
-def recalled(folder: Path, shared_folder: Path | None = None) -> list[Any]:
-    """What a start takes from a state folder, as plain nested lists."""
-    found: list[Any] = plain(StatePersister(Store(folder, _MOST), shared_folder).restore())
-    return found
+def restore(folder: Path, tier_folder: Path | None = None) -> list[Any]:
+    """Return the state that a start restores from a state folder, as plain nested lists."""
+    state: list[Any] = plain(StatePersister(Store(folder, _MAX_BYTES), tier_folder).restore())
+    return state
 
 
-def keep_again(source: Path, target: Path, settings: dict[str, Any], listed: dict[str, Any]) -> None:
-    """Start from the state in `source`, with a clock that stands still, and keep what is known in `target`.
+def restore_and_persist(source: Path, target: Path, settings: dict[str, Any], listed: dict[str, Any]) -> None:
+    """Start from the state in `source`, with a clock that stands still, and persist the state in `target`.
 
-    The started member is number 0 of four, with seed 7 and leases of duties.
+    The started member is number 0 of four, with seed 7 and leases.
     """
-    kept = StatePersister(Store(source, _MOST)).restore()
+    restored = StatePersister(Store(source, _MAX_BYTES)).restore()
     balancer = Balancer(settings_from_wire(settings), 7)
-    told = parse_list(listed)
-    servers = [each.server for each in told.entries]
+    endpoint_list = parse_list(listed)
+    servers = [each.server for each in endpoint_list.entries]
     now = 1_000_000
-    balancer.handle(now, EndpointListReceived(ListKind.CACHED, servers, told.version))
-    balancer.handle(now, kept.learned)
+    balancer.handle(now, EndpointListReceived(ListKind.CACHED, servers, endpoint_list.version))
+    balancer.handle(now, restored.learned)
     peers = [("127.0.0.1", 1 + number) for number in range(4)]
-    plane = MembershipTransport(peers[0], peers, 0, 7, MembershipSettings(), LeaseTiming(), lambda: now)
-    resume_membership(plane, kept)
-    store = Store(target, _MOST)
+    transport = MembershipTransport(peers[0], peers, 0, 7, MembershipSettings(), LeaseTiming(), lambda: now)
+    resume_membership(transport, restored)
+    store = Store(target, _MAX_BYTES)
     store.open()
     StatePersister(store).persist(
-        balancer, now, plane, EndpointListRecord("192.0.2.1:8500", json.dumps(listed))
+        balancer, now, transport, EndpointListRecord("192.0.2.1:8500", json.dumps(listed))
     )
 
 
-# Orders
+# Operator overrides
 
 
-def write_orders(folder: Path, excluded: list[str], zones: dict[str, str], evacuated: bool) -> None:
-    """Store the operators' orders in an empty folder."""
-    orders = OperatorOverrides(folder)
+def write_overrides(folder: Path, excluded: list[str], zones: dict[str, str], evacuated: bool) -> None:
+    """Store operator overrides in an empty folder."""
+    overrides = OperatorOverrides(folder)
     for server in excluded:
-        orders.disable_server(server)
-    for zone, order in zones.items():
-        orders.set_zone_override(zone, order)
+        overrides.disable_server(server)
+    for zone, override in zones.items():
+        overrides.set_zone_override(zone, override)
     if evacuated:
-        orders.start_drain()
+        overrides.start_drain()
 
 
-def read_orders(folder: Path) -> tuple[list[str], dict[str, str], bool]:
-    """Read the operators' orders: excluded servers in order, orders by zone, and whether it is evacuated."""
-    orders = OperatorOverrides(folder)
-    excluded, evacuated = orders.load()
-    return sorted(excluded), orders.zone_overrides(), evacuated
+def read_overrides(folder: Path) -> tuple[list[str], dict[str, str], bool]:
+    """Read operator overrides: disabled servers, sorted; zone overrides; whether the sidecar is draining."""
+    overrides = OperatorOverrides(folder)
+    excluded, evacuated = overrides.load()
+    return sorted(excluded), overrides.zone_overrides(), evacuated
 
 
 # Datagrams
 
 
 def build_datagram(kind: int, incarnation: int, seq: int, target: int, updates: list[list[Any]]) -> bytes:
-    """Encode a message from plain values, its updates as the lists that a datagram carries."""
+    """Encode a message from plain values, with its updates as the lists of their wire form."""
     message = messages.Message(
         messages.DatagramKind(kind),
         incarnation,
@@ -137,6 +137,6 @@
 
 
 def read_datagram(data: bytes) -> tuple[list[Any], bytes]:
-    """Decode a datagram: its values by position, and the bytes of encoding them again."""
+    """Decode a datagram; return its values by position, and the bytes of encoding them again."""
     message = codec.decode(data)
     return plain(message), codec.encode(message).data
