--- a/tests/cluster/test_recovery.py
+++ b/tests/cluster/test_recovery.py
@@ -50,7 +50,9 @@
 
 
 @scenario
-async def test_after_kill_9_under_load_it_restores_its_disk_and_nothing_runs_twice(tmp_path: Path) -> None:
+async def test_a_sidecar_killed_under_load_restores_its_state_and_executes_nothing_twice(
+    tmp_path: Path,
+) -> None:
     async with running_cluster(tmp_path, 1, make_servers(), "a", config_changes=STATE) as cluster:
         cluster.load.start()
         await cluster.load.wait_for_responses(200)
@@ -68,7 +70,9 @@
 
 
 @scenario
-async def test_without_state_on_disk_it_takes_its_peers_state_before_it_is_ready(tmp_path: Path) -> None:
+async def test_a_sidecar_without_persisted_state_takes_its_peers_state_before_it_is_ready(
+    tmp_path: Path,
+) -> None:
     async with running_cluster(
         tmp_path, 3, make_servers(), "a", membership=MEMBERSHIP_ON, config_changes=STATE
     ) as cluster:
@@ -89,7 +93,9 @@
 
 
 @scenario
-async def test_cut_off_from_its_peers_it_starts_cold_within_its_time_limit(tmp_path: Path) -> None:
+async def test_a_sidecar_cut_off_from_its_peers_starts_without_state_within_its_time_limit(
+    tmp_path: Path,
+) -> None:
     async with running_cluster(
         tmp_path, 3, make_servers(), "a", membership=MEMBERSHIP_ON, config_changes=STATE
     ) as cluster:
--- a/tests/support/registry.py
+++ b/tests/support/registry.py
@@ -22,7 +22,7 @@
 
 
 class FakeRegistry(LoopbackServer):
-    """Registry that serves its endpoint list; while it `is_unresponsive`, it answers no request."""
+    """Registry that serves its endpoint list; while `is_unresponsive`, it sends no responses."""
 
     def __init__(self, entries: list[Entry] | None = None, index: int = 100) -> None:
         self.index = index
--- a/tests/support/stub_cluster.py
+++ b/tests/support/stub_cluster.py
@@ -66,7 +66,7 @@
             server.crash()
 
     async def restart_zone(self, name: str, notify: bool = True) -> None:
-        """Restart every server of a zone; `notify`: answer discovery's watches with the restarted servers."""
+        """Restart every server of a zone; `notify`: discovery reports the restarts."""
         for server in self.servers_in(name):
             await server.restart()
         if notify:
