--- a/tests/cluster/test_relays.py
+++ b/tests/cluster/test_relays.py
@@ -95,7 +95,7 @@
             sidecar = Process(f"sidecar-{number}", addresses.pop(), addresses.pop())
             self.sidecars.append(sidecar)
             await self.start_sidecar(sidecar)
-        await self.in_force("s-0", "ready")
+        await self.wait_until_in_force("s-0", "ready")
 
     async def relays_have_a_list(self) -> bool:
         statuses = [await relay.get("status") for relay in self.relays]
@@ -139,7 +139,7 @@
         views = [await sidecar.get("servers") for sidecar in self.sidecars]
         return [None if view is None or name not in view else view[name]["state"] for view in views]
 
-    async def in_force(self, name: str, state: str | None) -> None:
+    async def wait_until_in_force(self, name: str, state: str | None) -> None:
         """Wait until every sidecar has the server in that state (None: removed from the list)."""
 
         async def is_in_force() -> bool:
@@ -174,14 +174,14 @@
         async with process_tier(tmp_path, relays=2) as tier:
             tier.relays[0].send_signal(signal.SIGKILL)
             tier.registry.change(entry("s-0", status="leaving"))
-            await tier.in_force("s-0", "draining")
+            await tier.wait_until_in_force("s-0", "draining")
             assert set(await tier.sources()) == {format_address(tier.relays[1].listen)}
             await tier.relays[0].end()
             await tier.start_relay(0)
             await wait_until(tier.relays_have_a_list)
             tier.relays[1].send_signal(signal.SIGKILL)
             tier.registry.change(entry("s-1", status="leaving"))
-            await tier.in_force("s-1", "draining")
+            await tier.wait_until_in_force("s-1", "draining")
 
     run_scenario(scenario())
 
@@ -191,13 +191,13 @@
         async with process_tier(tmp_path, relays=2) as tier:
             tier.relays[0].send_signal(signal.SIGSTOP)
             tier.registry.change(entry("s-0", status="leaving"))
-            await tier.in_force("s-0", "draining")
+            await tier.wait_until_in_force("s-0", "draining")
             tier.registry.change(entry("s-0", status="left"), entry("s-2"))
-            await tier.in_force("s-2", "ready")
+            await tier.wait_until_in_force("s-2", "ready")
             tier.relays[0].send_signal(signal.SIGCONT)
             tier.relays[1].send_signal(signal.SIGKILL)
             tier.registry.change(entry("s-3"))
-            await tier.in_force("s-3", "ready")
+            await tier.wait_until_in_force("s-3", "ready")
             assert await tier.states("s-0") == [None] * 3
 
     run_scenario(scenario())
@@ -210,10 +210,10 @@
             tier.registry.restart(3, [entry("s-1"), entry("s-9")])
             assert await tier.states("s-0") == ["ready"] * 3  # the sidecars keep their list
             await tier.registry.start()
-            await tier.in_force("s-9", "ready")
-            await tier.in_force("s-0", None)
+            await tier.wait_until_in_force("s-9", "ready")
+            await tier.wait_until_in_force("s-0", None)
             tier.registry.change(entry("s-1", status="leaving"))
-            await tier.in_force("s-1", "draining")
+            await tier.wait_until_in_force("s-1", "draining")
 
     run_scenario(scenario())
 
@@ -222,7 +222,7 @@
     async def scenario() -> None:
         async with process_tier(tmp_path, relays=1, sidecars=1) as tier:
             index = tier.registry.change(entry("s-0", status="leaving"))
-            await tier.in_force("s-0", "draining")
+            await tier.wait_until_in_force("s-0", "draining")
             sidecar = await tier.sidecars[0].get("status")
             assert sidecar is not None
             discovery = sidecar["discovery"]
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from virtual import RunScenario, run_on_virtual_clock
+from virtual_clock import RunScenario, run_on_virtual_clock
 
 
 @pytest.fixture
--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from discovery_world import balancer_of, client_of, consecutive_failures, now_us, pooled_servers, served
+from discovery_helpers import balancer_of, client_of, consecutive_failures, now_us, pooled_servers, served
 from helpers import S
 from loopback import FakeDiscovery, http_response, run_scenario, running_sidecar, wait_until
 from registry import entry
@@ -16,11 +16,11 @@
 
 def test_a_watch_polls_again_at_once_after_the_version_received() -> None:
     async def scenario() -> None:
-        async with running_sidecar(served) as w:
+        async with running_sidecar(served) as environment:
             for index in (42, 43, 44):
-                w.discovery.publish(index, [])
-            await wait_until(lambda: len(w.discovery.targets) == 4)
-            targets = [target.split("&")[0] for target in w.discovery.targets]
+                environment.discovery.publish(index, [])
+            await wait_until(lambda: len(environment.discovery.request_targets) == 4)
+            targets = [target.split("&")[0] for target in environment.discovery.request_targets]
             assert targets == [f"/registry/instances?after={index}" for index in (41, 42, 43, 44)]
 
     run_scenario(scenario())
@@ -32,19 +32,21 @@
 
 def test_deltas_and_snapshots_reach_the_balancer() -> None:
     async def scenario() -> None:
-        async with running_sidecar(served, served) as w:
-            listed = balancer_of(w).servers
-            first, second = w.servers
-            w.discovery.publish(42, [first.entry(status="leaving")])
+        async with running_sidecar(served, served) as environment:
+            listed = balancer_of(environment).servers
+            first, second = environment.servers
+            environment.discovery.publish(42, [first.entry(status="leaving")])
             await wait_until(lambda: listed["s-0"].state is ServerState.DRAINING)
             for _ in range(10):
-                assert (await w.send_request())[0] == 200
+                assert (await environment.send_request())[0] == 200
             assert not first.requests
-            w.discovery.publish(43, [first.entry()], snapshot=True)  # an absent server is renew_source
+            environment.discovery.publish(
+                43, [first.entry()], snapshot=True
+            )  # an absent server is renew_source
             await wait_until(lambda: "s-1" not in listed)
             requests_before = len(second.requests)
             for _ in range(10):
-                assert (await w.send_request())[0] == 200
+                assert (await environment.send_request())[0] == 200
             assert len(second.requests) == requests_before
 
     run_scenario(scenario())
@@ -52,31 +54,33 @@
 
 def test_renew_source_servers_are_forgotten() -> None:
     async def scenario() -> None:
-        async with running_sidecar(served, served) as w:
-            first, second = w.servers
-            w.discovery.publish(42, [first.entry(), {**first.entry(), "name": "s-9"}], snapshot=True)
-            await wait_until(lambda: pooled_servers(w) == {"s-0", "s-9"})
-            assert (await w.send_request())[0] == 200
-            w.discovery.publish(
+        async with running_sidecar(served, served) as environment:
+            first, second = environment.servers
+            environment.discovery.publish(
+                42, [first.entry(), {**first.entry(), "name": "s-9"}], snapshot=True
+            )
+            await wait_until(lambda: pooled_servers(environment) == {"s-0", "s-9"})
+            assert (await environment.send_request())[0] == 200
+            environment.discovery.publish(
                 43, [first.entry(status="left"), {**first.entry(), "name": "s-9", "status": "left"}]
             )
-            await wait_until(lambda: not pooled_servers(w))
-            assert not balancer_of(w).servers
-            w.discovery.publish(44, [second.entry()])
-            await wait_until(lambda: len(pooled_servers(w)) == 1)
-            assert (await w.send_request())[0] == 200
+            await wait_until(lambda: not pooled_servers(environment))
+            assert not balancer_of(environment).servers
+            environment.discovery.publish(44, [second.entry()])
+            await wait_until(lambda: len(pooled_servers(environment)) == 1)
+            assert (await environment.send_request())[0] == 200
 
     run_scenario(scenario())
 
 
 def test_a_server_that_restarted_warms_up_again() -> None:
     async def scenario() -> None:
-        async with running_sidecar(served) as w:
-            server = balancer_of(w).servers["s-0"]
-            since_ms = now_us(w) // 1000
-            w.discovery.publish(42, [w.servers[0].entry(since_ms=since_ms)])
+        async with running_sidecar(served) as environment:
+            server = balancer_of(environment).servers["s-0"]
+            since_ms = now_us(environment) // 1000
+            environment.discovery.publish(42, [environment.servers[0].entry(since_ms=since_ms)])
             await wait_until(lambda: server.started_at == since_ms * 1000)
-            assert balancer_of(w).is_warming_up(server)
+            assert balancer_of(environment).is_warming_up(server)
 
     run_scenario(scenario())
 
@@ -95,11 +99,11 @@
 )
 def test_the_balancer_is_notified_of_a_failed_poll_and_polls_again(malformed: bytes) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served, rules={"poll_interval_us": 1 * S}) as w:
-            w.discovery.responses.put_nowait(malformed)
-            await wait_until(lambda: len(w.discovery.targets) == 2)
-            assert consecutive_failures(w) == 1
-            assert (await w.send_request())[0] == 200
+        async with running_sidecar(served, rules={"poll_interval_us": 1 * S}) as environment:
+            environment.discovery.responses.put_nowait(malformed)
+            await wait_until(lambda: len(environment.discovery.request_targets) == 2)
+            assert consecutive_failures(environment) == 1
+            assert (await environment.send_request())[0] == 200
 
     run_scenario(scenario())
 
@@ -128,10 +132,10 @@
         discovery = DiscoveryClient([service.address], 1, events.append)
         for _ in range(3):
             discovery.set_watching(True)
-        await wait_until(lambda: service.targets)
+        await wait_until(lambda: service.request_targets)
         discovery.fetch()
-        await wait_until(lambda: len(service.targets) == 2)
-        assert service.targets[1] == "/registry/instances"
+        await wait_until(lambda: len(service.request_targets) == 2)
+        assert service.request_targets[1] == "/registry/instances"
         service.publish(7, [entry()], snapshot=True)
         await wait_until(lambda: events)
         discovery.set_watching(False)
@@ -143,17 +147,17 @@
 
 def test_a_new_source_is_polled_for_the_full_list_and_then_watched() -> None:
     async def scenario() -> None:
-        async with running_sidecar(served, served) as w:
-            await wait_until(lambda: w.discovery.targets)
+        async with running_sidecar(served, served) as environment:
+            await wait_until(lambda: environment.discovery.request_targets)
             new_source = FakeDiscovery()
             await new_source.start()
-            client_of(w).replace_sources([new_source.address])
-            new_source.publish(7, [w.servers[1].entry()], snapshot=True)
-            await wait_until(lambda: len(new_source.targets) == 2)
-            assert new_source.targets[0] == "/registry/instances"
-            assert new_source.targets[1].startswith("/registry/instances?after=7&")
-            assert "s-0" not in balancer_of(w).servers
-            assert len(w.discovery.targets) == 1
+            client_of(environment).replace_sources([new_source.address])
+            new_source.publish(7, [environment.servers[1].entry()], snapshot=True)
+            await wait_until(lambda: len(new_source.request_targets) == 2)
+            assert new_source.request_targets[0] == "/registry/instances"
+            assert new_source.request_targets[1].startswith("/registry/instances?after=7&")
+            assert "s-0" not in balancer_of(environment).servers
+            assert len(environment.discovery.request_targets) == 1
             new_source.stop()
 
     run_scenario(scenario())
@@ -161,10 +165,10 @@
 
 def test_pushed_lists_are_watched_without_a_request_of_the_balancer() -> None:
     async def scenario() -> None:
-        async with running_sidecar(served, discovery="pushed") as w:
-            w.discovery.responses.put_nowait(http_response(503, b""))
-            w.discovery.publish(42, [w.servers[0].entry(status="leaving")])
-            await wait_until(lambda: balancer_of(w).servers["s-0"].state is ServerState.DRAINING)
+        async with running_sidecar(served, discovery="pushed") as environment:
+            environment.discovery.responses.put_nowait(http_response(503, b""))
+            environment.discovery.publish(42, [environment.servers[0].entry(status="leaving")])
+            await wait_until(lambda: balancer_of(environment).servers["s-0"].state is ServerState.DRAINING)
 
     run_scenario(scenario())
 
@@ -173,22 +177,22 @@
 def test_a_draining_or_renew_source_server_needs_no_address(status: str) -> None:
     # Skipped as malformed, the entry would leave the server in use.
     async def scenario() -> None:
-        async with running_sidecar(served) as w:
-            w.discovery.publish(42, [w.servers[0].entry(status=status, address=None)])
-            await wait_until(lambda: not balancer_of(w).ready_servers)
-            assert (await w.send_request())[0] == 503
-            assert not w.sent()
+        async with running_sidecar(served) as environment:
+            environment.discovery.publish(42, [environment.servers[0].entry(status=status, address=None)])
+            await wait_until(lambda: not balancer_of(environment).ready_servers)
+            assert (await environment.send_request())[0] == 503
+            assert not environment.sent()
 
     run_scenario(scenario())
 
 
 def test_a_registry_that_does_not_wait_is_polled_with_pauses() -> None:
     async def scenario() -> None:
-        async with running_sidecar(served) as w:
+        async with running_sidecar(served) as environment:
             for _ in range(4):
-                w.discovery.publish(41, [])
-            await wait_until(lambda: len(w.discovery.called_after_s) == 4)
-            assert min(w.discovery.called_after_s) >= 0.09
+                environment.discovery.publish(41, [])
+            await wait_until(lambda: len(environment.discovery.called_after_s) == 4)
+            assert min(environment.discovery.called_after_s) >= 0.09
 
     run_scenario(scenario())
 
@@ -200,9 +204,9 @@
 
     async def scenario() -> None:
         # A failed poll is repeated after 250 s here: nothing but the time-out brings the second one.
-        async with running_sidecar(served, rules={"poll_interval_us": 1_000_000_000}) as w:
-            await wait_until(lambda: len(w.discovery.targets) == 2)
-            first, second = (target.split("&wait_ms=") for target in w.discovery.targets)
+        async with running_sidecar(served, rules={"poll_interval_us": 1_000_000_000}) as environment:
+            await wait_until(lambda: len(environment.discovery.request_targets) == 2)
+            first, second = (target.split("&wait_ms=") for target in environment.discovery.request_targets)
             assert first[0] == second[0]  # both request the changes since the same version
 
     run_scenario(scenario())
--- a/tests/discovery/test_poll_timing.py
+++ b/tests/discovery/test_poll_timing.py
@@ -11,14 +11,14 @@
 
 import pytest
 
-from discovery_world import balancer_of, served
+from discovery_helpers import balancer_of, served
 from helpers import START, BalancerDriver, S, server_names, settings
 from loopback import http_response, request, running_sidecar, send_request, wait_until
 from sidecar_balancer.discovery import watch_state
 from sidecar_balancer.policy.actions import WatchEndpoints
 from sidecar_balancer.policy.events import EndpointListReceived
 from sidecar_balancer.policy.types import ListKind, ServerState
-from virtual import RunScenario
+from virtual_clock import RunScenario
 
 IN_FORCE_S = 6.0  # after discovery had a change and could be reached
 RESPONSE_S = 2.0  # discovery responds to a request or fails it within this
@@ -74,16 +74,16 @@
 ) -> None:
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
-        async with running_sidecar(served, drained=True, fleet_size=fleet_size) as w:
+        async with running_sidecar(served, graceful_shutdown=True, fleet_size=fleet_size) as environment:
             for polls in range(1, failures + 1):
-                await wait_until(lambda polls=polls: len(w.discovery.targets) == polls)  # type: ignore[misc]
+                await wait_until(lambda polls=polls: len(environment.discovery.request_targets) == polls)  # type: ignore[misc]
                 await asyncio.sleep(RESPONSE_S)  # a service that is down fails a request after so long
-                w.discovery.responses.put_nowait(http_response(503, b""))
+                environment.discovery.responses.put_nowait(http_response(503, b""))
             back_at = loop.time()
-            await wait_until(lambda: len(w.discovery.targets) == failures + 1)
+            await wait_until(lambda: len(environment.discovery.request_targets) == failures + 1)
             await asyncio.sleep(RESPONSE_S)  # and one that is back may take as long to respond
-            w.discovery.publish(42, [w.servers[0].entry(status="leaving")])
-            await wait_until(lambda: balancer_of(w).servers["s-0"].state is ServerState.DRAINING)
+            environment.discovery.publish(42, [environment.servers[0].entry(status="leaving")])
+            await wait_until(lambda: balancer_of(environment).servers["s-0"].state is ServerState.DRAINING)
             assert loop.time() - back_at <= IN_FORCE_S - MARGIN_S
 
     on_virtual_clock(scenario())
@@ -95,21 +95,27 @@
     monkeypatch.setattr(watch_state, "MIN_WAIT_MS", 100)
 
     async def scenario() -> None:
-        async with running_sidecar(served, drained=True, sockets=96) as w:  # 16 of them are for clients
-            await wait_until(lambda: w.discovery.targets)
-            w.discovery.responses.put_nowait(http_response(503, b""))
+        async with running_sidecar(
+            served, graceful_shutdown=True, sockets=96
+        ) as environment:  # 16 of them are for clients
+            await wait_until(lambda: environment.discovery.request_targets)
+            environment.discovery.responses.put_nowait(http_response(503, b""))
             with contextlib.ExitStack() as clients:
                 for _ in range(120):
-                    idle = clients.enter_context(socket.create_connection(w.sidecar.frontend.address))
+                    idle = clients.enter_context(
+                        socket.create_connection(environment.sidecar.frontend.address)
+                    )
                     idle.setblocking(False)
                     await asyncio.sleep(0)
-                await wait_until(lambda: len(w.sidecar.frontend.connections) == 16)
-                await wait_until(lambda: len(w.discovery.targets) == 2)
-                w.discovery.publish(42, [w.servers[0].entry(status="leaving")])
-                await wait_until(lambda: balancer_of(w).servers["s-0"].state is ServerState.DRAINING)
-                w.discovery.publish(43, [w.servers[0].entry()])
-                await wait_until(lambda: balancer_of(w).ready_servers)
-                status, _, _ = await send_request(w.sidecar.frontend.address, request())
+                await wait_until(lambda: len(environment.sidecar.frontend.connections) == 16)
+                await wait_until(lambda: len(environment.discovery.request_targets) == 2)
+                environment.discovery.publish(42, [environment.servers[0].entry(status="leaving")])
+                await wait_until(
+                    lambda: balancer_of(environment).servers["s-0"].state is ServerState.DRAINING
+                )
+                environment.discovery.publish(43, [environment.servers[0].entry()])
+                await wait_until(lambda: balancer_of(environment).ready_servers)
+                status, _, _ = await send_request(environment.sidecar.frontend.address, request())
                 assert status == 200
 
     on_virtual_clock(scenario())
@@ -122,14 +128,16 @@
 ) -> None:
     async def scenario() -> None:
         started_at = asyncio.get_running_loop().time()
-        async with running_sidecar(served, drained=True, discovery=mode, fleet_size=200) as w:
+        async with running_sidecar(
+            served, graceful_shutdown=True, discovery=mode, fleet_size=200
+        ) as environment:
             if not is_unresponsive:
-                w.discovery.stop()
-            readiness, _, _ = await send_request(w.sidecar.frontend.address, READINESS_REQUEST)
+                environment.discovery.stop()
+            readiness, _, _ = await send_request(environment.sidecar.frontend.address, READINESS_REQUEST)
             assert readiness == 200
             elapsed_s = asyncio.get_running_loop().time() - started_at
             assert elapsed_s < 1.0  # of the 10 s that nine in ten starts may take
-            status, _, _ = await send_request(w.sidecar.frontend.address, request())
+            status, _, _ = await send_request(environment.sidecar.frontend.address, request())
             assert status == 200  # by the configured list
 
     on_virtual_clock(scenario())
--- a/tests/discovery/test_restarting_task.py
+++ b/tests/discovery/test_restarting_task.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from sidecar_balancer.discovery.restarting_task import RestartingTask
-from virtual import RunScenario
+from virtual_clock import RunScenario
 
 RESTART_AFTER_S = 7.0
 
--- a/tests/discovery/test_watch_recovery.py
+++ b/tests/discovery/test_watch_recovery.py
@@ -12,12 +12,12 @@
     running_sidecar,
     wait_until,
 )
+from scenario_helpers import fail_discovery_calls, hung, served
 from sidecar_balancer.discovery import source_connection
 from sidecar_balancer.discovery.client import DiscoveryClient
 from sidecar_balancer.discovery.endpoint_list import ListUpdate
 from sidecar_balancer.discovery.watch_events import WatchEvent
-from timed_scenes import fail_discovery_calls, hung, served
-from virtual import RunScenario
+from virtual_clock import RunScenario
 
 DRAIN_GRACE_S = 0.55  # of a drain, with the slack of the rules
 
@@ -35,16 +35,16 @@
     on_virtual_clock: RunScenario, mode: str, chance: float, first: bool
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served, drained=True, discovery=mode) as w:
-            w.sidecar.discovery._state.random_fraction = lambda: chance
+        async with running_sidecar(served, graceful_shutdown=True, discovery=mode) as environment:
+            environment.sidecar.discovery._state.random_fraction = lambda: chance
             if not first:  # else the first call after the start falls silent
-                w.discovery.publish(42, [])
-            await wait_until(lambda: len(w.discovery.targets) == 4 - first)
-            fell_silent, again, third = w.discovery.called_at[-3:]
+                environment.discovery.publish(42, [])
+            await wait_until(lambda: len(environment.discovery.request_targets) == 4 - first)
+            fell_silent, again, third = environment.discovery.called_at[-3:]
             assert again - fell_silent <= SILENT_WATCH_GRACE_S - 2.0  # time for the service's queue
             assert third - fell_silent <= SILENT_WATCH_GRACE_S
-            w.discovery.publish(43, [w.servers[0].entry(status="leaving")])
-            await wait_until(lambda: not w.sidecar.engine.balancer.ready_servers)
+            environment.discovery.publish(43, [environment.servers[0].entry(status="leaving")])
+            await wait_until(lambda: not environment.sidecar.engine.balancer.ready_servers)
 
     on_virtual_clock(scenario())
 
@@ -55,16 +55,16 @@
     on_virtual_clock: RunScenario, mode: str, failures: int
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served, drained=True, discovery=mode) as w:
-            w.sidecar.discovery._state.random_fraction = lambda: 0.999
-            await fail_discovery_calls(w, failures)
-            fell_silent = w.discovery.called_at[-1]
-            await wait_until(lambda: len(w.discovery.targets) == failures + 3)
-            again, third = w.discovery.called_at[-2:]
+        async with running_sidecar(served, graceful_shutdown=True, discovery=mode) as environment:
+            environment.sidecar.discovery._state.random_fraction = lambda: 0.999
+            await fail_discovery_calls(environment, failures)
+            fell_silent = environment.discovery.called_at[-1]
+            await wait_until(lambda: len(environment.discovery.request_targets) == failures + 3)
+            again, third = environment.discovery.called_at[-2:]
             assert again - fell_silent <= SILENT_WATCH_GRACE_S - 2.0
             assert third - fell_silent <= SILENT_WATCH_GRACE_S
-            w.discovery.publish(43, [w.servers[0].entry(status="leaving")])
-            await wait_until(lambda: not w.sidecar.engine.balancer.ready_servers)
+            environment.discovery.publish(43, [environment.servers[0].entry(status="leaving")])
+            await wait_until(lambda: not environment.sidecar.engine.balancer.ready_servers)
 
     on_virtual_clock(scenario())
 
@@ -75,17 +75,19 @@
     on_virtual_clock: RunScenario, silent_calls: int, failures: int
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served, served, drained=True) as w:
-            await fail_discovery_calls(w, failures)  # at the old place: they say nothing of the new one
+        async with running_sidecar(served, served, graceful_shutdown=True) as environment:
+            await fail_discovery_calls(
+                environment, failures
+            )  # at the old place: they say nothing of the new one
             new_discovery = FakeDiscovery()
             await new_discovery.start()
             started_at = asyncio.get_running_loop().time()
-            w.move_discovery(new_discovery.address)
-            await wait_until(lambda: len(new_discovery.targets) == silent_calls + 1)
-            assert set(new_discovery.targets) == {"/registry/instances"}  # nothing is known there yet
+            environment.move_discovery(new_discovery.address)
+            await wait_until(lambda: len(new_discovery.request_targets) == silent_calls + 1)
+            assert set(new_discovery.request_targets) == {"/registry/instances"}  # nothing is known there yet
             assert new_discovery.called_at[-1] - started_at <= RELOAD_GRACE_S + DRAIN_GRACE_S - 0.3
-            new_discovery.publish(7, [w.servers[1].entry()], snapshot=True)
-            await wait_until(lambda: "s-0" not in w.sidecar.engine.balancer.servers)
+            new_discovery.publish(7, [environment.servers[1].entry()], snapshot=True)
+            await wait_until(lambda: "s-0" not in environment.sidecar.engine.balancer.servers)
             await new_discovery.end()
 
     on_virtual_clock(scenario())
@@ -103,21 +105,21 @@
             failed.append(True)
             raise ZeroDivisionError
 
-        async with running_sidecar(served, drained=True, discovery=mode) as w:
-            await wait_until(lambda: w.discovery.targets)
-            whose: object = source_connection if where == "reading" else w.sidecar.endpoint_updates
+        async with running_sidecar(served, graceful_shutdown=True, discovery=mode) as environment:
+            await wait_until(lambda: environment.discovery.request_targets)
+            whose: object = source_connection if where == "reading" else environment.sidecar.endpoint_updates
             what = "parse_response" if where == "reading" else "apply"
             real = getattr(whose, what)
             monkeypatch.setattr(whose, what, raise_error)
             for _ in range(1 + (where == "reading")):  # the call under way reads as it was begun
-                w.discovery.publish(42, [])
+                environment.discovery.publish(42, [])
             await wait_until(lambda: failed)
             monkeypatch.setattr(whose, what, real)
-            seen = len(w.discovery.targets)
-            w.discovery.publish(43, [w.servers[0].entry(status="leaving")], snapshot=True)
-            await wait_until(lambda: not w.sidecar.engine.balancer.ready_servers)
+            seen = len(environment.discovery.request_targets)
+            environment.discovery.publish(43, [environment.servers[0].entry(status="leaving")], snapshot=True)
+            await wait_until(lambda: not environment.sidecar.engine.balancer.ready_servers)
             if where == "hearing":  # half of it may have been taken
-                assert w.discovery.targets[seen] == "/registry/instances"
+                assert environment.discovery.request_targets[seen] == "/registry/instances"
 
     on_virtual_clock(scenario())
 
@@ -129,7 +131,7 @@
         watching = DiscoveryClient([service.address], 1, lambda _: None, restart_after_s=7.0)
         watching.set_watching(True)
         service.responses.put_nowait(http_response(503, b""))
-        await wait_until(lambda: len(service.targets) == 2)
+        await wait_until(lambda: len(service.request_targets) == 2)
         assert service.called_at[1] - service.called_at[0] == pytest.approx(7.0, abs=0.1)
         await watching.close()
         watching.set_watching(True)  # after the end nothing is begun
@@ -148,10 +150,10 @@
         discovery = DiscoveryClient([old.address], 1, events.append)
         discovery.fetch()
         discovery.fetch()
-        await wait_until(lambda: len(old.targets) == 2)
+        await wait_until(lambda: len(old.request_targets) == 2)
         discovery.replace_sources([other.address])
         discovery.replace_sources([old.address])
-        await wait_until(lambda: len(old.targets) == 3)
+        await wait_until(lambda: len(old.request_targets) == 3)
         old.responses.put_nowait(http_response(503, b""))
         old.publish(7, [], snapshot=True)
         await wait_until(lambda: not discovery.is_fetching)
@@ -170,22 +172,22 @@
     on_virtual_clock: RunScenario,
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served, served, drained=True) as w:
-            await fail_discovery_calls(w, 6)
+        async with running_sidecar(served, served, graceful_shutdown=True) as environment:
+            await fail_discovery_calls(environment, 6)
             new_discovery = FakeDiscovery()
             await new_discovery.start()
             started_at = asyncio.get_running_loop().time()
-            w.move_discovery(new_discovery.address)
+            environment.move_discovery(new_discovery.address)
             for _ in range(2):
                 new_discovery.responses.put_nowait(http_response(503, b""))
-            await wait_until(lambda: len(new_discovery.targets) == 3)
+            await wait_until(lambda: len(new_discovery.request_targets) == 3)
             assert (
                 new_discovery.called_at[-1] - started_at <= 1.5
             )  # 0.5 s and 1 s at most, as at the first failures
-            new_discovery.publish(7, [w.servers[1].entry()], snapshot=True)
-            await wait_until(lambda: "s-0" not in w.sidecar.engine.balancer.servers)
-            w.move_discovery(new_discovery.address)  # where it is already: nothing begins anew
-            assert w.sidecar.discovery.source_generation == 1
+            new_discovery.publish(7, [environment.servers[1].entry()], snapshot=True)
+            await wait_until(lambda: "s-0" not in environment.sidecar.engine.balancer.servers)
+            environment.move_discovery(new_discovery.address)  # where it is already: nothing begins anew
+            assert environment.sidecar.discovery.source_generation == 1
             await new_discovery.end()
 
     on_virtual_clock(scenario())
@@ -195,14 +197,14 @@
     on_virtual_clock: RunScenario,
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served, drained=True) as w:
-            await wait_until(lambda: w.discovery.targets)
+        async with running_sidecar(served, graceful_shutdown=True) as environment:
+            await wait_until(lambda: environment.discovery.request_targets)
             new_discovery = FakeDiscovery()
             await new_discovery.start()
-            w.sidecar.discovery._notify_failure_soon(timed_out=True)  # it is told in the next turn
-            w.move_discovery(new_discovery.address)
-            await wait_until(lambda: new_discovery.targets)
-            schedule = w.sidecar.engine.balancer.components.discovery
+            environment.sidecar.discovery._notify_failure_soon(timed_out=True)  # it is told in the next turn
+            environment.move_discovery(new_discovery.address)
+            await wait_until(lambda: new_discovery.request_targets)
+            schedule = environment.sidecar.engine.balancer.components.discovery
             assert schedule.failed_calls == schedule.unanswered_watches == 0
             await new_discovery.end()
 
@@ -211,16 +213,20 @@
 
 def test_endpoint_list_older_than_the_requested_version_is_ignored(on_virtual_clock: RunScenario) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served, served, drained=True) as w:
-            gone, stays = w.servers
-            w.discovery.publish(43, [gone.entry(status="leaving")])
-            await wait_until(lambda: len(w.sidecar.engine.balancer.ready_servers) == 1)
-            w.discovery.publish(42, [gone.entry()])  # an older version of the service's list, late
-            await wait_until(lambda: w.discovery.targets[-1] == "/registry/instances")
-            assert len(w.sidecar.engine.balancer.ready_servers) == 1
-            w.discovery.publish(3, [stays.entry()], snapshot=True)  # it counts anew: the whole list is right
-            await wait_until(lambda: w.discovery.targets[-1].startswith("/registry/instances?after=3&"))
-            assert [each.name for each in w.sidecar.engine.balancer.ready_servers] == [stays.name]
+        async with running_sidecar(served, served, graceful_shutdown=True) as environment:
+            gone, stays = environment.servers
+            environment.discovery.publish(43, [gone.entry(status="leaving")])
+            await wait_until(lambda: len(environment.sidecar.engine.balancer.ready_servers) == 1)
+            environment.discovery.publish(42, [gone.entry()])  # an older version of the service's list, late
+            await wait_until(lambda: environment.discovery.request_targets[-1] == "/registry/instances")
+            assert len(environment.sidecar.engine.balancer.ready_servers) == 1
+            environment.discovery.publish(
+                3, [stays.entry()], snapshot=True
+            )  # it counts anew: the whole list is right
+            await wait_until(
+                lambda: environment.discovery.request_targets[-1].startswith("/registry/instances?after=3&")
+            )
+            assert [each.name for each in environment.sidecar.engine.balancer.ready_servers] == [stays.name]
 
     on_virtual_clock(scenario())
 
@@ -229,15 +235,17 @@
     async def scenario() -> None:
         new_discovery = FakeDiscovery()
         await new_discovery.start()
-        async with running_sidecar(hung, drained=True) as w:
-            response_task = asyncio.create_task(w.send_request(kind="pay", body=b"x", budget="1.0"))
-            await wait_until(w.sent)
-            w.stop.set()
-            w.move_discovery(new_discovery.address)
-            await wait_until(lambda: new_discovery.targets)
+        async with running_sidecar(hung, graceful_shutdown=True) as environment:
+            response_task = asyncio.create_task(
+                environment.send_request(service_class="pay", body=b"x", budget="1.0")
+            )
+            await wait_until(environment.sent)
+            environment.stop.set()
+            environment.move_discovery(new_discovery.address)
+            await wait_until(lambda: new_discovery.request_targets)
             assert (await response_task)[0] == 500
-        w.move_discovery(("127.0.0.1", 9))
-        assert not w.sidecar.discovery.is_watching
+        environment.move_discovery(("127.0.0.1", 9))
+        assert not environment.sidecar.discovery.is_watching
         await new_discovery.end()
 
     on_virtual_clock(scenario())
--- a/tests/downstream/test_client_connection.py
+++ b/tests/downstream/test_client_connection.py
@@ -32,8 +32,8 @@
 
 def test_pipelined_requests_are_answered_in_order() -> None:
     async def scenario() -> None:
-        async with running_sidecar(lambda first, *_: http_response(200, first.encode())) as w:
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+        async with running_sidecar(lambda first, *_: http_response(200, first.encode())) as environment:
+            reader, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             writer.write(b"".join(request(path=f"/api/{number}") for number in range(20)))
             for number in range(20):
                 assert f"/api/{number} " in (await read_response(reader))[2].decode()
@@ -44,15 +44,15 @@
 
 def test_longest_buffered_body_is_accepted_in_pieces() -> None:
     async def scenario() -> None:
-        async with running_sidecar(served) as w:
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+        async with running_sidecar(served) as environment:
+            reader, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             data = request("pay", body=BIG[:-1], Expect="100-continue")
             head = data.index(b"\r\n\r\n") + 4
             writer.write(data[:head])
             assert b" 100 " in await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), WAIT_TIMEOUT_S)
             writer.write(data[head:])
             assert (await read_response(reader))[0] == 200
-            assert w.sent()[0][2] == BIG[:-1]
+            assert environment.sent()[0][2] == BIG[:-1]
             writer.close()
 
     run_scenario(scenario())
@@ -69,8 +69,8 @@
     monkeypatch.setattr(request_deadline, "REQUEST_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
-        async with running_sidecar(served) as w:
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+        async with running_sidecar(served) as environment:
+            reader, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             if used:
                 writer.write(request())
                 assert (await read_response(reader))[0] == 200
@@ -93,16 +93,16 @@
     monkeypatch.setattr(client_transport, "STALL_TIMEOUT_S", 0.1)
 
     async def scenario() -> None:
-        async with running_sidecar(lambda *_: http_response(200, bytes(60_000))) as w:
+        async with running_sidecar(lambda *_: http_response(200, bytes(60_000))) as environment:
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
             sock.setblocking(False)
-            await asyncio.get_running_loop().sock_connect(sock, w.sidecar.frontend.address)
+            await asyncio.get_running_loop().sock_connect(sock, environment.sidecar.frontend.address)
             for _ in range(200):
                 with contextlib.suppress(BlockingIOError):
                     sock.send(request())
-            await wait_until(lambda: w.sidecar.frontend.connections)
-            await wait_until(lambda: not w.sidecar.frontend.connections)
+            await wait_until(lambda: environment.sidecar.frontend.connections)
+            await wait_until(lambda: not environment.sidecar.frontend.connections)
             sock.close()
 
     run_scenario(scenario())
@@ -112,8 +112,8 @@
     monkeypatch.setattr(request_deadline, "REQUEST_TIMEOUT_S", 0.05)
 
     async def scenario() -> None:
-        async with running_sidecar(lambda *_: None) as w:
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+        async with running_sidecar(lambda *_: None) as environment:
+            reader, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             writer.write(request("pay", body=b"x", budget="0.4"))
             assert (await read_response(reader))[0] == 500
             writer.close()
@@ -124,10 +124,10 @@
 def test_connection_with_an_unread_request_is_not_idle() -> None:
     # Guards against closing a connection under a request that was taken by the kernel, not yet by us.
     async def scenario() -> None:
-        async with running_sidecar(served) as w:
-            _, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
-            await wait_until(lambda: w.sidecar.frontend.connections)
-            connection: ClientConnection = next(iter(w.sidecar.frontend.connections))
+        async with running_sidecar(served) as environment:
+            _, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
+            await wait_until(lambda: environment.sidecar.frontend.connections)
+            connection: ClientConnection = next(iter(environment.sidecar.frontend.connections))
             assert connection.is_idle()
             peer = writer.get_extra_info("socket")
             peer_fd = socket.socket(fileno=socket.dup(peer.fileno()))
@@ -142,8 +142,8 @@
 def test_rejection_arrives_while_the_body_is_still_being_sent() -> None:
     # Guards against closing on unread bytes, which resets the connection and the answer with it.
     async def scenario() -> None:
-        async with running_sidecar(served) as w:
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+        async with running_sidecar(served) as environment:
+            reader, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             writer.write(request("pay", body=BIG * 64, Content_Length=str(MAX_REQUEST_BODY_BYTES + 1)))
             with contextlib.suppress(ConnectionError):
                 await writer.drain()
@@ -156,10 +156,10 @@
 
 def test_exception_in_the_request_handler_fails_only_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served) as w:
-            monkeypatch.setattr(w.sidecar.frontend.handler, "request_received", None)
-            assert (await w.send_request())[0] == 500
+        async with running_sidecar(served) as environment:
+            monkeypatch.setattr(environment.sidecar.frontend.handler, "request_received", None)
+            assert (await environment.send_request())[0] == 500
             monkeypatch.undo()
-            assert (await w.send_request())[0] == 200
+            assert (await environment.send_request())[0] == 200
 
     run_scenario(scenario())
--- a/tests/downstream/test_client_disconnects.py
+++ b/tests/downstream/test_client_disconnects.py
@@ -15,9 +15,7 @@
     unresponsive_listener,
     wait_until,
 )
-from sidecar_balancer.policy.types import ServerState
-from sidecar_balancer.upstream import dialing, endpoint_pool
-from timed_scenes import (
+from scenario_helpers import (
     DISCONNECT_GRACE_S,
     DISCONNECT_KINDS,
     PIPELINED_INPUT,
@@ -25,10 +23,12 @@
     hung,
     nothing_in_flight,
     served,
+    sidecar_with_unreading_server,
     wait_until_nothing_in_flight,
-    world_with_unreading_server,
 )
-from virtual import RunScenario, stall
+from sidecar_balancer.policy.types import ServerState
+from sidecar_balancer.upstream import dialing, endpoint_pool
+from virtual_clock import RunScenario, stall
 
 
 @pytest.mark.parametrize("how", DISCONNECT_KINDS)
@@ -37,16 +37,16 @@
     on_virtual_clock: RunScenario, how: str, kind: str
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served, served, drained=True) as w:
-            assert (await w.send_request())[0] == 200  # a connection to a server is there
-            client = RawClient(w)
+        async with running_sidecar(served, served, graceful_shutdown=True) as environment:
+            assert (await environment.send_request())[0] == 200  # a connection to a server is there
+            client = RawClient(environment)
             client.send(request(kind, body=b"" if kind == "look" else b"x"))
-            client.leave(how)
+            client.disconnect(how)
             stall(1.0)  # the sidecar stands still, or leaves it in the queue of connections
-            await wait_until(lambda: len(w.sidecar.frontend.connections) == 1)
-            await wait_until(lambda: not w.sidecar.frontend.connections)
-            assert len(w.sent()) == 1
-            assert nothing_in_flight(w)()
+            await wait_until(lambda: len(environment.sidecar.frontend.connections) == 1)
+            await wait_until(lambda: not environment.sidecar.frontend.connections)
+            assert len(environment.sent()) == 1
+            assert nothing_in_flight(environment)()
             client.sock.close()
 
     on_virtual_clock(scenario())
@@ -57,14 +57,14 @@
     async def scenario() -> None:
         limits = {"max_attempts": 3, "may_cancel": False, "dial_timeout_us": 600_000_000}
         with unresponsive_listener() as address:
-            async with running_sidecar(served, drained=True, limits=limits) as w:
-                w.sidecar.endpoint_pool.update("s-0", address, None, ServerState.READY)
-                client = RawClient(w)
+            async with running_sidecar(served, graceful_shutdown=True, limits=limits) as environment:
+                environment.sidecar.endpoint_pool.update("s-0", address, None, ServerState.READY)
+                client = RawClient(environment)
                 client.send(request("pay", body=b"x", budget="1.9"))
-                await wait_until(lambda: w.sidecar.endpoint_pool.open_count == 1)
-                client.leave(how)
-                await wait_until_nothing_in_flight(w)
-                assert w.sidecar.endpoint_pool.open_count == 0
+                await wait_until(lambda: environment.sidecar.endpoint_pool.open_count == 1)
+                client.disconnect(how)
+                await wait_until_nothing_in_flight(environment)
+                assert environment.sidecar.endpoint_pool.open_count == 0
                 client.sock.close()
 
     on_virtual_clock(scenario())
@@ -82,18 +82,18 @@
             await up.wait()
             return connection
 
-        async with running_sidecar(served, served, drained=True) as w:
+        async with running_sidecar(served, served, graceful_shutdown=True) as environment:
             monkeypatch.setattr(endpoint_pool, "connect", late)
-            client = RawClient(w)
+            client = RawClient(environment)
             client.send(request())
-            await wait_until(lambda: w.sidecar.endpoint_pool.open_count == 1)
-            (connection,) = w.sidecar.frontend.connections
+            await wait_until(lambda: environment.sidecar.endpoint_pool.open_count == 1)
+            (connection,) = environment.sidecar.frontend.connections
             assert connection._transport is not None
             connection._transport.pause_reading()  # nothing but the dial's end can see it leave
-            client.leave(how)
+            client.disconnect(how)
             up.set()
-            await wait_until_nothing_in_flight(w)
-            assert not w.sent()
+            await wait_until_nothing_in_flight(environment)
+            assert not environment.sent()
             client.sock.close()
 
     on_virtual_clock(scenario())
@@ -106,17 +106,17 @@
     on_virtual_clock: RunScenario, how: str, ahead: bytes, end: bytes
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(hung, hung, drained=True) as w:
-            client = RawClient(w)
+        async with running_sidecar(hung, hung, graceful_shutdown=True) as environment:
+            client = RawClient(environment)
             client.send(request())
-            await wait_until(w.sent)
+            await wait_until(environment.sent)
             client.send(ahead)
             await asyncio.sleep(0.05)
-            (there,) = [each for each in w.servers if each.requests]
+            (there,) = [each for each in environment.servers if each.requests]
             there.writers[-1].write(end)  # it comes first, and its client's leaving right behind
-            client.leave(how)
-            await wait_until_nothing_in_flight(w)
-            assert len(w.sent()) == 1
+            client.disconnect(how)
+            await wait_until_nothing_in_flight(environment)
+            assert len(environment.sent()) == 1
             client.sock.close()
 
     on_virtual_clock(scenario())
@@ -129,22 +129,22 @@
 ) -> None:
     async def scenario() -> None:
         limits = {"max_attempts": 3, "may_cancel": may_cancel}
-        async with running_sidecar(hung, hung, drained=True, limits=limits) as w:
-            client = RawClient(w)
+        async with running_sidecar(hung, hung, graceful_shutdown=True, limits=limits) as environment:
+            client = RawClient(environment)
             client.send(request("pay", body=b"x") + PIPELINED_INPUT)
-            await wait_until(w.sent)
+            await wait_until(environment.sent)
             await asyncio.sleep(0.25)
-            client.leave(how)
+            client.disconnect(how)
             started_at = asyncio.get_running_loop().time()
-            await wait_until(lambda: not w.sidecar.proxy.by_client_request)
+            await wait_until(lambda: not environment.sidecar.proxy.by_client_request)
             assert asyncio.get_running_loop().time() - started_at < DISCONNECT_GRACE_S
-            (there,) = [each for each in w.servers if each.requests]
+            (there,) = [each for each in environment.servers if each.requests]
             if may_cancel:
                 await wait_until(lambda: there.closed == 1)
             else:  # what is whole at a server stays there, and is not repeated
                 there.writers[-1].write(http_response(503, b"", X_Rejected="1"))
-            await wait_until(nothing_in_flight(w))
-            assert len(w.sent()) == 1
+            await wait_until(nothing_in_flight(environment))
+            assert len(environment.sent()) == 1
             client.sock.close()
 
     on_virtual_clock(scenario())
@@ -157,17 +157,17 @@
     on_virtual_clock: RunScenario, how: str, behind: int
 ) -> None:
     async def scenario() -> None:
-        async with world_with_unreading_server() as (w, server):
-            client = RawClient(w)
+        async with sidecar_with_unreading_server() as (environment, server):
+            client = RawClient(environment)
             client.send(request("pay", Content_Length="30000000"))
-            await wait_until(lambda: w.sidecar.frontend.connections)
-            connection = next(iter(w.sidecar.frontend.connections))
+            await wait_until(lambda: environment.sidecar.frontend.connections)
+            connection = next(iter(environment.sidecar.frontend.connections))
             while not connection._reading_paused:
-                client.send_some(bytes(65_536))
+                client.send_without_blocking(bytes(65_536))
                 await asyncio.sleep(0)
-            client.send_some(bytes(behind))
-            client.leave(how)
-            await wait_until_nothing_in_flight(w)
+            client.send_without_blocking(bytes(behind))
+            client.disconnect(how)
+            await wait_until_nothing_in_flight(environment)
             server.resume_reading.set()
             await wait_until(lambda: server.ended)
             client.sock.close()
@@ -181,15 +181,17 @@
     size = 8_000_000  # more than the kernel holds on the way: nobody can see yet that the client has left
 
     async def scenario() -> None:
-        async with world_with_unreading_server() as (w, server):
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+        async with sidecar_with_unreading_server() as (environment, server):
+            reader, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             writer.write(request("pay", Content_Length=str(size)) + bytes(size))
-            await wait_until(lambda: any(each._reading_paused for each in w.sidecar.frontend.connections))
+            await wait_until(
+                lambda: any(each._reading_paused for each in environment.sidecar.frontend.connections)
+            )
             writer.close()  # once all is with the kernel
             server.resume_reading.set()
             await wait_until(lambda: server.ended)
             assert not b"".join(server.received).endswith(bytes(size))
-            await wait_until(nothing_in_flight(w))
+            await wait_until(nothing_in_flight(environment))
             assert await reader.read() == b""
 
     on_virtual_clock(scenario())
@@ -200,15 +202,15 @@
     on_virtual_clock: RunScenario, how: str
 ) -> None:
     async def scenario() -> None:
-        async with world_with_unreading_server() as (w, server):
+        async with sidecar_with_unreading_server() as (environment, server):
             server.resume_reading.set()
-            client = RawClient(w)
+            client = RawClient(environment)
             data = request("pay", body=bytes(100_000))
             client.send(data[:-1])
             await wait_until(lambda: server.received)
             client.send(data[-1:])
-            client.leave(how)
-            await wait_until_nothing_in_flight(w)
+            client.disconnect(how)
+            await wait_until_nothing_in_flight(environment)
             await wait_until(lambda: server.ended)
             assert not b"".join(server.received).endswith(bytes(100_000))
             client.sock.close()
@@ -220,15 +222,17 @@
     on_virtual_clock: RunScenario,
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(hung, drained=True) as w:
-            client = RawClient(w)
+        async with running_sidecar(hung, graceful_shutdown=True) as environment:
+            client = RawClient(environment)
             client.send(request() + PIPELINED_INPUT)
-            await wait_until(w.sent)
-            await wait_until(lambda: any(each._discarded_bytes for each in w.sidecar.frontend.connections))
-            w.servers[0].writers[-1].write(http_response(200, b"served"))
-            await wait_until(nothing_in_flight(w))
+            await wait_until(environment.sent)
+            await wait_until(
+                lambda: any(each._discarded_bytes for each in environment.sidecar.frontend.connections)
+            )
+            environment.servers[0].writers[-1].write(http_response(200, b"served"))
+            await wait_until(nothing_in_flight(environment))
             client.sock.shutdown(socket.SHUT_WR)
-            await wait_until(lambda: not w.sidecar.frontend.connections)
+            await wait_until(lambda: not environment.sidecar.frontend.connections)
             got = client.sock.recv(10_000)
             assert got.startswith(b"HTTP/1.1 200")
             assert b"Connection: close" in got
@@ -240,14 +244,14 @@
 
 def test_pipelined_request_is_not_forwarded_after_its_client_left(on_virtual_clock: RunScenario) -> None:
     async def scenario() -> None:
-        async with running_sidecar(hung, hung, drained=True) as w:
-            client = RawClient(w)
+        async with running_sidecar(hung, hung, graceful_shutdown=True) as environment:
+            client = RawClient(environment)
             client.send(request() + request())
-            await wait_until(w.sent)
-            (there,) = [each for each in w.servers if each.requests]
+            await wait_until(environment.sent)
+            (there,) = [each for each in environment.servers if each.requests]
             there.writers[-1].write(http_response(200, b"served"))
-            client.leave("close")
-            await wait_until_nothing_in_flight(w)
-            assert len(w.sent()) == 1
+            client.disconnect("close")
+            await wait_until_nothing_in_flight(environment)
+            assert len(environment.sent()) == 1
 
     on_virtual_clock(scenario())
--- a/tests/downstream/test_frontend.py
+++ b/tests/downstream/test_frontend.py
@@ -33,12 +33,12 @@
 def test_connection_beyond_the_bound_replaces_an_idle_one() -> None:
     # Guards the descriptors: 66 sockets leave one for clients.
     async def scenario() -> None:
-        async with running_sidecar(served, sockets=66) as w:
-            first, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+        async with running_sidecar(served, sockets=66) as environment:
+            first, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             writer.write(request())
             assert (await read_response(first))[0] == 200
             for _ in range(3):
-                assert (await w.send_request())[0] == 200
+                assert (await environment.send_request())[0] == 200
             assert await is_closed(first)
             writer.close()
 
@@ -60,17 +60,17 @@
 
     async def scenario() -> None:
         max_connections, flood = 100, 300
-        async with running_sidecar(served, sockets=64 + 2 * max_connections) as w:
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+        async with running_sidecar(served, sockets=64 + 2 * max_connections) as environment:
+            reader, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             writer.write(request())
             assert (await read_response(reader))[0] == 200
             monkeypatch.setattr(client_connection, "has_no_unread_input", counted)
             with contextlib.ExitStack() as clients:
                 for _ in range(flood):
-                    clients.enter_context(socket.create_connection(w.sidecar.frontend.address))
+                    clients.enter_context(socket.create_connection(environment.sidecar.frontend.address))
                     await asyncio.sleep(0)
-                await wait_until(lambda: not w.sidecar.frontend._open_tasks)
-                assert len(w.sidecar.frontend.connections) == max_connections
+                await wait_until(lambda: not environment.sidecar.frontend._open_tasks)
+                assert len(environment.sidecar.frontend.connections) == max_connections
                 assert checks <= 2 * flood
             writer.close()
 
--- a/tests/downstream/test_request.py
+++ b/tests/downstream/test_request.py
@@ -46,11 +46,11 @@
 )
 def test_malformed_request_is_rejected_and_never_forwarded(data: bytes, status: int) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served) as w:
-            got, _, _ = await send_request(w.sidecar.frontend.address, data)
+        async with running_sidecar(served) as environment:
+            got, _, _ = await send_request(environment.sidecar.frontend.address, data)
             assert got == status
-            assert (await w.send_request())[0] == 200  # and the sidecar goes on
-            assert len(w.sent()) == 1
+            assert (await environment.send_request())[0] == 200  # and the sidecar goes on
+            assert len(environment.sent()) == 1
 
     run_scenario(scenario())
 
@@ -71,13 +71,13 @@
     data: bytes, status: int
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served, tenants=[{"name": "acme"}]) as w:
-            events = w.record_events()
-            assert (await send_request(w.sidecar.frontend.address, data))[0] == status
+        async with running_sidecar(served, tenants=[{"name": "acme"}]) as environment:
+            events = environment.record_events()
+            assert (await send_request(environment.sidecar.frontend.address, data))[0] == status
             assert not any(isinstance(each, RequestReceived) for each in events)
-            assert not w.sent()
-            assert (await w.send_request(X_Caller="acme"))[0] == 200
-            assert sum(isinstance(each, RequestReceived) for each in events) == len(w.sent()) == 1
+            assert not environment.sent()
+            assert (await environment.send_request(X_Caller="acme"))[0] == 200
+            assert sum(isinstance(each, RequestReceived) for each in events) == len(environment.sent()) == 1
 
     run_scenario(scenario())
 
@@ -94,8 +94,8 @@
     data: bytes, is_kept: bool
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served) as w:
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+        async with running_sidecar(served) as environment:
+            reader, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             writer.write(data)
             assert (await read_response(reader))[0] in (400, 413)
             if is_kept:
@@ -123,13 +123,13 @@
 @pytest.mark.parametrize("head", AMBIGUOUS.values(), ids=AMBIGUOUS)
 def test_nothing_is_read_after_a_head_with_ambiguous_framing(head: bytes) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served) as w:
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+        async with running_sidecar(served) as environment:
+            reader, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             writer.write(head + b"0\r\n\r\n" + INNER)
             assert (await read_response(reader))[0] == 400
             assert await is_closed(reader)
             writer.close()
-            assert not w.sent()
+            assert not environment.sent()
 
     run_scenario(scenario())
 
@@ -137,9 +137,9 @@
 def test_remaining_time_is_capped_by_the_deadline_of_the_class() -> None:
     # Guards the memory: what is kept for a request is kept as long as it claims to have.
     async def scenario() -> None:
-        async with running_sidecar(served) as w:
-            events = w.record_events()
-            assert (await w.send_request(budget="1e9"))[0] == 200
+        async with running_sidecar(served) as environment:
+            events = environment.record_events()
+            assert (await environment.send_request(budget="1e9"))[0] == 200
             assert [each.remaining_us for each in events if isinstance(each, RequestReceived)] == [2_000_000]
 
     run_scenario(scenario())
@@ -147,8 +147,8 @@
 
 def test_http_1_0_client_without_host_is_served() -> None:
     async def scenario() -> None:
-        async with running_sidecar(served) as w:
+        async with running_sidecar(served) as environment:
             data = request(Host=None).replace(b"HTTP/1.1", b"HTTP/1.0")
-            assert (await send_request(w.sidecar.frontend.address, data))[0] == 200
+            assert (await send_request(environment.sidecar.frontend.address, data))[0] == 200
 
     run_scenario(scenario())
--- a/tests/downstream/test_upload_streaming.py
+++ b/tests/downstream/test_upload_streaming.py
@@ -17,7 +17,17 @@
     running_sidecar,
     wait_until,
 )
-from raw_server import HUGE, LONG, Reader, Writer, chunked, dial, read_chunked, read_head, streaming
+from raw_server import (
+    HUGE_BODY_BYTES,
+    LONG_BODY,
+    Reader,
+    Writer,
+    chunked,
+    connect_client,
+    read_chunked,
+    read_head,
+    sidecar_with_raw_server,
+)
 from sidecar_balancer.downstream import client_connection
 from sidecar_balancer.downstream.client_connection import ClientConnection
 from sidecar_balancer.policy.events import AttemptEnded, RequestReceived
@@ -33,29 +43,29 @@
             body = await read_chunked(reader)
         else:
             body = await reader.readexactly(int(head.split("content-length: ")[1].split("\r")[0]))
-        writer.write(http_response(200, b"whole" if body == LONG else b"not whole"))
+        writer.write(http_response(200, b"whole" if body == LONG_BODY else b"not whole"))
 
 
 @pytest.mark.parametrize("form", ["length", "chunks", "small chunks", "expect"])
 def test_long_request_body_arrives_complete_with_every_framing(form: str) -> None:
     async def scenario() -> None:
-        async with streaming(served_upload) as (w, _):
-            events = w.record_events()
-            reader, writer = await dial(w)
+        async with sidecar_with_raw_server(served_upload) as (environment, _):
+            events = environment.record_events()
+            reader, writer = await connect_client(environment)
             if "chunks" in form:
                 data = request("pay", Content_Length=None, Transfer_Encoding="chunked")
-                data += chunked(LONG, 300 if "small" in form else 100_000)
+                data += chunked(LONG_BODY, 300 if "small" in form else 100_000)
             elif form == "expect":
-                writer.write(request("pay", Content_Length=str(len(LONG)), Expect="100-continue"))
+                writer.write(request("pay", Content_Length=str(len(LONG_BODY)), Expect="100-continue"))
                 assert (await read_head(reader)).startswith("http/1.1 100")
-                data = LONG
+                data = LONG_BODY
             else:
-                data = request("pay", body=LONG)
+                data = request("pay", body=LONG_BODY)
             writer.write(data)
             assert "200 ok" in await read_head(reader)
             assert await reader.readexactly(5) == b"whole"
             assert [each.body_open for each in events if isinstance(each, RequestReceived)] == [True]
-            writer.write(request("pay", body=LONG))  # the connection goes on
+            writer.write(request("pay", body=LONG_BODY))  # the connection goes on
             assert "200 ok" in await read_head(reader)
             writer.close()
 
@@ -64,17 +74,17 @@
 
 def test_deadline_starts_with_the_last_byte_of_the_body() -> None:
     async def scenario() -> None:
-        async with streaming(served_upload) as (w, _):
-            reader, writer = await dial(w)
-            data = request("pay", body=LONG)
+        async with sidecar_with_raw_server(served_upload) as (environment, _):
+            reader, writer = await connect_client(environment)
+            data = request("pay", body=LONG_BODY)
             writer.write(data[:-1])
             await wait_until(
                 lambda: (
-                    w.sidecar.proxy.in_flight
-                    and next(iter(w.sidecar.proxy.in_flight.values())).attempts.get(0)
+                    environment.sidecar.proxy.in_flight
+                    and next(iter(environment.sidecar.proxy.in_flight.values())).attempts.get(0)
                 )
             )
-            live = next(iter(w.sidecar.proxy.in_flight.values()))
+            live = next(iter(environment.sidecar.proxy.in_flight.values()))
             attempt = live.attempts[0]
             assert attempt is not None
             assert attempt.deadline == math.inf
@@ -95,20 +105,20 @@
     async def script(reader: Reader, writer: Writer) -> None:
         await resume_reading.wait()
         head = await read_head(reader)
-        assert f"content-length: {HUGE}" in head
-        remaining = HUGE
+        assert f"content-length: {HUGE_BODY_BYTES}" in head
+        remaining = HUGE_BODY_BYTES
         while remaining:
             remaining -= len(await reader.read(1_000_000))
         writer.write(http_response(200, b"served"))
         await reader.read()
 
     async def scenario() -> None:
-        async with streaming(script) as (w, _):
-            reader, writer = await dial(w)
-            writer.write(request("pay", Content_Length=str(HUGE)))
-            sending = asyncio.create_task(send(writer, HUGE))
-            await wait_until(lambda: w.sidecar.frontend.connections)
-            connection = next(iter(w.sidecar.frontend.connections))
+        async with sidecar_with_raw_server(script) as (environment, _):
+            reader, writer = await connect_client(environment)
+            writer.write(request("pay", Content_Length=str(HUGE_BODY_BYTES)))
+            sending = asyncio.create_task(send(writer, HUGE_BODY_BYTES))
+            await wait_until(lambda: environment.sidecar.frontend.connections)
+            connection = next(iter(environment.sidecar.frontend.connections))
             await wait_until(lambda: connection._reading_paused)
             assert connection._upload is not None
             assert len(connection._upload._buffer) <= MAX_BUFFERED_BODY_BYTES + 64 * 1024
@@ -133,10 +143,10 @@
         reset_connection(writer)
 
     async def scenario() -> None:
-        async with streaming(script) as (w, server):
-            events = w.record_events()
-            reader, writer = await dial(w)
-            writer.write(request("pay", body=LONG)[:-1])
+        async with sidecar_with_raw_server(script) as (environment, server):
+            events = environment.record_events()
+            reader, writer = await connect_client(environment)
+            writer.write(request("pay", body=LONG_BODY)[:-1])
             # It never ran: a refusal says so, and it comes while the body is still being sent.
             assert "503" in await read_head(reader)
             assert server.connections == 1
@@ -154,9 +164,9 @@
         await reader.read()
 
     async def scenario() -> None:
-        async with streaming(script) as (w, _):
-            reader, writer = await dial(w)
-            writer.write(request("pay", body=LONG)[:-1])
+        async with sidecar_with_raw_server(script) as (environment, _):
+            reader, writer = await connect_client(environment)
+            writer.write(request("pay", body=LONG_BODY)[:-1])
             assert "503" in await read_head(reader)
             writer.close()
 
@@ -171,15 +181,15 @@
             received.append(await reader.read(-1))
 
     async def scenario() -> None:
-        async with streaming(script) as (w, _):
-            _, writer = await dial(w)
-            writer.write(request("pay", body=LONG)[:-1])
-            await wait_until(lambda: w.sidecar.endpoint_pool._body_memory.active_streams == 1)
+        async with sidecar_with_raw_server(script) as (environment, _):
+            _, writer = await connect_client(environment)
+            writer.write(request("pay", body=LONG_BODY)[:-1])
+            await wait_until(lambda: environment.sidecar.endpoint_pool._body_memory.active_streams == 1)
             writer.close()
-            await wait_until(lambda: not w.sidecar.proxy.in_flight)
+            await wait_until(lambda: not environment.sidecar.proxy.in_flight)
             assert (
-                w.sidecar.endpoint_pool._body_memory.active_streams
-                == w.sidecar.endpoint_pool._body_memory.buffered_bytes
+                environment.sidecar.endpoint_pool._body_memory.active_streams
+                == environment.sidecar.endpoint_pool._body_memory.buffered_bytes
                 == 0
             )
 
@@ -190,10 +200,10 @@
     monkeypatch.setattr(client_connection, "MAX_REQUEST_BODY_BYTES", 500_000)
 
     async def scenario() -> None:
-        async with streaming(served_upload) as (w, _):
-            reader, writer = await dial(w)
+        async with sidecar_with_raw_server(served_upload) as (environment, _):
+            reader, writer = await connect_client(environment)
             writer.write(request("pay", Content_Length=None, Transfer_Encoding="chunked"))
-            writer.write(chunked(LONG, 100_000))
+            writer.write(chunked(LONG_BODY, 100_000))
             assert "413" in await read_head(reader)
             assert await asyncio.wait_for(reader.read(), WAIT_TIMEOUT_S) == b"the body is too large\n"
             writer.close()
@@ -203,11 +213,11 @@
 
 def test_body_deadline_allows_a_slow_body_but_no_stall() -> None:
     async def scenario() -> None:
-        async with running_sidecar(lambda *_: None) as w:
-            _, writer = await dial(w)
-            await wait_until(lambda: w.sidecar.frontend.connections)
-            connection: ClientConnection = next(iter(w.sidecar.frontend.connections))
-            writer.write(request("pay", body=LONG)[:-1])
+        async with running_sidecar(lambda *_: None) as environment:
+            _, writer = await connect_client(environment)
+            await wait_until(lambda: environment.sidecar.frontend.connections)
+            connection: ClientConnection = next(iter(environment.sidecar.frontend.connections))
+            writer.write(request("pay", body=LONG_BODY)[:-1])
             await wait_until(lambda: connection._head is not None)
             deadline = connection._deadline
             deadline.awaited_since = 100.0
--- a/tests/policy/test_overrides.py
+++ b/tests/policy/test_overrides.py
@@ -198,7 +198,7 @@
     def served(seed: int) -> BalancerDriver:
         driver = BalancerDriver(seed=seed)
         driver.receive_list(SERVERS)
-        driver.serve_traffic(300, every_us=10 * MS)
+        driver.serve_traffic(300, interval_us=10 * MS)
         return driver
 
     alone = attempts_at_warming_server([served(seed)])
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -173,7 +173,7 @@
 def test_a_busy_balancer_uses_all_servers() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(30))
-    driver.serve_traffic(2_000, every_us=5 * MS, taking_us=250 * MS)
+    driver.serve_traffic(2_000, interval_us=5 * MS, latency_us=250 * MS)
     assert len({attempt.server for _, attempt in driver.attempts()}) == 30
 
 
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -19,7 +19,7 @@
 def test_a_warming_server_gets_no_more_than_its_share(every_us: int, burst: int) -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(6))
-    driver.serve_traffic(300, every_us=10 * MS)
+    driver.serve_traffic(300, interval_us=10 * MS)
     capacity_per_s = 100 / 6
     began = driver.now
     warming = ListedServer("10.0.0.6:80", zone="east", started_at=began)
@@ -54,7 +54,7 @@
 def test_the_capacity_estimate_outlasts_an_outage_of_the_warm_servers() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(5))
-    driver.serve_traffic(200, every_us=10 * MS)
+    driver.serve_traffic(200, interval_us=10 * MS)
     driver.receive_list([ListedServer("10.0.0.9:80", zone="east", started_at=driver.now)], ListKind.DELTA)
     driver.request()
     served = driver.balancer.components.slow_start.estimate_capacity(driver.now)
@@ -84,7 +84,7 @@
     for seed in range(40):
         driver = BalancerDriver(seed=seed)
         driver.receive_list(server_names(5))
-        driver.serve_traffic(40, every_us=200 * MS)  # one request a second to each server
+        driver.serve_traffic(40, interval_us=200 * MS)  # one request a second to each server
         driver.receive_list([ListedServer("10.0.0.9:80", zone="east", started_at=driver.now)], ListKind.DELTA)
         began, server = driver.now, driver.balancer.servers["10.0.0.9:80"]
         while not driver.balancer.components.slow_start.has_capacity(driver.now, server, 1.0):
--- a/tests/relay/test_bounds.py
+++ b/tests/relay/test_bounds.py
@@ -12,7 +12,7 @@
 from registry import FakeRegistry, entry
 from relay_tier import READINESS_REQUEST, RelayTier, list_request, relay_tier
 from sidecar_balancer.relay.config import RelayLimits
-from virtual import RunScenario
+from virtual_clock import RunScenario
 
 
 @pytest.mark.parametrize(
@@ -44,7 +44,7 @@
             assert received == status
             assert tier.relays[0].service.counters.rejected == (status != 200)
             tier.registry.change(entry("s-0", status="leaving"))
-            await tier.in_force("s-0", "leaving", within_s=1.0)
+            await tier.wait_until_in_force("s-0", "leaving", within_s=1.0)
 
     on_virtual_clock(scenario())
 
@@ -114,7 +114,7 @@
                     await asyncio.sleep(0.001)
                 assert relay.service.connection_count <= 21
                 tier.registry.change(entry("s-0", status="leaving"))
-                await tier.in_force("s-0", "leaving")
+                await tier.wait_until_in_force("s-0", "leaving")
             assert relay.service.counters.over_capacity > 50
 
     on_virtual_clock(scenario())
--- a/tests/relay/test_failover.py
+++ b/tests/relay/test_failover.py
@@ -8,10 +8,10 @@
 
 from loopback import http_response, send_request, wait_until
 from registry import entry
-from relay_tier import CHANGE_IN_FORCE_S, list_request, relay_tier
+from relay_tier import CHANGE_IN_FORCE_LIMIT_S, list_request, relay_tier
 from sidecar_balancer.discovery import sources, watch_state
 from sidecar_balancer.relay import connection as relay_connection
-from virtual import RunScenario
+from virtual_clock import RunScenario
 
 
 def now() -> float:
@@ -28,7 +28,7 @@
                 tier.registry.change(entry("s-1", since_ms=1 + number))
                 await asyncio.sleep(1.0)
             tier.registry.change(entry("s-1", status="leaving"))
-            await tier.in_force("s-1", "leaving", within_s=0.5)
+            await tier.wait_until_in_force("s-1", "leaving", within_s=0.5)
             elapsed_s = now() - started_at
             # Of each relay a request each 0.6 s at least, and one after each change.
             assert tier.registry.request_count - request_count <= 2 * (elapsed_s / 0.6 + 6 + 2)
@@ -47,7 +47,7 @@
             for number in range(100):
                 tier.registry.change(entry(f"s-{number}", status="leaving"))
                 await asyncio.sleep(0.01)
-            await tier.in_force("s-99", "leaving")
+            await tier.wait_until_in_force("s-99", "leaving")
             assert counters.deltas - deltas_before <= 4 * 8  # of 400
 
     on_virtual_clock(scenario())
@@ -58,7 +58,7 @@
         async with relay_tier(relays=3) as tier:
             await tier.kill_relay(0)
             tier.registry.change(entry("s-0", status="leaving"))
-            await tier.in_force("s-0", "leaving", within_s=1.0)
+            await tier.wait_until_in_force("s-0", "leaving", within_s=1.0)
             assert not any(sidecar.failure_count for sidecar in tier.sidecars)
 
     on_virtual_clock(scenario())
@@ -72,7 +72,7 @@
             for relay in tier.relays[:2]:  # as if stopped: they accept requests and respond to none
                 monkeypatch.setattr(relay.service, "_send", lambda *_: None)
             tier.registry.change(entry("s-0", status="leaving"))
-            await tier.in_force("s-0", "leaving")
+            await tier.wait_until_in_force("s-0", "leaving")
 
     on_virtual_clock(scenario())
 
@@ -83,7 +83,7 @@
             partitioned, connected = tier.relays
             await partitioned.discovery.close()  # it hears no more, and its sidecars still reach it
             tier.registry.change(entry("s-0", status="leaving"))
-            await tier.in_force("s-0", "leaving")
+            await tier.wait_until_in_force("s-0", "leaving")
             used = {sidecar.client.status().address for sidecar in tier.sidecars}
             assert used == {"{}:{}".format(*connected.address())}
             status, headers, _ = await send_request(partitioned.address(), list_request())
@@ -106,7 +106,7 @@
             assert tier.requests_served() - requests_before <= 6 * 30 * 2.5
             await tier.registry.start()
             tier.registry.change(entry("s-0", status="leaving"))
-            await tier.in_force("s-0", "leaving")
+            await tier.wait_until_in_force("s-0", "leaving")
 
     on_virtual_clock(scenario())
 
@@ -119,11 +119,11 @@
             tier.registry.restart(5, [entry("s-1"), entry("s-2")])
             await asyncio.sleep(1.0)
             await tier.registry.start()
-            await tier.in_force("s-0", None)
-            await tier.in_force("s-2", "active")
+            await tier.wait_until_in_force("s-0", None)
+            await tier.wait_until_in_force("s-2", "active")
             assert all(sidecar.versions[-1] == 5 for sidecar in tier.sidecars)
             tier.registry.change(entry("s-1", status="leaving"))
-            await tier.in_force("s-1", "leaving", within_s=1.0)
+            await tier.wait_until_in_force("s-1", "leaving", within_s=1.0)
             # The callers' tags are known: they receive what changed, not the full list.
             assert tier.snapshots_sent() == snapshots_before
 
@@ -135,7 +135,7 @@
         async with relay_tier(relays=2) as tier:
             address = await tier.kill_relay(0)
             tier.registry.change(entry("s-0", status="leaving"))
-            await tier.in_force("s-0", "leaving", within_s=1.0)
+            await tier.wait_until_in_force("s-0", "leaving", within_s=1.0)
             restarted = await tier.add_relay([tier.registry.address], address)
             await asyncio.sleep(70.0)
             preferred = "{}:{}".format(*address)
@@ -144,7 +144,7 @@
             # They hold the list that it has: by its tag none is sent in full.
             assert restarted.service.counters.snapshots == 0
             tier.registry.change(entry("s-1", status="leaving"))
-            await tier.in_force("s-1", "leaving", within_s=1.0)
+            await tier.wait_until_in_force("s-1", "leaving", within_s=1.0)
 
     on_virtual_clock(scenario())
 
@@ -155,7 +155,7 @@
             behind = tier.relays[1]
             await behind.discovery.close()
             changed_index = tier.registry.change(entry("s-0", status="leaving"))
-            await tier.in_force("s-0", "leaving")
+            await tier.wait_until_in_force("s-0", "leaving")
             await tier.kill_relay(0)  # the only relay left is behind
             await asyncio.sleep(10.0)
             assert all(sidecar.status_of("s-0") == "leaving" for sidecar in tier.sidecars)
@@ -172,7 +172,7 @@
             await wait_until(lambda: leaf.service.status()["index"] is not None)
             tier.add_sidecar([leaf.address()])
             tier.registry.change(entry("s-0", status="leaving"))
-            await tier.in_force("s-0", "leaving", within_s=1.0)
+            await tier.wait_until_in_force("s-0", "leaving", within_s=1.0)
             await tier.relays[0].discovery.close()
             await asyncio.sleep(10.0)
             assert leaf.service.age_ms() >= 9_000
@@ -190,7 +190,7 @@
             assert all(sidecar.status_of("s-0") == "active" for sidecar in tier.sidecars)
             await tier.add_relay([tier.registry.address], address)
             tier.registry.change(entry("s-0", status="leaving"))
-            await tier.in_force("s-0", "leaving")
+            await tier.wait_until_in_force("s-0", "leaving")
 
     on_virtual_clock(scenario())
 
@@ -220,7 +220,7 @@
             malfunctioning = server.sockets[0].getsockname()[:2]
             sidecar = tier.add_sidecar([malfunctioning, tier.relays[0].address()])
             tier.registry.change(entry("s-0", status="leaving"))
-            await tier.in_force("s-0", "leaving", within_s=1.0)
+            await tier.wait_until_in_force("s-0", "leaving", within_s=1.0)
             assert not sidecar.failure_count
             server.close()
 
@@ -232,12 +232,12 @@
 
 
 def test_two_unresponsive_relays_in_a_row_leave_time_for_the_third() -> None:
-    assert LONGEST_WAIT_S + watch_state.RELAY_SLACK_S + PROBE_S + 1.0 < CHANGE_IN_FORCE_S
+    assert LONGEST_WAIT_S + watch_state.RELAY_SLACK_S + PROBE_S + 1.0 < CHANGE_IN_FORCE_LIMIT_S
 
 
 def test_a_partitioned_relay_leaves_time_for_another() -> None:
-    assert sources.STALE_AFTER_S + LONGEST_WAIT_S + PROBE_S < CHANGE_IN_FORCE_S
+    assert sources.STALE_AFTER_S + LONGEST_WAIT_S + PROBE_S < CHANGE_IN_FORCE_LIMIT_S
 
 
 def test_a_relay_waits_less_for_a_request_than_a_change_may_take() -> None:
-    assert relay_connection.REQUEST_TIMEOUT_S < CHANGE_IN_FORCE_S
+    assert relay_connection.REQUEST_TIMEOUT_S < CHANGE_IN_FORCE_LIMIT_S
--- a/tests/runtime/test_defects.py
+++ b/tests/runtime/test_defects.py
@@ -15,20 +15,20 @@
     running_sidecar,
     wait_until,
 )
+from scenario_helpers import collect_loop_exceptions, hung, nothing_in_flight, served
 from sidecar_balancer.admin.overrides import OperatorOverrides
 from sidecar_balancer.policy.events import (
     TimerFired,
 )
-from timed_scenes import collect_loop_exceptions, hung, nothing_in_flight, served
-from virtual import RunScenario, stall
+from virtual_clock import RunScenario, stall
 
 
 def test_timer_event_that_raises_half_way_loses_no_decided_or_due_action(
     on_virtual_clock: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(hung, hung, drained=True) as w:
-            requests, failed = w.sidecar.engine.balancer.components.requests, list[int]()
+        async with running_sidecar(hung, hung, graceful_shutdown=True) as environment:
+            requests, failed = environment.sidecar.engine.balancer.components.requests, list[int]()
             real = requests.reject_or_fail
 
             def reject_or_fail(given: Any) -> None:
@@ -39,16 +39,17 @@
                 real(given)
 
             response_tasks = [
-                asyncio.create_task(w.send_request(kind="pay", body=b"x", budget="1.0")) for _ in range(4)
+                asyncio.create_task(environment.send_request(service_class="pay", body=b"x", budget="1.0"))
+                for _ in range(4)
             ]
-            await wait_until(lambda: len(w.sent()) == 4)
+            await wait_until(lambda: len(environment.sent()) == 4)
             monkeypatch.setattr(requests, "reject_or_fail", reject_or_fail)
             started_at = asyncio.get_running_loop().time()
             stall(2.0)  # all fall due in one event
             assert [(await each)[0] for each in response_tasks] == [500] * 4
             assert asyncio.get_running_loop().time() - started_at < 2.2
             assert len(failed) >= 3
-            assert nothing_in_flight(w)()
+            assert nothing_in_flight(environment)()
             monkeypatch.setattr(requests, "reject_or_fail", real)
 
     on_virtual_clock(scenario())
@@ -58,18 +59,18 @@
     on_virtual_clock: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(hung, drained=True) as w:
-            timers = w.sidecar.engine.balancer.components.timers
+        async with running_sidecar(hung, graceful_shutdown=True) as environment:
+            timers = environment.sidecar.engine.balancer.components.timers
             real = timers.pop_due
 
             def raise_error(_: int) -> None:
                 monkeypatch.setattr(timers, "pop_due", real)
                 raise ZeroDivisionError
 
-            await wait_until(lambda: w.discovery.targets)
-            events = w.record_events()
+            await wait_until(lambda: environment.discovery.request_targets)
+            events = environment.record_events()
             monkeypatch.setattr(timers, "pop_due", raise_error)
-            w.sidecar.engine.handle(TimerFired("agenda"))
+            environment.sidecar.engine.handle(TimerFired("agenda"))
             await asyncio.sleep(0.1)
             assert [type(each) for each in events] == [TimerFired, TimerFired]
 
@@ -80,18 +81,18 @@
     on_virtual_clock: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(hung, drained=True) as w:
+        async with running_sidecar(hung, graceful_shutdown=True) as environment:
 
             def raise_error(_now: int, _request: object) -> None:
                 raise ZeroDivisionError
 
-            placement = w.sidecar.engine.balancer.components.placement
+            placement = environment.sidecar.engine.balancer.components.placement
             real = placement.place
             monkeypatch.setattr(placement, "place", raise_error)
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+            reader, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             writer.write(request("pay", body=bytes(100_000))[:-1])  # its body is still coming: it has no time
             assert (await read_response(reader))[0] == 500
-            assert nothing_in_flight(w)()
+            assert nothing_in_flight(environment)()
             monkeypatch.setattr(placement, "place", real)
             writer.close()
 
@@ -102,8 +103,8 @@
     on_virtual_clock: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(hung, drained=True) as w:
-            timers = w.sidecar.engine.balancer.components.timers
+        async with running_sidecar(hung, graceful_shutdown=True) as environment:
+            timers = environment.sidecar.engine.balancer.components.timers
             real = timers.arm
 
             def raise_error(*_: object) -> None:
@@ -111,9 +112,9 @@
                 raise ZeroDivisionError
 
             monkeypatch.setattr(timers, "arm", raise_error)
-            assert (await w.send_request())[0] == 500  # it was sent by then, and then given up
-            await wait_until(nothing_in_flight(w))
-            assert sum(each.in_flight for each in w.sidecar.engine.balancer.servers.values()) == 0
+            assert (await environment.send_request())[0] == 500  # it was sent by then, and then given up
+            await wait_until(nothing_in_flight(environment))
+            assert sum(each.in_flight for each in environment.sidecar.engine.balancer.servers.values()) == 0
 
     on_virtual_clock(scenario())
 
@@ -122,21 +123,21 @@
     on_virtual_clock: RunScenario, monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served, drained=True, overrides_folder=tmp_path) as w:
-            real, failed = w.sidecar.admin_handlers.overrides.load, list[bool]()
+        async with running_sidecar(served, graceful_shutdown=True, overrides_folder=tmp_path) as environment:
+            real, failed = environment.sidecar.admin_handlers.overrides.load, list[bool]()
 
             def raise_error() -> Any:
-                monkeypatch.setattr(w.sidecar.admin_handlers.overrides, "load", real)
+                monkeypatch.setattr(environment.sidecar.admin_handlers.overrides, "load", real)
                 failed.append(True)
                 raise ZeroDivisionError
 
-            monkeypatch.setattr(w.sidecar.admin_handlers.overrides, "load", raise_error)
+            monkeypatch.setattr(environment.sidecar.admin_handlers.overrides, "load", raise_error)
             with collect_loop_exceptions() as faults:
                 await wait_until(lambda: failed)
                 await asyncio.sleep(0)
             assert [type(each) for each in faults] == [ZeroDivisionError]
             OperatorOverrides(tmp_path).disable_server("s-0")  # as the other process of an upgrade may
-            await wait_until(lambda: not w.sidecar.engine.balancer.ready_servers)
+            await wait_until(lambda: not environment.sidecar.engine.balancer.ready_servers)
 
     on_virtual_clock(scenario())
 
@@ -147,33 +148,35 @@
 ) -> None:
     async def scenario() -> None:
         limits = {"max_attempts": 3, "may_cancel": may_cancel}
-        async with running_sidecar(hung, drained=True, limits=limits) as w:
-            response_task = asyncio.create_task(w.send_request(kind="pay", body=b"x", budget="1.5"))
-            await wait_until(w.sent)
-            w.sidecar.proxy.abandon(next(iter(w.sidecar.proxy.in_flight)))
+        async with running_sidecar(hung, graceful_shutdown=True, limits=limits) as environment:
+            response_task = asyncio.create_task(
+                environment.send_request(service_class="pay", body=b"x", budget="1.5")
+            )
+            await wait_until(environment.sent)
+            environment.sidecar.proxy.abandon(next(iter(environment.sidecar.proxy.in_flight)))
             assert (await response_task)[0] == 500
             if not may_cancel:  # what is whole at a server is not called off there: it ends at its time
                 await asyncio.sleep(1.0)
-                assert w.servers[0].closed == 0
-                assert w.sidecar.proxy.in_flight
-            await wait_until(nothing_in_flight(w))
-            await wait_until(lambda: w.servers[0].closed == 1)
+                assert environment.servers[0].closed == 0
+                assert environment.sidecar.proxy.in_flight
+            await wait_until(nothing_in_flight(environment))
+            await wait_until(lambda: environment.servers[0].closed == 1)
 
     on_virtual_clock(scenario())
 
 
 def test_response_that_cannot_be_written_closes_its_connection(on_virtual_clock: RunScenario) -> None:
     async def scenario() -> None:
-        async with running_sidecar(hung, drained=True) as w:
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+        async with running_sidecar(hung, graceful_shutdown=True) as environment:
+            reader, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             writer.write(request())
-            await wait_until(w.sent)
-            (call,) = w.sidecar.proxy.by_client_request
+            await wait_until(environment.sent)
+            (call,) = environment.sidecar.proxy.by_client_request
             call.response_writer.respond(200, [(b"X-Bad", b"\n")], b"")
             with contextlib.suppress(ConnectionError):
                 assert await reader.read() == b""
-            await wait_until(lambda: not w.sidecar.frontend.connections)
-            w.sidecar.proxy.abandon(next(iter(w.sidecar.proxy.in_flight)))
+            await wait_until(lambda: not environment.sidecar.frontend.connections)
+            environment.sidecar.proxy.abandon(next(iter(environment.sidecar.proxy.in_flight)))
             writer.close()
 
     on_virtual_clock(scenario())
--- a/tests/runtime/test_engine.py
+++ b/tests/runtime/test_engine.py
@@ -21,21 +21,21 @@
 def test_events_of_one_event_loop_turn_have_the_same_time(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards what the balancer learns: after a stall, it tells by the time what waited meanwhile.
     async def scenario() -> None:
-        async with running_sidecar(served) as w:
+        async with running_sidecar(served) as environment:
             times: list[int] = []
 
             def handle(now: int, _event: Event) -> list[Action]:
                 times.append(now)
                 return []
 
-            monkeypatch.setattr(w.sidecar.engine.balancer, "handle", handle)
+            monkeypatch.setattr(environment.sidecar.engine.balancer, "handle", handle)
             ticks = iter(range(1, 1_000_000))
-            monkeypatch.setattr(w.sidecar.engine.clock, "now", lambda: next(ticks))
+            monkeypatch.setattr(environment.sidecar.engine.clock, "now", lambda: next(ticks))
             for _ in range(3):
-                w.sidecar.engine.handle(ClientDisconnected(1))
+                environment.sidecar.engine.handle(ClientDisconnected(1))
             await asyncio.sleep(0)
             await asyncio.sleep(0)
-            w.sidecar.engine.handle(ClientDisconnected(1))
+            environment.sidecar.engine.handle(ClientDisconnected(1))
             assert times[0] == times[1] == times[2] < times[3]
 
     run_scenario(scenario())
@@ -44,50 +44,50 @@
 # Guards against a defect that would kill the process or leave its request without an answer.
 def test_exception_in_the_balancer_fails_only_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served) as w:
-            real = w.sidecar.engine.balancer.handle
+        async with running_sidecar(served) as environment:
+            real = environment.sidecar.engine.balancer.handle
 
             def faulty(now: int, event: Event) -> list[Action]:
                 if isinstance(event, RequestReceived) and event.service_class == "pay":
                     raise ZeroDivisionError
                 return real(now, event)
 
-            monkeypatch.setattr(w.sidecar.engine.balancer, "handle", faulty)
-            assert (await w.send_request(kind="pay", body=b"x"))[0] == 500
-            assert (await w.send_request())[0] == 200
-            assert not w.sidecar.proxy.in_flight
+            monkeypatch.setattr(environment.sidecar.engine.balancer, "handle", faulty)
+            assert (await environment.send_request(service_class="pay", body=b"x"))[0] == 500
+            assert (await environment.send_request())[0] == 200
+            assert not environment.sidecar.proxy.in_flight
 
     run_scenario(scenario())
 
 
 def test_exception_in_an_executor_fails_only_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served) as w:
-            monkeypatch.setattr(w.sidecar.endpoint_pool, "send", None)
-            assert (await w.send_request(kind="pay", body=b"x"))[0] == 500
+        async with running_sidecar(served) as environment:
+            monkeypatch.setattr(environment.sidecar.endpoint_pool, "send", None)
+            assert (await environment.send_request(service_class="pay", body=b"x"))[0] == 500
             monkeypatch.undo()
-            assert (await w.send_request())[0] == 200
-            assert not w.sidecar.proxy.in_flight
+            assert (await environment.send_request())[0] == 200
+            assert not environment.sidecar.proxy.in_flight
 
     run_scenario(scenario())
 
 
 def test_request_that_the_balancer_ignores_fails_at_its_deadline() -> None:
     async def scenario() -> None:
-        async with running_sidecar(served) as w:
-            w.sidecar.engine.balancer.handle = lambda _now, _event: []  # type: ignore[method-assign, assignment]
-            assert (await w.send_request(budget="0.2"))[0] == 500
+        async with running_sidecar(served) as environment:
+            environment.sidecar.engine.balancer.handle = lambda _now, _event: []  # type: ignore[method-assign, assignment]
+            assert (await environment.send_request(budget="0.2"))[0] == 500
 
     run_scenario(scenario())
 
 
 def test_every_action_of_the_balancer_has_an_executor() -> None:
     async def scenario() -> None:
-        async with running_sidecar() as w:
+        async with running_sidecar() as environment:
             source = _policy_source()
             emitted = {kind for kind in get_args(Action) if f"{kind.__name__}(" in source}
             assert len(emitted) > 5
-            assert emitted <= set(w.sidecar.engine.executors)
+            assert emitted <= set(environment.sidecar.engine.executors)
 
     run_scenario(scenario())
 
--- a/tests/runtime/test_life.py
+++ b/tests/runtime/test_life.py
@@ -282,12 +282,12 @@
             process.send_signal(signal.SIGHUP)
             await wait_for_log(process, "bad configuration, the old one stays")
             assert (await send_request(address, request()))[0] == 200
-            assert not new_discovery.targets
+            assert not new_discovery.request_targets
             path.write_text(
                 json.dumps(good | {"discovery": "{}:{}".format(*new_discovery.address)}), encoding="utf-8"
             )
             process.send_signal(signal.SIGHUP)
-            await wait_until(lambda: new_discovery.targets)
+            await wait_until(lambda: new_discovery.request_targets)
             assert (await send_request(address, request()))[0] == 200
             assert process.returncode is None
         new_discovery.stop()
--- a/tests/runtime/test_proxy.py
+++ b/tests/runtime/test_proxy.py
@@ -15,23 +15,25 @@
 
 def test_request_without_servers_is_rejected_at_once_while_readiness_holds() -> None:
     async def scenario() -> None:
-        async with running_sidecar() as w:
+        async with running_sidecar() as environment:
             loop = asyncio.get_running_loop()
             started_at = loop.time()
-            assert (await w.send_request(budget="30"))[0] == 503
+            assert (await environment.send_request(budget="30"))[0] == 503
             assert loop.time() - started_at < 15.0
-            assert (await send_request(w.sidecar.frontend.address, request(path="/health/ready")))[0] == 200
+            assert (await send_request(environment.sidecar.frontend.address, request(path="/health/ready")))[
+                0
+            ] == 200
 
     run_scenario(scenario())
 
 
 def test_rejection_carries_retry_after() -> None:
     async def scenario() -> None:
-        async with running_sidecar(served) as w:
-            w.sidecar.engine.balancer.handle = lambda _now, event: (  # type: ignore[method-assign, assignment]
+        async with running_sidecar(served) as environment:
+            environment.sidecar.engine.balancer.handle = lambda _now, event: (  # type: ignore[method-assign, assignment]
                 [Reject(event.request, 250_000)] if isinstance(event, RequestReceived) else []
             )
-            status, headers, _ = await w.send_request()
+            status, headers, _ = await environment.send_request()
             assert status == 503
             assert float(headers["retry-after"]) == 0.25
 
--- a/tests/runtime/test_queueing.py
+++ b/tests/runtime/test_queueing.py
@@ -8,12 +8,12 @@
 
 import pytest
 
-from discovery_world import served
+from discovery_helpers import served
 from helpers import IDEMPOTENT, S
 from loopback import read_response, request, running_sidecar, wait_until
 from sidecar_balancer.downstream import arrival
 from sidecar_balancer.runtime.queueing import BacklogAge, PollTimes, TimedLoop, since_last_data_s
-from virtual import RunScenario, stall
+from virtual_clock import RunScenario, stall
 
 BUDGET_S = 2.0
 TOLERANCE_S = 0.05  # of a forwarded budget: the virtual clock stands still while the kernel works
@@ -102,8 +102,8 @@
     stalled_s: float, is_new_connection: bool, on_virtual_clock: RunScenario
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served, drained=True) as w:
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+        async with running_sidecar(served, graceful_shutdown=True) as environment:
+            reader, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             if not is_new_connection:
                 writer.write(request())
                 assert (await read_response(reader))[0] == 200
@@ -111,7 +111,7 @@
             writer.write(request(budget=str(BUDGET_S)))
             stall(stalled_s)
             assert (await read_response(reader))[0] == 200
-            forwarded_s = float(w.sent()[-1][1]["x-budget"])
+            forwarded_s = float(environment.sent()[-1][1]["x-budget"])
             assert BUDGET_S - stalled_s - TOLERANCE_S <= forwarded_s <= BUDGET_S - stalled_s
             writer.close()
 
@@ -120,12 +120,12 @@
 
 def test_a_request_that_waited_longer_than_its_budget_is_rejected(on_virtual_clock: RunScenario) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served, drained=True) as w:
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+        async with running_sidecar(served, graceful_shutdown=True) as environment:
+            reader, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             writer.write(request(budget="0.5"))
             stall(0.6)
             assert (await read_response(reader))[0] == 503
-            assert not w.sent()
+            assert not environment.sent()
             writer.close()
 
     on_virtual_clock(scenario())
@@ -142,16 +142,16 @@
 
         # 66 descriptors leave one connection for clients: the second waits in the backlog.
         async with running_sidecar(
-            script, drained=True, sockets=66, classes=[IDEMPOTENT | {"deadline_us": 9 * S}]
-        ) as w:
-            first, first_writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+            script, graceful_shutdown=True, sockets=66, classes=[IDEMPOTENT | {"deadline_us": 9 * S}]
+        ) as environment:
+            first, first_writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             first_writer.write(request(budget=str(occupied_s), X_Call_Id="occupying"))
-            await wait_until(w.sent)
-            second, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+            await wait_until(environment.sent)
+            second, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             writer.write(request(budget=str(BUDGET_S)))
             assert (await read_response(first))[0] != 200
             assert (await read_response(second))[0] == 200
-            forwarded_s = float(w.sent()[-1][1]["x-budget"])
+            forwarded_s = float(environment.sent()[-1][1]["x-budget"])
             assert forwarded_s <= BUDGET_S - occupied_s + TOLERANCE_S
             first_writer.close()
             writer.close()
@@ -166,12 +166,12 @@
     monkeypatch.setattr(arrival, "since_last_data_s", lambda _: waited_s)
 
     async def scenario() -> None:
-        async with running_sidecar(served, drained=True) as w:
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+        async with running_sidecar(served, graceful_shutdown=True) as environment:
+            reader, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             writer.write(request(budget=str(BUDGET_S)))
             stall(0.6)
             assert (await read_response(reader))[0] == 200
-            forwarded_s = float(w.sent()[-1][1]["x-budget"])
+            forwarded_s = float(environment.sent()[-1][1]["x-budget"])
             assert BUDGET_S - waited_s - TOLERANCE_S <= forwarded_s <= BUDGET_S - waited_s
             writer.close()
 
--- a/tests/runtime/test_timeouts.py
+++ b/tests/runtime/test_timeouts.py
@@ -13,13 +13,13 @@
     unresponsive_listener,
     wait_until,
 )
+from scenario_helpers import hung, served
 from sidecar_balancer.policy.events import (
     AttemptEnded,
     ClientDisconnected,
 )
 from sidecar_balancer.policy.types import Outcome, ServerState
-from timed_scenes import hung, served
-from virtual import RunScenario, stall
+from virtual_clock import RunScenario, stall
 
 
 def test_two_sidecars_in_one_process_apply_their_own_settings(on_virtual_clock: RunScenario) -> None:
@@ -31,16 +31,19 @@
             return http_response(500, b"")
 
         async with (
-            running_sidecar(raise_error, served, drained=True) as ours,
+            running_sidecar(raise_error, served, graceful_shutdown=True) as ours,
             running_sidecar(
-                raise_error, served, drained=True, classes=other, limits=limits, tenants=[]
+                raise_error, served, graceful_shutdown=True, classes=other, limits=limits, tenants=[]
             ) as theirs,
         ):
             for _ in range(6):
-                assert (await ours.send_request(kind="look"))[0] == 200  # safe: it goes elsewhere
-                assert (await theirs.send_request(kind="look", method="POST", body=b"x"))[0] in (200, 500)
-                assert (await theirs.send_request(kind="look"))[0] == 405
-                assert (await ours.send_request(kind="pay", method="GET"))[0] == 405
+                assert (await ours.send_request(service_class="look"))[0] == 200  # safe: it goes elsewhere
+                assert (await theirs.send_request(service_class="look", method="POST", body=b"x"))[0] in (
+                    200,
+                    500,
+                )
+                assert (await theirs.send_request(service_class="look"))[0] == 405
+                assert (await ours.send_request(service_class="pay", method="GET"))[0] == 405
             assert any(first.startswith("GET") for first, _, _ in ours.sent())
             assert all(first.startswith("POST") for first, _, _ in theirs.sent())
             assert len(theirs.sent()) == 6  # not one of them ran twice
@@ -54,36 +57,43 @@
 ) -> None:
     async def scenario() -> None:
         limits = {"max_attempts": 3, "may_cancel": at != "attempt", "dial_timeout_us": 200_000}
-        async with running_sidecar(hung, hung, drained=True, limits=limits) as w:
+        async with running_sidecar(hung, hung, graceful_shutdown=True, limits=limits) as environment:
             with unresponsive_listener() as address:
                 if at == "dial":
                     for name in ("s-0", "s-1"):
-                        w.sidecar.endpoint_pool.update(name, address, None, ServerState.READY)
+                        environment.sidecar.endpoint_pool.update(name, address, None, ServerState.READY)
                 loop = asyncio.get_running_loop()
-                started_at, real = loop.time(), w.sidecar.engine.balancer.handle
-                response_task = asyncio.create_task(w.send_request(kind="pay", body=b"x", budget="1.0"))
+                started_at, real = loop.time(), environment.sidecar.engine.balancer.handle
+                response_task = asyncio.create_task(
+                    environment.send_request(service_class="pay", body=b"x", budget="1.0")
+                )
                 if at == "backstop":
-                    await wait_until(w.sent)
-                    monkeypatch.setattr(w.sidecar.engine.balancer, "handle", lambda _now, _event: [])
+                    await wait_until(environment.sent)
+                    monkeypatch.setattr(
+                        environment.sidecar.engine.balancer, "handle", lambda _now, _event: []
+                    )
                 status, _, _ = await response_task
                 elapsed_s = loop.time() - started_at
                 if at == "dial":
                     assert status == 503
                     assert 0.39 < elapsed_s < 0.5
-                    assert not w.sent()
+                    assert not environment.sent()
                 else:
                     assert status == 500
                     assert 0.98 <= elapsed_s < 1.05
-                    assert len(w.sent()) == 1
+                    assert len(environment.sent()) == 1
                 if at == "backstop":
-                    monkeypatch.setattr(w.sidecar.engine.balancer, "handle", real)
-                    for number in list(w.sidecar.engine.balancer.open_requests):
-                        w.sidecar.engine.handle(ClientDisconnected(number))
-                        w.sidecar.engine.handle(
-                            AttemptEnded(number, 0, w.servers[0].name, Outcome.TIMED_OUT, 1, True)
+                    monkeypatch.setattr(environment.sidecar.engine.balancer, "handle", real)
+                    for number in list(environment.sidecar.engine.balancer.open_requests):
+                        environment.sidecar.engine.handle(ClientDisconnected(number))
+                        environment.sidecar.engine.handle(
+                            AttemptEnded(number, 0, environment.servers[0].name, Outcome.TIMED_OUT, 1, True)
                         )
                 await wait_until(
-                    lambda: w.sidecar.endpoint_pool.open_count == 0 and not w.sidecar.proxy.in_flight
+                    lambda: (
+                        environment.sidecar.endpoint_pool.open_count == 0
+                        and not environment.sidecar.proxy.in_flight
+                    )
                 )
 
     on_virtual_clock(scenario())
@@ -94,17 +104,19 @@
     on_virtual_clock: RunScenario, crossing: str
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(hung, drained=True) as w:
-            response_task = asyncio.create_task(w.send_request(kind="pay", body=b"x", budget="1.0"))
-            await wait_until(w.sent)
+        async with running_sidecar(hung, graceful_shutdown=True) as environment:
+            response_task = asyncio.create_task(
+                environment.send_request(service_class="pay", body=b"x", budget="1.0")
+            )
+            await wait_until(environment.sent)
             if crossing == "before":
-                w.servers[0].writers[0].write(http_response(200, b"served"))
+                environment.servers[0].writers[0].write(http_response(200, b"served"))
             stall(1.0)  # the answer and all that is due are found together
             if crossing == "behind":
                 await asyncio.sleep(0)
                 await asyncio.sleep(0)
-                if not w.servers[0].writers[0].is_closing():
-                    w.servers[0].writers[0].write(http_response(200, b"served"))
+                if not environment.servers[0].writers[0].is_closing():
+                    environment.servers[0].writers[0].write(http_response(200, b"served"))
             assert (await response_task)[0] == (200 if crossing == "before" else 500)
 
     on_virtual_clock(scenario())
--- a/tests/support/discovery_world.py
+++ b/tests/support/discovery_helpers.py
@@ -25,16 +25,16 @@
 
 
 def pooled_servers(environment: SidecarEnvironment) -> set[str]:
-    """Return the names of the servers in the sidecar's endpoint pool."""
+    """Return the names of the servers that the sidecar holds connections or addresses for."""
     return set(environment.sidecar.endpoint_pool.endpoints)
 
 
 def consecutive_failures(environment: SidecarEnvironment) -> int:
-    """Return how many discovery calls in a row have failed, as the balancer counts them."""
+    """Return how many polls in a row the balancer has seen fail."""
     return balancer_of(environment).components.discovery.failed_calls
 
 
 def now_us(environment: SidecarEnvironment) -> int:
-    """Return the time on the sidecar's clock, in µs."""
+    """Return the time on the sidecar's clock, in microseconds."""
     now: int = environment.sidecar.engine.clock.now()
     return now
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -169,30 +169,30 @@
         return [action for _, action in self.timeline if isinstance(action, action_type)]
 
     def serve_traffic(
-        self, count: int, every_us: int = 20 * MS, taking_us: int = 50 * MS, name: str = "look"
+        self, count: int, interval_us: int = 20 * MS, latency_us: int = 50 * MS, name: str = "look"
     ) -> None:
         """Feed requests at a fixed interval, each delivered after the same latency."""
         pending: list[tuple[int, int]] = []
         for _ in range(count):
-            self.advance(every_us)
-            pending.append((self.now + taking_us, self.request(name)))
+            self.advance(interval_us)
+            pending.append((self.now + latency_us, self.request(name)))
             while pending and pending[0][0] <= self.now:
                 request = pending.pop(0)[1]
                 if self.attempts(request):
                     self.end_attempt(request)
         for _, request in pending:
-            self.advance(every_us)
+            self.advance(interval_us)
             if self.attempts(request):
                 self.end_attempt(request)
 
 
 def serve_one_at_a_time(
-    driver: BalancerDriver, count: int, taking_us: int = 50 * MS, every_us: int = 400 * MS
+    driver: BalancerDriver, count: int, latency_us: int = 50 * MS, interval_us: int = 400 * MS
 ) -> None:
     """Feed light traffic: each request has its response before the next one is received."""
     for _ in range(count):
         request = driver.request()
-        driver.advance(taking_us)
+        driver.advance(latency_us)
         if driver.attempts(request):
             driver.end_attempt(request)
-        driver.advance(every_us - taking_us)
+        driver.advance(interval_us - latency_us)
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -149,7 +149,7 @@
     """Discovery service that answers each call with the next of `responses`, once there is one."""
 
     def __init__(self) -> None:
-        self.targets: list[str] = []
+        self.request_targets: list[str] = []
         self.responses: asyncio.Queue[bytes] = asyncio.Queue()
         self.called_at: list[float] = []  # on the event loop's clock
         self.called_after_s: list[float] = []  # from each response to the next call
@@ -161,7 +161,7 @@
             request_line, _, _ = await read_message(reader)
             if self._responded_at is not None:
                 self.called_after_s.append(loop.time() - self._responded_at)
-            self.targets.append(request_line.split(" ")[1])
+            self.request_targets.append(request_line.split(" ")[1])
             self.called_at.append(loop.time())
             response_task, disconnect_task = (
                 asyncio.ensure_future(self.responses.get()),
@@ -225,10 +225,10 @@
     *scripts: Callable[[str, Headers, bytes], bytes | None],
     sockets: int = 256,
     overrides_folder: Path | None = None,
-    drained: bool = False,
+    graceful_shutdown: bool = False,
     **changes: Any,
 ) -> AsyncIterator[SidecarEnvironment]:
-    """Run a sidecar with one server per script; `drained`: drain it on exit, with nothing left in flight."""
+    """Run a sidecar with one server per script; `graceful_shutdown`: drain it on exit, nothing in flight."""
     servers = [FakeServer(f"s-{number}", script) for number, script in enumerate(scripts)]
     discovery = FakeDiscovery()
     for server in servers:
@@ -246,10 +246,10 @@
     await wait_until(lambda: environment.sidecar.engine.balancer.is_started)
     try:
         yield environment
-        if drained:
+        if graceful_shutdown:
             environment.stop.set()
             await sidecar_task
-            assert_nothing_owed(environment.sidecar)
+            assert_nothing_pending(environment.sidecar)
     finally:
         sidecar_task.cancel()
         await asyncio.gather(sidecar_task, return_exceptions=True)
@@ -257,7 +257,7 @@
             await each.end()
 
 
-def assert_nothing_owed(sidecar: Sidecar) -> None:
+def assert_nothing_pending(sidecar: Sidecar) -> None:
     """Assert that the balancer, the proxy and the connections agree that nothing is in flight."""
     balancer, endpoint_pool = sidecar.engine.balancer, sidecar.endpoint_pool
     assert not sidecar.proxy.in_flight
@@ -275,7 +275,7 @@
 
 
 def request(
-    kind: str = "look",
+    service_class: str = "look",
     path: str = "/api/7f3a9c21e0b4d655",
     body: bytes = b"",
     budget: str = "5.0",
@@ -286,14 +286,14 @@
     values: dict[str, str | None] = {
         "Host": "app.svc",
         "X-Call-Id": "9b1f03aa5c7e2d41",
-        "X-Call-Class": kind,
+        "X-Call-Class": service_class,
         "X-Budget": budget,
-        "Idempotency-Key": "5c0f6e1a" if kind == "amend" else None,
+        "Idempotency-Key": "5c0f6e1a" if service_class == "amend" else None,
         "Content-Length": str(len(body)),
     }
     values |= {name.replace("_", "-"): value for name, value in headers.items()}
     lines = [f"{name}: {value}" for name, value in values.items() if value is not None]
-    http_method = method or ("GET" if kind == "look" else "POST")
+    http_method = method or ("GET" if service_class == "look" else "POST")
     return "\r\n".join([f"{http_method} {path} HTTP/1.1", *lines, "", ""]).encode() + body
 
 
--- a/tests/support/raw_server.py
+++ b/tests/support/raw_server.py
@@ -8,8 +8,8 @@
 
 from loopback import WAIT_TIMEOUT_S, LoopbackServer, SidecarEnvironment, running_sidecar
 
-LONG = bytes(range(251)) * 4_000  # about 1 MB, repeats every 251 bytes: misplaced pieces show
-HUGE = 24 * 1024 * 1024
+LONG_BODY = bytes(range(251)) * 4_000  # about 1 MB, repeats every 251 bytes: misplaced pieces show
+HUGE_BODY_BYTES = 24 * 1024 * 1024
 
 Reader = asyncio.StreamReader
 Writer = asyncio.StreamWriter
@@ -31,7 +31,9 @@
 
 
 @contextlib.asynccontextmanager
-async def streaming(script: Script, **changes: object) -> AsyncIterator[tuple[SidecarEnvironment, RawServer]]:
+async def sidecar_with_raw_server(
+    script: Script, **changes: object
+) -> AsyncIterator[tuple[SidecarEnvironment, RawServer]]:
     """Run a sidecar whose only server is a `RawServer`."""
     server = RawServer(script)
     await server.start()
@@ -63,5 +65,5 @@
     return b"".join(b"%x;note=1\r\n%b\r\n" % (len(each), each) for each in chunks) + b"0\r\nX-Sum: 1\r\n\r\n"
 
 
-async def dial(environment: SidecarEnvironment) -> tuple[Reader, Writer]:
+async def connect_client(environment: SidecarEnvironment) -> tuple[Reader, Writer]:
     return await asyncio.open_connection(*environment.sidecar.frontend.address)
--- a/tests/support/relay_tier.py
+++ b/tests/support/relay_tier.py
@@ -16,7 +16,9 @@
 from sidecar_balancer.relay.app import Relay
 from sidecar_balancer.relay.config import RelayConfig, RelayLimits
 
-CHANGE_IN_FORCE_S = 6.0  # limit from a change at the registry until every sidecar that reaches a relay has it
+CHANGE_IN_FORCE_LIMIT_S = (
+    6.0  # limit from a change at the registry until every sidecar that reaches a relay has it
+)
 LIMITS = RelayLimits(snapshots=2)
 READINESS_REQUEST = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
 
@@ -106,7 +108,9 @@
     def requests_served(self) -> int:
         return sum(relay.service.counters.calls for relay in self.relays)
 
-    async def in_force(self, name: str, status: str | None, within_s: float = CHANGE_IN_FORCE_S) -> None:
+    async def wait_until_in_force(
+        self, name: str, status: str | None, within_s: float = CHANGE_IN_FORCE_LIMIT_S
+    ) -> None:
         """Wait until every sidecar lists the server with the status, which must take at most `within_s`."""
         loop = asyncio.get_running_loop()
         started_at = loop.time()
--- a/tests/support/timed_scenes.py
+++ b/tests/support/scenario_helpers.py
@@ -44,11 +44,11 @@
 
 async def fail_discovery_calls(environment: SidecarEnvironment, calls: int) -> None:
     """Answer this many discovery calls in a row with an error."""
-    await wait_until(lambda: environment.discovery.targets)
+    await wait_until(lambda: environment.discovery.request_targets)
     for _ in range(calls):
-        seen = len(environment.discovery.targets)
+        seen = len(environment.discovery.request_targets)
         environment.discovery.responses.put_nowait(http_response(503, b""))
-        await wait_until(lambda seen=seen: len(environment.discovery.targets) > seen)  # type: ignore[misc]
+        await wait_until(lambda seen=seen: len(environment.discovery.request_targets) > seen)  # type: ignore[misc]
 
 
 class UnreadingServer(FakeServer):
@@ -85,14 +85,14 @@
     def send(self, data: bytes) -> None:
         self.sock.sendall(data)
 
-    def send_some(self, data: bytes) -> None:
+    def send_without_blocking(self, data: bytes) -> None:
         """Send as much as the kernel accepts."""
         self.sock.setblocking(False)
         with contextlib.suppress(BlockingIOError):
             while data:
                 data = data[self.sock.send(data) :]
 
-    def leave(self, how: str) -> None:
+    def disconnect(self, how: str) -> None:
         if how == "half-close":
             self.sock.shutdown(socket.SHUT_WR)
             return
@@ -115,13 +115,13 @@
 
 
 @contextlib.asynccontextmanager
-async def world_with_unreading_server(
+async def sidecar_with_unreading_server(
     **changes: Any,
 ) -> AsyncIterator[tuple[SidecarEnvironment, UnreadingServer]]:
     """Run a sidecar with one server, which reads nothing until told to."""
     server = UnreadingServer()
     await server.start()
-    async with running_sidecar(drained=True, **changes) as environment:
+    async with running_sidecar(graceful_shutdown=True, **changes) as environment:
         environment.discovery.publish(42, [server.entry()])
         await wait_until(lambda: environment.sidecar.engine.balancer.ready_servers)
         yield environment, server
--- a/tests/upstream/test_attempt_outcomes.py
+++ b/tests/upstream/test_attempt_outcomes.py
@@ -33,11 +33,11 @@
 def test_request_and_response_are_forwarded_unchanged() -> None:
     async def scenario() -> None:
         body = bytes(range(256)) * 16
-        async with running_sidecar(lambda *_: http_response(200, body, Content_Type="x/y")) as w:
+        async with running_sidecar(lambda *_: http_response(200, body, Content_Type="x/y")) as environment:
             sent = request("amend", "/api/7f3a?q=1", b"\0body\xff", X_Caller="acme")
-            status, headers, got = await send_request(w.sidecar.frontend.address, sent)
+            status, headers, got = await send_request(environment.sidecar.frontend.address, sent)
             assert (status, headers["content-type"], got) == (200, "x/y", body)
-            ((first, given, there),) = w.sent()
+            ((first, given, there),) = environment.sent()
             assert first == "POST /api/7f3a?q=1 HTTP/1.1"
             assert there == b"\0body\xff"
             assert given["x-call-id"] == "9b1f03aa5c7e2d41"
@@ -69,11 +69,11 @@
         def first_so(*_: object) -> bytes:
             return replies.pop() if replies else http_response(200, b"served")
 
-        async with running_sidecar(first_so, first_so, first_so) as w:
-            got, _, body = await w.send_request(kind="pay", body=b"x")
+        async with running_sidecar(first_so, first_so, first_so) as environment:
+            got, _, body = await environment.send_request(service_class="pay", body=b"x")
             assert got == status
             assert (body == b"served") == (status == 200)
-            assert len(w.sent()) == attempts
+            assert len(environment.sent()) == attempts
 
     run_scenario(scenario())
 
@@ -96,9 +96,9 @@
     reply: bytes, outcome: Outcome
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(lambda *_: reply, limits={"max_attempts": 1}) as w:
-            events = w.record_events()
-            assert (await w.send_request(kind="pay", body=b"x"))[0] == 500
+        async with running_sidecar(lambda *_: reply, limits={"max_attempts": 1}) as environment:
+            events = environment.record_events()
+            assert (await environment.send_request(service_class="pay", body=b"x"))[0] == 500
             assert [each.outcome for each in events if isinstance(each, AttemptEnded)] == [outcome]
 
     run_scenario(scenario())
@@ -107,19 +107,19 @@
 @pytest.mark.parametrize("status", [400, 404])
 def test_request_that_a_server_calls_invalid_is_not_retried(status: int) -> None:
     async def scenario() -> None:
-        async with running_sidecar(*[lambda *_: http_response(status)] * 3) as w:
-            assert (await w.send_request())[0] == 503
-            assert len(w.sent()) == 1
+        async with running_sidecar(*[lambda *_: http_response(status)] * 3) as environment:
+            assert (await environment.send_request())[0] == 503
+            assert len(environment.sent()) == 1
 
     run_scenario(scenario())
 
 
 def test_refused_connection_allows_a_retry_of_a_non_idempotent_request() -> None:
     async def scenario() -> None:
-        async with running_sidecar(served, served) as w:
-            w.servers[0].stop()
+        async with running_sidecar(served, served) as environment:
+            environment.servers[0].stop()
             for _ in range(3):
-                assert (await w.send_request(kind="pay", body=b"x"))[0] == 200
+                assert (await environment.send_request(service_class="pay", body=b"x"))[0] == 200
 
     run_scenario(scenario())
 
@@ -135,11 +135,11 @@
 )
 def test_response_body_that_may_be_incomplete_is_not_forwarded(cut: bytes) -> None:
     async def scenario() -> None:
-        async with running_sidecar(lambda *_: cut) as w:
-            response_task = asyncio.create_task(w.send_request(kind="pay", body=b"x"))
-            await wait_until(w.sent)
+        async with running_sidecar(lambda *_: cut) as environment:
+            response_task = asyncio.create_task(environment.send_request(service_class="pay", body=b"x"))
+            await wait_until(environment.sent)
             await asyncio.sleep(0)
-            server = w.servers[0]
+            server = environment.servers[0]
             await wait_until(lambda: server.writers)
             server.writers[0].close()
             assert (await response_task)[0] == 500
@@ -149,42 +149,44 @@
 
 def test_hung_server_times_out_with_a_response_and_its_connection_is_closed() -> None:
     async def scenario() -> None:
-        async with running_sidecar(hung) as w:
+        async with running_sidecar(hung) as environment:
             loop = asyncio.get_running_loop()
             started_at = loop.time()
-            status, _, _ = await w.send_request(kind="pay", body=b"x", budget="0.6")
+            status, _, _ = await environment.send_request(service_class="pay", body=b"x", budget="0.6")
             assert status == 500
             assert loop.time() - started_at > 0.3
-            await wait_until(lambda: w.servers[0].closed == 1)
-            assert len(w.sent()) == 1
+            await wait_until(lambda: environment.servers[0].closed == 1)
+            assert len(environment.sent()) == 1
 
     run_scenario(scenario())
 
 
 def test_attempt_ends_when_its_client_disconnects() -> None:
     async def scenario() -> None:
-        async with running_sidecar(hung) as w:
-            _, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+        async with running_sidecar(hung) as environment:
+            _, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             writer.write(request("pay", body=b"x"))
-            await wait_until(w.sent)
+            await wait_until(environment.sent)
             writer.close()
-            await wait_until(lambda: w.servers[0].closed == 1)
-            assert not w.sidecar.proxy.in_flight  # the late outcome reached the module, and nothing is kept
+            await wait_until(lambda: environment.servers[0].closed == 1)
+            assert (
+                not environment.sidecar.proxy.in_flight
+            )  # the late outcome reached the module, and nothing is kept
 
     run_scenario(scenario())
 
 
 def test_slow_reader_does_not_delay_other_clients() -> None:
     async def scenario() -> None:
-        async with running_sidecar(lambda *_: http_response(200, bytes(60_000))) as w:
+        async with running_sidecar(lambda *_: http_response(200, bytes(60_000))) as environment:
             slow = socket.socket()
             slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
             slow.setblocking(False)
-            await asyncio.get_running_loop().sock_connect(slow, w.sidecar.frontend.address)
+            await asyncio.get_running_loop().sock_connect(slow, environment.sidecar.frontend.address)
             reader, writer = await asyncio.open_connection(sock=slow, limit=16)
             writer.write(request() * 50)  # and it reads nothing
-            await wait_until(w.sent)
-            assert len((await w.send_request())[2]) == 60_000
+            await wait_until(environment.sent)
+            assert len((await environment.send_request())[2]) == 60_000
             for _ in range(3):
                 assert (await read_answer_slowly(reader)) == 60_000
             writer.close()
@@ -204,14 +206,17 @@
     async def scenario() -> None:
         limits = {"max_attempts": 3, "may_cancel": False, "dial_timeout_us": 600 * S}
         with unresponsive_listener() as address:
-            async with running_sidecar(served, limits=limits) as w:
-                w.sidecar.endpoint_pool.update("s-0", address, None, ServerState.READY)
-                _, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+            async with running_sidecar(served, limits=limits) as environment:
+                environment.sidecar.endpoint_pool.update("s-0", address, None, ServerState.READY)
+                _, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
                 writer.write(request("pay", body=b"x", budget="600"))
-                await wait_until(lambda: w.sidecar.endpoint_pool.open_count == 1)
+                await wait_until(lambda: environment.sidecar.endpoint_pool.open_count == 1)
                 writer.close()
                 await wait_until(
-                    lambda: not w.sidecar.proxy.in_flight and not w.sidecar.endpoint_pool.open_count
+                    lambda: (
+                        not environment.sidecar.proxy.in_flight
+                        and not environment.sidecar.endpoint_pool.open_count
+                    )
                 )
 
     run_scenario(scenario())
--- a/tests/upstream/test_endpoint_changes.py
+++ b/tests/upstream/test_endpoint_changes.py
@@ -16,6 +16,7 @@
     unresponsive_listener,
     wait_until,
 )
+from scenario_helpers import hung, served
 from sidecar_balancer.policy.actions import HealthCheck
 from sidecar_balancer.policy.events import (
     AttemptEnded,
@@ -27,8 +28,7 @@
 from sidecar_balancer.upstream.endpoint_pool import EndpointPool
 from sidecar_balancer.upstream.exchange import Exchange, UpstreamRequest
 from sidecar_balancer.upstream.server_connection import ServerConnection
-from timed_scenes import hung, served
-from virtual import RunScenario
+from virtual_clock import RunScenario
 
 
 @pytest.mark.parametrize("change", ["moves", "restarts"])
@@ -36,26 +36,31 @@
     on_virtual_clock: RunScenario, change: str
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(hung, served, drained=True) as w:
+        async with running_sidecar(hung, served, graceful_shutdown=True) as environment:
             with unresponsive_listener() as address:
-                places = [w.servers[0].entry(address=f"127.0.0.1:{address[1]}"), w.servers[1].entry()]
-                w.discovery.publish(42, places, snapshot=True)
-                await wait_until(lambda: w.sidecar.endpoint_pool.endpoints["s-0"].address == address)
-                w.discovery.publish(43, [w.servers[1].entry(status="leaving")])
-                await wait_until(lambda: len(w.sidecar.engine.balancer.ready_servers) == 1)
-                response_task = asyncio.create_task(w.send_request(kind="pay", body=b"x"))
-                await wait_until(lambda: w.sidecar.endpoint_pool._dial_tasks)
-                events = w.record_events()
+                places = [
+                    environment.servers[0].entry(address=f"127.0.0.1:{address[1]}"),
+                    environment.servers[1].entry(),
+                ]
+                environment.discovery.publish(42, places, snapshot=True)
+                await wait_until(
+                    lambda: environment.sidecar.endpoint_pool.endpoints["s-0"].address == address
+                )
+                environment.discovery.publish(43, [environment.servers[1].entry(status="leaving")])
+                await wait_until(lambda: len(environment.sidecar.engine.balancer.ready_servers) == 1)
+                response_task = asyncio.create_task(environment.send_request(service_class="pay", body=b"x"))
+                await wait_until(lambda: environment.sidecar.endpoint_pool._dial_tasks)
+                events = environment.record_events()
                 where = {"since_ms": 7} if change == "restarts" else {}
                 place = f"127.0.0.1:{address[1]}" if change == "restarts" else None
-                new_discovery = w.servers[0].entry(**({"address": place} if place else {}), **where)
-                w.discovery.publish(44, [new_discovery, w.servers[1].entry()])
+                new_discovery = environment.servers[0].entry(**({"address": place} if place else {}), **where)
+                environment.discovery.publish(44, [new_discovery, environment.servers[1].entry()])
                 assert (await response_task)[0] == 200
-                assert not w.servers[0].requests
+                assert not environment.servers[0].requests
                 ended = [each for each in events if isinstance(each, AttemptEnded)]
                 assert [each.outcome for each in ended] == [Outcome.UNSENT, Outcome.DELIVERED]
                 assert (
-                    w.sidecar.engine.balancer.servers["s-0"].consecutive_failures == 0
+                    environment.sidecar.engine.balancer.servers["s-0"].consecutive_failures == 0
                 )  # it did nothing wrong
 
     on_virtual_clock(scenario())
@@ -65,24 +70,26 @@
     on_virtual_clock: RunScenario,
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served, served, served, drained=True) as w:
+        async with running_sidecar(served, served, served, graceful_shutdown=True) as environment:
             with unresponsive_listener() as address:
                 for _ in range(20):
-                    assert (await w.send_request())[0] == 200  # connections to all of them are open
-                before = len(w.sent())
-                for server in w.servers:
-                    w.sidecar.endpoint_pool.close_idle(server.name)
-                    w.sidecar.endpoint_pool.endpoints[server.name].address = address
-                response_task = asyncio.create_task(w.send_request())
-                await wait_until(lambda: w.sidecar.endpoint_pool._dial_tasks)
+                    assert (await environment.send_request())[0] == 200  # connections to all of them are open
+                before = len(environment.sent())
+                for server in environment.servers:
+                    environment.sidecar.endpoint_pool.close_idle(server.name)
+                    environment.sidecar.endpoint_pool.endpoints[server.name].address = address
+                response_task = asyncio.create_task(environment.send_request())
+                await wait_until(lambda: environment.sidecar.endpoint_pool._dial_tasks)
                 for endpoint, server in zip(
-                    w.sidecar.endpoint_pool.endpoints.values(), w.servers, strict=True
+                    environment.sidecar.endpoint_pool.endpoints.values(), environment.servers, strict=True
                 ):
                     endpoint.address = server.address
-                w.discovery.publish(42, [each.entry(status="leaving") for each in w.servers])
+                environment.discovery.publish(
+                    42, [each.entry(status="leaving") for each in environment.servers]
+                )
                 assert (await response_task)[0] == 503
-                assert len(w.sent()) == before
-                assert w.sidecar.proxy.in_flight == {}
+                assert len(environment.sent()) == before
+                assert environment.sidecar.proxy.in_flight == {}
 
     on_virtual_clock(scenario())
 
@@ -91,22 +98,22 @@
     on_virtual_clock: RunScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served, served, drained=True) as w:
-            events = w.record_events()
-            real = w.sidecar.endpoint_pool.send
+        async with running_sidecar(served, served, graceful_shutdown=True) as environment:
+            events = environment.record_events()
+            real = environment.sidecar.endpoint_pool.send
 
             def late(name: str, *given: Any) -> Exchange:
-                w.sidecar.endpoint_pool.endpoints.pop(
+                environment.sidecar.endpoint_pool.endpoints.pop(
                     "s-0", None
                 )  # it went between the decision and its send
                 return real(name, *given)
 
-            monkeypatch.setattr(w.sidecar.endpoint_pool, "send", late)
+            monkeypatch.setattr(environment.sidecar.endpoint_pool, "send", late)
             for _ in range(8):
-                assert (await w.send_request(kind="pay", body=b"x"))[0] == 200
+                assert (await environment.send_request(service_class="pay", body=b"x"))[0] == 200
             ended = [each.outcome for each in events if isinstance(each, AttemptEnded)]
             assert set(ended) == {Outcome.UNSENT, Outcome.DELIVERED}
-            w.sidecar.proxy.check_health(HealthCheck("s-0"))
+            environment.sidecar.proxy.check_health(HealthCheck("s-0"))
             assert isinstance(events[-1], HealthCheckEnded)
             assert events[-1].outcome is Outcome.UNSENT
 
@@ -118,22 +125,24 @@
     on_virtual_clock: RunScenario, outcome: str
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(hung, drained=True) as w:
-            (server,) = w.servers
-            response_task = asyncio.create_task(w.send_request(kind="pay", body=b"x", budget="1.5"))
-            await wait_until(w.sent)
-            w.discovery.publish(42, [server.entry(status="left")])
-            await wait_until(lambda: not w.sidecar.engine.balancer.ready_servers)
-            w.discovery.publish(43, [server.entry()])
-            await wait_until(lambda: w.sidecar.engine.balancer.ready_servers)
+        async with running_sidecar(hung, graceful_shutdown=True) as environment:
+            (server,) = environment.servers
+            response_task = asyncio.create_task(
+                environment.send_request(service_class="pay", body=b"x", budget="1.5")
+            )
+            await wait_until(environment.sent)
+            environment.discovery.publish(42, [server.entry(status="left")])
+            await wait_until(lambda: not environment.sidecar.engine.balancer.ready_servers)
+            environment.discovery.publish(43, [server.entry()])
+            await wait_until(lambda: environment.sidecar.engine.balancer.ready_servers)
             if outcome == "answer":
                 server.writers[0].write(http_response(200, b"served"))
             elif outcome == "break":
                 reset_connection(server.writers[0])
             assert (await response_task)[0] == (200 if outcome == "answer" else 500)
-            assert len(w.sent()) == 1  # it may have run: it is not sent again
+            assert len(environment.sent()) == 1  # it may have run: it is not sent again
             server.script = served
-            assert (await w.send_request())[0] == 200
+            assert (await environment.send_request())[0] == 200
             assert len(server.writers) == 2  # what was open to the one that went is not used again
 
     on_virtual_clock(scenario())
@@ -144,21 +153,23 @@
     on_virtual_clock: RunScenario, change: str
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(hung, drained=True) as w:
-            (server,) = w.servers
-            response_task = asyncio.create_task(w.send_request(kind="pay", body=b"x"))
-            await wait_until(w.sent)
+        async with running_sidecar(hung, graceful_shutdown=True) as environment:
+            (server,) = environment.servers
+            response_task = asyncio.create_task(environment.send_request(service_class="pay", body=b"x"))
+            await wait_until(environment.sent)
             if change == "excluded":
-                w.sidecar.engine.handle(ServerOverrideRequested("s-0", True))
+                environment.sidecar.engine.handle(ServerOverrideRequested("s-0", True))
             elif change == "missing":
-                w.discovery.publish(42, [], snapshot=True)
+                environment.discovery.publish(42, [], snapshot=True)
             else:
-                w.discovery.publish(42, [server.entry(status=change)])
-            await wait_until(lambda: not w.sidecar.engine.balancer.ready_servers)
+                environment.discovery.publish(42, [server.entry(status=change)])
+            await wait_until(lambda: not environment.sidecar.engine.balancer.ready_servers)
             server.writers[0].write(http_response(200, b"served"))
             assert (await response_task)[2] == b"served"
-            await wait_until(lambda: w.sidecar.endpoint_pool.open_count == 0)  # it is not kept for another
-            assert (await w.send_request())[0] == 503
+            await wait_until(
+                lambda: environment.sidecar.endpoint_pool.open_count == 0
+            )  # it is not kept for another
+            assert (await environment.send_request())[0] == 503
 
     on_virtual_clock(scenario())
 
@@ -218,12 +229,12 @@
         async def connect(*_: object) -> ServerConnection:
             raise UnicodeError("label too long")  # as looking up a name of 70 letters does, in a thread
 
-        async with running_sidecar(served, drained=True) as w:
+        async with running_sidecar(served, graceful_shutdown=True) as environment:
             monkeypatch.setattr(endpoint_pool, "connect", connect)
             started_at = asyncio.get_running_loop().time()
-            assert (await w.send_request())[0] == 503
+            assert (await environment.send_request())[0] == 503
             assert asyncio.get_running_loop().time() - started_at < 0.1
-            assert w.sidecar.endpoint_pool.open_count == 0
+            assert environment.sidecar.endpoint_pool.open_count == 0
 
     on_virtual_clock(scenario())
 
--- a/tests/upstream/test_endpoint_pool.py
+++ b/tests/upstream/test_endpoint_pool.py
@@ -22,7 +22,7 @@
 from sidecar_balancer.upstream.endpoint_pool import EndpointPool
 from sidecar_balancer.upstream.exchange import Exchange, UpstreamRequest
 from sidecar_balancer.upstream.response import Response
-from virtual import run_on_virtual_clock
+from virtual_clock import run_on_virtual_clock
 
 
 def served(*_: object) -> bytes:
@@ -35,11 +35,11 @@
 
 def test_connections_are_reused_after_their_reuse_delay(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served) as w:
+        async with running_sidecar(served) as environment:
             for _ in range(5):
-                assert (await w.send_request())[0] == 200
+                assert (await environment.send_request())[0] == 200
                 await asyncio.sleep(endpoint_pool._REUSE_DELAY_S)
-            assert len(w.servers[0].writers) == 1
+            assert len(environment.servers[0].writers) == 1
 
     run_on_virtual_clock(scenario(), monkeypatch)
 
@@ -47,12 +47,12 @@
 def test_idle_connection_is_closed_before_its_server_would_close_it() -> None:
     async def scenario() -> None:
         limits = {"max_attempts": 3, "may_cancel": True, "idle_close_us": 1 * S}
-        async with running_sidecar(served, limits=limits) as w:
-            assert (await w.send_request())[0] == 200
+        async with running_sidecar(served, limits=limits) as environment:
+            assert (await environment.send_request())[0] == 200
             loop = asyncio.get_running_loop()
-            (timer,) = w.sidecar.endpoint_pool.endpoints["s-0"].idle.values()
+            (timer,) = environment.sidecar.endpoint_pool.endpoints["s-0"].idle.values()
             assert timer.when() - loop.time() < 0.95
-            await wait_until(lambda: w.servers[0].closed == 1)
+            await wait_until(lambda: environment.servers[0].closed == 1)
 
     run_scenario(scenario())
 
--- a/tests/upstream/test_load_report.py
+++ b/tests/upstream/test_load_report.py
@@ -22,7 +22,7 @@
         report = {"source": "answers", "columns": ["util"]}
         async with running_sidecar(
             lambda *_: http_response(200, b"x", X_Load_Report="TEXT util=;;="), report=report
-        ) as w:
-            assert (await w.send_request())[0] == 200
+        ) as environment:
+            assert (await environment.send_request())[0] == 200
 
     run_scenario(scenario())
--- a/tests/upstream/test_response_streaming.py
+++ b/tests/upstream/test_response_streaming.py
@@ -9,7 +9,17 @@
 import pytest
 
 from loopback import WAIT_TIMEOUT_S, request, reset_connection, run_scenario, wait_until
-from raw_server import HUGE, LONG, Reader, Writer, chunked, dial, read_chunked, read_head, streaming
+from raw_server import (
+    HUGE_BODY_BYTES,
+    LONG_BODY,
+    Reader,
+    Writer,
+    chunked,
+    connect_client,
+    read_chunked,
+    read_head,
+    sidecar_with_raw_server,
+)
 from sidecar_balancer.policy.events import AttemptEnded, ResponseStarted
 from sidecar_balancer.policy.types import Outcome
 from sidecar_balancer.upstream import server_connection
@@ -20,28 +30,28 @@
 
     async def script(reader: Reader, writer: Writer) -> None:
         await read_head(reader)
-        writer.write(b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n" % len(LONG) + LONG[:300_000])
+        writer.write(b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n" % len(LONG_BODY) + LONG_BODY[:300_000])
         await more.wait()
-        writer.write(LONG[300_000:])
+        writer.write(LONG_BODY[300_000:])
         await writer.drain()
         await reader.read()
 
     async def scenario() -> None:
-        async with streaming(script) as (w, _):
-            events = w.record_events()
-            reader, writer = await dial(w)
+        async with sidecar_with_raw_server(script) as (environment, _):
+            events = environment.record_events()
+            reader, writer = await connect_client(environment)
             writer.write(request())
-            assert f"content-length: {len(LONG)}" in await read_head(reader)
+            assert f"content-length: {len(LONG_BODY)}" in await read_head(reader)
             got = await reader.readexactly(300_000)
-            live = next(iter(w.sidecar.proxy.in_flight.values()))
+            live = next(iter(environment.sidecar.proxy.in_flight.values()))
             attempt = live.attempts[0]
             assert attempt is not None
             assert not attempt.timers
             assert live.failsafe_timer is not None
             assert live.failsafe_timer.cancelled()
             more.set()
-            got += await asyncio.wait_for(reader.readexactly(len(LONG) - 300_000), WAIT_TIMEOUT_S)
-            assert got == LONG
+            got += await asyncio.wait_for(reader.readexactly(len(LONG_BODY) - 300_000), WAIT_TIMEOUT_S)
+            assert got == LONG_BODY
             await wait_until(lambda: any(isinstance(each, AttemptEnded) for each in events))
             assert [each.outcome for each in events if isinstance(each, AttemptEnded)] == [Outcome.DELIVERED]
             assert sum(isinstance(each, ResponseStarted) for each in events) == 1
@@ -54,10 +64,10 @@
 
 
 FORMS = {
-    "chunks": b"Transfer-Encoding: chunked\r\n\r\n" + chunked(LONG, 100_000),
-    "small chunks": b"Transfer-Encoding: chunked\r\n\r\n" + chunked(LONG, 300),
-    "the connection's end": b"Connection: close\r\n\r\n" + LONG,
-    "informational": b"Content-Length: %d\r\n\r\n" % len(LONG) + LONG,
+    "chunks": b"Transfer-Encoding: chunked\r\n\r\n" + chunked(LONG_BODY, 100_000),
+    "small chunks": b"Transfer-Encoding: chunked\r\n\r\n" + chunked(LONG_BODY, 300),
+    "the connection's end": b"Connection: close\r\n\r\n" + LONG_BODY,
+    "informational": b"Content-Length: %d\r\n\r\n" % len(LONG_BODY) + LONG_BODY,
 }
 
 
@@ -73,19 +83,19 @@
             await reader.read()
 
     async def scenario() -> None:
-        async with streaming(script) as (w, _):
-            reader, writer = await dial(w)
+        async with sidecar_with_raw_server(script) as (environment, _):
+            reader, writer = await connect_client(environment)
             writer.write(request().replace(b"HTTP/1.1", b"HTTP/" + version))
             head = await read_head(reader)
             async with asyncio.timeout(WAIT_TIMEOUT_S):
                 if "chunked" in head:
                     assert version == b"1.1"
-                    assert await read_chunked(reader) == LONG
+                    assert await read_chunked(reader) == LONG_BODY
                 elif "content-length" in head:
-                    assert await reader.readexactly(len(LONG)) == LONG
+                    assert await reader.readexactly(len(LONG_BODY)) == LONG_BODY
                 else:
                     assert version == b"1.0"
-                    assert await reader.read() == LONG
+                    assert await reader.read() == LONG_BODY
             writer.close()
 
     run_scenario(scenario())
@@ -97,8 +107,8 @@
         writer.write(b"HTTP/1.1 200 X\r\nConnection: close\r\n\r\nall of it")
 
     async def scenario() -> None:
-        async with streaming(script) as (w, _):
-            assert (await w.send_request())[2] == b"all of it"
+        async with sidecar_with_raw_server(script) as (environment, _):
+            assert (await environment.send_request())[2] == b"all of it"
 
     run_scenario(scenario())
 
@@ -111,30 +121,30 @@
         writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 65_536)
         writer.transport.set_write_buffer_limits(high=0)
         await read_head(reader)
-        writer.write(b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n" % HUGE)
-        while sent < HUGE:
+        writer.write(b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n" % HUGE_BODY_BYTES)
+        while sent < HUGE_BODY_BYTES:
             writer.write(bytes(65_536))
             await writer.drain()
             sent += 65_536
         await reader.read()
 
     async def scenario() -> None:
-        async with streaming(script) as (w, _):
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address, limit=1_000)
+        async with sidecar_with_raw_server(script) as (environment, _):
+            reader, writer = await asyncio.open_connection(*environment.sidecar.frontend.address, limit=1_000)
             writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65_536)
             writer.write(request())
-            await wait_until(lambda: w.sidecar.endpoint_pool._body_memory.active_streams == 1)
-            server_side = next(iter(w.sidecar.frontend.connections))
+            await wait_until(lambda: environment.sidecar.endpoint_pool._body_memory.active_streams == 1)
+            server_side = next(iter(environment.sidecar.frontend.connections))
             await wait_until(lambda: server_side._write_blocked)
             assert server_side._transport is not None
             assert server_side._transport.get_write_buffer_size() <= 2 * 64 * 1024
-            assert sent < HUGE  # the rest stays where it is
+            assert sent < HUGE_BODY_BYTES  # the rest stays where it is
             got = 0
             await read_head(reader)
             async with asyncio.timeout(WAIT_TIMEOUT_S):
-                while got < HUGE:
+                while got < HUGE_BODY_BYTES:
                     got += len(await reader.read(1_000_000))
-            await wait_until(lambda: w.sidecar.endpoint_pool._body_memory.active_streams == 0)
+            await wait_until(lambda: environment.sidecar.endpoint_pool._body_memory.active_streams == 0)
             writer.close()
 
     run_scenario(scenario())
@@ -147,7 +157,7 @@
     async def script(reader: Reader, writer: Writer) -> None:
         await read_head(reader)
         framing = b"Content-Length: 500000" if form == "length" else b"Transfer-Encoding: chunked"
-        body = LONG[:200_000] if form == "length" else b"%x\r\n" % 400_000 + LONG[:200_000]
+        body = LONG_BODY[:200_000] if form == "length" else b"%x\r\n" % 400_000 + LONG_BODY[:200_000]
         writer.write(b"HTTP/1.1 200 X\r\n" + framing + b"\r\n\r\n" + body)
         await writer.drain()
         await broken.wait()
@@ -156,8 +166,8 @@
     broken = asyncio.Event()
 
     async def scenario() -> None:
-        async with streaming(script) as (w, server):
-            reader, writer = await dial(w)
+        async with sidecar_with_raw_server(script) as (environment, server):
+            reader, writer = await connect_client(environment)
             writer.write(request())
             await read_head(reader)
             await reader.readexactly(10_000)
@@ -179,13 +189,15 @@
 
     async def script(reader: Reader, writer: Writer) -> None:
         await read_head(reader)
-        writer.write(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n" % 400_000 + LONG[:200_000])
+        writer.write(
+            b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n" % 400_000 + LONG_BODY[:200_000]
+        )
         await broken.wait()
         reset_connection(writer)
 
     async def scenario() -> None:
-        async with streaming(script) as (w, _):
-            reader, writer = await dial(w)
+        async with sidecar_with_raw_server(script) as (environment, _):
+            reader, writer = await connect_client(environment)
             writer.write(request().replace(b"HTTP/1.1", b"HTTP/1.0"))
             await read_head(reader)
             broken.set()
@@ -202,21 +214,26 @@
 
     async def script(reader: Reader, writer: Writer) -> None:
         await read_head(reader)
-        writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 9000000\r\n\r\n" + LONG)
+        writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 9000000\r\n\r\n" + LONG_BODY)
         with contextlib.suppress(ConnectionError):
             await reader.read()
         ended.set()
 
     async def scenario() -> None:
-        async with streaming(script) as (w, _):
-            reader, writer = await dial(w)
+        async with sidecar_with_raw_server(script) as (environment, _):
+            reader, writer = await connect_client(environment)
             writer.write(request())
             await read_head(reader)
             writer.close()
             await asyncio.wait_for(ended.wait(), WAIT_TIMEOUT_S)
-            await wait_until(lambda: not w.sidecar.proxy.in_flight and not w.sidecar.proxy.by_client_request)
-            assert w.sidecar.engine.balancer.pending_attempts == 0
-            assert w.sidecar.endpoint_pool._body_memory.active_streams == 0
+            await wait_until(
+                lambda: (
+                    not environment.sidecar.proxy.in_flight
+                    and not environment.sidecar.proxy.by_client_request
+                )
+            )
+            assert environment.sidecar.engine.balancer.pending_attempts == 0
+            assert environment.sidecar.endpoint_pool._body_memory.active_streams == 0
 
     run_scenario(scenario())
 
@@ -235,8 +252,8 @@
         await reader.read()
 
     async def scenario() -> None:
-        async with streaming(script) as (w, _):
-            reader, writer = await dial(w)
+        async with sidecar_with_raw_server(script) as (environment, _):
+            reader, writer = await connect_client(environment)
             writer.write(request())
             await read_head(reader)
             more.set()
@@ -255,8 +272,8 @@
         await reader.read()
 
     async def scenario() -> None:
-        async with streaming(script) as (w, _):
-            reader, writer = await dial(w)
+        async with sidecar_with_raw_server(script) as (environment, _):
+            reader, writer = await connect_client(environment)
             writer.write(request())
             await read_head(reader)
             assert await asyncio.wait_for(reader.read(), WAIT_TIMEOUT_S) == b"begun"
--- a/tests/upstream/test_response_timing.py
+++ b/tests/upstream/test_response_timing.py
@@ -18,13 +18,20 @@
     unresponsive_listener,
     wait_until,
 )
+from scenario_helpers import (
+    RawClient,
+    hung,
+    nothing_in_flight,
+    read_chunks,
+    served,
+    sidecar_with_unreading_server,
+)
 from sidecar_balancer.policy.events import (
     AttemptEnded,
 )
 from sidecar_balancer.policy.types import Outcome
 from sidecar_balancer.runtime.streams import STALL_TIMEOUT_S
-from timed_scenes import RawClient, hung, nothing_in_flight, read_chunks, served, world_with_unreading_server
-from virtual import RunScenario, stall
+from virtual_clock import RunScenario, stall
 
 
 @pytest.mark.parametrize("late_s", [0.0, 0.001, 0.009])
@@ -35,13 +42,15 @@
     body = b"" if kind == "look" else b"x"
 
     async def scenario() -> None:
-        async with running_sidecar(lambda *_: http_response(200, b"first"), drained=True) as w:
-            server = w.servers[0]
+        async with running_sidecar(
+            lambda *_: http_response(200, b"first"), graceful_shutdown=True
+        ) as environment:
+            server = environment.servers[0]
             for _ in range(4):
-                assert (await w.send_request(kind=kind, body=body))[2] == b"first"
+                assert (await environment.send_request(service_class=kind, body=body))[2] == b"first"
                 there, seen = server.writers[-1], len(server.requests)
                 server.script = hung
-                response_task = asyncio.create_task(w.send_request(kind=kind, body=body))
+                response_task = asyncio.create_task(environment.send_request(service_class=kind, body=body))
                 await wait_until(lambda seen=seen: len(server.requests) > seen)  # type: ignore[misc]
                 await asyncio.sleep(late_s)
                 if not there.is_closing():
@@ -53,7 +62,7 @@
                 assert (await response_task)[2] == b"its own"
                 server.script = lambda *_: http_response(200, b"first")
                 await asyncio.sleep(0.1)
-            assert len(w.sent()) == 8
+            assert len(environment.sent()) == 8
 
     on_virtual_clock(scenario())
 
@@ -68,29 +77,33 @@
     async def scenario() -> None:
         limits = {"max_attempts": 3, "may_cancel": False}
         classes = [IDEMPOTENT | {"deadline_us": 2 * S}, NON_IDEMPOTENT | {"deadline_us": 4 * S}]
-        async with running_sidecar(hung, drained=True, limits=limits, classes=classes) as w:
-            client = RawClient(w)
+        async with running_sidecar(
+            hung, graceful_shutdown=True, limits=limits, classes=classes
+        ) as environment:
+            client = RawClient(environment)
             client.send(request(budget="1.0"))
-            await wait_until(w.sent)
-            (there,), (live,) = w.servers[0].writers, w.sidecar.proxy.in_flight.values()
+            await wait_until(environment.sent)
+            (there,), (live,) = environment.servers[0].writers, environment.sidecar.proxy.in_flight.values()
             there.write(head + piece * 20)
             await wait_until(lambda: live.streamed_attempt is not None)
-            client.leave("reset")
-            await wait_until(lambda: not w.sidecar.frontend.connections)
+            client.disconnect("reset")
+            await wait_until(lambda: not environment.sidecar.frontend.connections)
             started_at = asyncio.get_running_loop().time()
             for _ in range(15):  # well past the time that its client gave it
                 await asyncio.sleep(0.2)
                 there.write(piece)
-                assert w.servers[0].closed == 0  # nothing may be cancelled
+                assert environment.servers[0].closed == 0  # nothing may be cancelled
             if ends:
                 there.write(b"0\r\n\r\n")
-            while not nothing_in_flight(w)() and asyncio.get_running_loop().time() < started_at + 10.0:
+            while (
+                not nothing_in_flight(environment)() and asyncio.get_running_loop().time() < started_at + 10.0
+            ):
                 await asyncio.sleep(0.2)
                 if not (ends or there.is_closing()):
                     there.write(piece)
-            assert nothing_in_flight(w)()
+            assert nothing_in_flight(environment)()
             assert asyncio.get_running_loop().time() - started_at < (3.5 if ends else 4.5)
-            assert w.sidecar.endpoint_pool.open_count == int(ends)  # whole, it is used again
+            assert environment.sidecar.endpoint_pool.open_count == int(ends)  # whole, it is used again
             client.sock.close()
 
     on_virtual_clock(scenario())
@@ -100,18 +113,18 @@
     body = bytes(range(250)) * 240
 
     async def scenario() -> None:
-        async with running_sidecar(hung, drained=True) as w:
+        async with running_sidecar(hung, graceful_shutdown=True) as environment:
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)  # most of it stays with our kernel
-            sock.connect(w.sidecar.frontend.address)
+            sock.connect(environment.sidecar.frontend.address)
             sock.send(request(Connection="close"))
-            await wait_until(w.sent)
-            (connection,) = w.sidecar.frontend.connections
+            await wait_until(environment.sent)
+            (connection,) = environment.sidecar.frontend.connections
             assert connection._transport is not None
             connection._transport.pause_reading()  # what it sends now is unread when its answer is written
             sock.send(request())
-            w.servers[0].writers[0].write(http_response(200, body))
-            await wait_until(nothing_in_flight(w))
+            environment.servers[0].writers[0].write(http_response(200, body))
+            await wait_until(nothing_in_flight(environment))
             sock.setblocking(False)
             got = b""
             while not got.endswith(body):
@@ -119,8 +132,8 @@
                     got += (data := sock.recv(4_096))
                     assert data, "cut off"
                 await asyncio.sleep(0.01)
-            await wait_until(lambda: not w.sidecar.frontend.connections)
-            assert len(w.sent()) == 1
+            await wait_until(lambda: not environment.sidecar.frontend.connections)
+            assert len(environment.sent()) == 1
             sock.close()
 
     on_virtual_clock(scenario())
@@ -132,18 +145,18 @@
     body = bytes(range(250)) * 400
 
     async def scenario() -> None:
-        async with running_sidecar(hung, drained=True) as w:
+        async with running_sidecar(hung, graceful_shutdown=True) as environment:
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-            sock.connect(w.sidecar.frontend.address)
+            sock.connect(environment.sidecar.frontend.address)
             sock.setblocking(False)
             sock.send(request())
-            await wait_until(w.sent)
-            (connection,) = w.sidecar.frontend.connections
+            await wait_until(environment.sent)
+            (connection,) = environment.sidecar.frontend.connections
             connection._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
             pieces = b"".join(b"2\r\n%b\r\n" % body[at : at + 2] for at in range(0, len(body), 2))
             head = b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n"
-            w.servers[0].writers[0].write(head + pieces + b"0\r\n\r\n")
+            environment.servers[0].writers[0].write(head + pieces + b"0\r\n\r\n")
             await wait_until(lambda: connection._write_blocked)
             got, started_at = b"", asyncio.get_running_loop().time()
             while not got.endswith(b"\r\n0\r\n\r\n"):
@@ -171,30 +184,36 @@
     async def scenario() -> None:
         limits: dict[str, Any] = {"max_attempts": 3, "may_hedge": True, "may_cancel": may_cancel}
         limits["dial_timeout_us"] = 600_000_000
-        async with running_sidecar(hung, hung, drained=True, limits=limits) as w:
+        async with running_sidecar(hung, hung, graceful_shutdown=True, limits=limits) as environment:
             with unresponsive_listener() as address:
                 if first == "dialling":  # whichever is drawn first, its connection does not come up
-                    places = {name: each.address for name, each in w.sidecar.endpoint_pool.endpoints.items()}
-                    for each in w.sidecar.endpoint_pool.endpoints.values():
+                    places = {
+                        name: each.address
+                        for name, each in environment.sidecar.endpoint_pool.endpoints.items()
+                    }
+                    for each in environment.sidecar.endpoint_pool.endpoints.values():
                         each.address = address
-                client = RawClient(w)
+                client = RawClient(environment)
                 client.send(request(budget="5.0"))
-                await wait_until(lambda: w.sidecar.proxy.in_flight)
-                (live,), balancer = w.sidecar.proxy.in_flight.values(), w.sidecar.engine.balancer
+                await wait_until(lambda: environment.sidecar.proxy.in_flight)
+                (live,), balancer = (
+                    environment.sidecar.proxy.in_flight.values(),
+                    environment.sidecar.engine.balancer,
+                )
                 (balancer_request,) = balancer.open_requests.values()
                 if first == "dialling":
-                    for name, each in w.sidecar.endpoint_pool.endpoints.items():
+                    for name, each in environment.sidecar.endpoint_pool.endpoints.items():
                         each.address = places[name]
                 else:
-                    await wait_until(w.sent)
-                seen, earlier = len(w.sent()), len(balancer.actions)
+                    await wait_until(environment.sent)
+                seen, earlier = len(environment.sent()), len(balancer.actions)
                 balancer.components.placement.place(
-                    w.sidecar.engine.clock.now(), balancer_request
+                    environment.sidecar.engine.clock.now(), balancer_request
                 )  # a hedged request
-                w.sidecar.engine.execute(balancer.actions[earlier:])
-                await wait_until(lambda: len(w.sent()) > seen)
+                environment.sidecar.engine.execute(balancer.actions[earlier:])
+                await wait_until(lambda: len(environment.sent()) > seen)
                 name = balancer_request.attempts[1].server.name
-                (there,) = [each for each in w.servers if each.name == name]
+                (there,) = [each for each in environment.servers if each.name == name]
                 there.writers[-1].write(http_response(200, body)[: -len(body) // 2])
                 await wait_until(lambda: live.streamed_attempt == 1)
                 await asyncio.sleep(0.1)
@@ -203,10 +222,10 @@
                 there.writers[-1].write(body[-len(body) // 2 :])
                 reader, writer = await asyncio.open_connection(sock=client.sock)
                 assert (await read_response(reader))[2] == body
-                for late in (*w.servers[0].writers, *w.servers[1].writers):
+                for late in (*environment.servers[0].writers, *environment.servers[1].writers):
                     if late is not there.writers[-1]:
                         late.write(http_response(200, b"too late"))
-                await wait_until(nothing_in_flight(w))
+                await wait_until(nothing_in_flight(environment))
                 writer.close()
 
     on_virtual_clock(scenario())
@@ -217,10 +236,10 @@
     on_virtual_clock: RunScenario, size: int
 ) -> None:
     async def scenario() -> None:
-        async with world_with_unreading_server() as (w, server):
-            events = w.record_events()
+        async with sidecar_with_unreading_server() as (environment, server):
+            events = environment.record_events()
             server.resume_reading.set()
-            reader, writer = await asyncio.open_connection(*w.sidecar.frontend.address)
+            reader, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
             writer.write(request("pay", body=bytes(200_000))[:-1])
             await wait_until(lambda: server.received)
             server.writers[0].write(http_response(200, bytes(size)))
@@ -237,12 +256,12 @@
     on_virtual_clock: RunScenario,
 ) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served, drained=True) as w:
+        async with running_sidecar(served, graceful_shutdown=True) as environment:
             for _ in range(3):
-                assert (await w.send_request(kind="pay", body=b"x"))[0] == 200
-                w.servers[0].writers[-1].close()
+                assert (await environment.send_request(service_class="pay", body=b"x"))[0] == 200
+                environment.servers[0].writers[-1].close()
                 stall(0.05)  # the end waits unread, and the connection has rested
-                assert (await w.send_request(kind="pay", body=b"x"))[0] == 200
-            assert len(w.sent()) == 6
+                assert (await environment.send_request(service_class="pay", body=b"x"))[0] == 200
+            assert len(environment.sent()) == 6
 
     on_virtual_clock(scenario())
--- a/tests/upstream/test_server_connection.py
+++ b/tests/upstream/test_server_connection.py
@@ -29,10 +29,10 @@
 @pytest.mark.parametrize("how", ["end", "stray"])
 def test_connection_with_an_unread_end_or_stray_bytes_is_not_reused(how: str) -> None:
     async def scenario() -> None:
-        async with running_sidecar(served) as w:
-            assert (await w.send_request(kind="pay", body=b"x"))[0] == 200
-            (connection,) = w.sidecar.endpoint_pool.endpoints["s-0"].idle
-            writer = w.servers[0].writers[0]
+        async with running_sidecar(served) as environment:
+            assert (await environment.send_request(service_class="pay", body=b"x"))[0] == 200
+            (connection,) = environment.sidecar.endpoint_pool.endpoints["s-0"].idle
+            writer = environment.servers[0].writers[0]
             if how == "end":
                 raw = writer.get_extra_info("socket")
                 raw.shutdown(socket.SHUT_WR)
@@ -43,8 +43,8 @@
             assert connection.sock.recv(1, socket.MSG_PEEK) is not None
             connection.sock.setblocking(False)
             assert not connection.is_idle()
-            assert (await w.send_request(kind="pay", body=b"x"))[0] == 200
-            assert len(w.servers[0].writers) == 2
+            assert (await environment.send_request(service_class="pay", body=b"x"))[0] == 200
+            assert len(environment.servers[0].writers) == 2
 
     run_scenario(scenario())
 
