--- a/tests/support/relay_tier.py
+++ b/tests/support/relay_tier.py
@@ -16,9 +16,7 @@
 from sidecar_balancer.relay.app import Relay
 from sidecar_balancer.relay.config import RelayConfig, RelayLimits
 
-CHANGE_IN_FORCE_LIMIT_S = (
-    6.0  # limit from a change at the registry until every sidecar that reaches a relay has it
-)
+CHANGE_IN_FORCE_LIMIT_S = 6.0  # from a change at the registry until every sidecar that reaches a relay has it
 LIMITS = RelayLimits(snapshots=2)
 READINESS_REQUEST = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
 
