--- a/tests/cluster/test_cli.py
+++ b/tests/cluster/test_cli.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from harness import ROOT, Tier, format_address, free_ports, new_host, running_tier, scenario
+from harness import ROOT, Tier, format_address, free_addresses, new_host, running_tier, scenario
 from stub_cluster import running_cluster
 from stub_servers import StubServer
 
@@ -63,7 +63,7 @@
 
 @scenario
 async def test_a_refused_connection_gives_one_line_and_exit_code_1() -> None:
-    unused_address = format_address(free_ports(new_host(), 1)[0])
+    unused_address = format_address(free_addresses(new_host(), 1)[0])
     completed = await run("members", "--door", unused_address, "--wait", "1")
     assert completed.code == 1
     assert len(completed.err.splitlines()) == 1
--- a/tests/support/discovery_helpers.py
+++ b/tests/support/discovery_helpers.py
@@ -1,4 +1,4 @@
-"""What tests of discovery read inside a sidecar of `loopback.running_sidecar`."""
+"""Accessors to the internals of a sidecar of `loopback.running_sidecar`, for the tests of discovery."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def served(*_: object) -> bytes:
-    """The script of a server that answers every request."""
+    """Return the response of a server that is up."""
     return http_response(200, b"served")
 
 
