--- a/tests/cluster/test_tier_leases.py
+++ b/tests/cluster/test_tier_leases.py
@@ -1,4 +1,4 @@
-"""Leases across sidecar processes: one holder at a time, whatever happens to it (docs/leases.md)."""
+"""Leases across sidecar processes: one holder at a time, under faults of the holder (docs/leases.md)."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class LeaseCluster(NamedTuple):
-    """A cluster with leases, and an observer of them."""
+    """Cluster with leases, and an observer of them."""
 
     cluster: Cluster
     observer: LeaseObserver
@@ -27,17 +27,19 @@
 
 @contextlib.asynccontextmanager
 async def lease_cluster(folder: Path, zones: str = "aba") -> AsyncIterator[LeaseCluster]:
-    """Three sidecars with leases and the tier's snapshot, before two servers in each of two zones."""
+    """Run three sidecars with leases and the tier snapshot, and two servers in each of two zones."""
     servers = [StubServer(f"{zone}-{number}", zone) for zone in "ab" for number in range(2)]
     state = {"on": True, "every_ms": 30, "tier_folder": str(folder / "tier")}
     changes = {"duties": LEASES, "state": state, "locality": LOCALITY}
-    started = running_cluster(folder, SIZE, servers, zones, membership=MEMBERSHIP_ON, config_changes=changes)
-    async with started as cluster:
+    cluster_context = running_cluster(
+        folder, SIZE, servers, zones, membership=MEMBERSHIP_ON, config_changes=changes
+    )
+    async with cluster_context as cluster:
         yield LeaseCluster(cluster, LeaseObserver(cluster.tier))
 
 
 @scenario
-async def test_a_killed_holder_is_succeeded_and_no_command_is_out_of_turn(tmp_path: Path) -> None:
+async def test_a_killed_holder_is_succeeded_and_no_command_violates_fencing(tmp_path: Path) -> None:
     async with lease_cluster(tmp_path) as (cluster, observer):
         first = await observer.wait_for_holder("snapshot")
         await observer.wait_for_command(first)
--- a/tests/downstream/test_client_connection.py
+++ b/tests/downstream/test_client_connection.py
@@ -1,4 +1,4 @@
-"""One client connection: pipelining, slow clients, and rejections."""
+"""Client connections: pipelining, slow clients, and rejections."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     return http_response(200, b"served")
 
 
-BIG = bytes(64 * 1024 + 1)
+TOO_LONG_TO_BUFFER = bytes(64 * 1024 + 1)
 
 
 def test_pipelined_requests_are_answered_in_order() -> None:
@@ -46,13 +46,13 @@
     async def scenario() -> None:
         async with running_sidecar(served) as environment:
             reader, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
-            data = request("pay", body=BIG[:-1], Expect="100-continue")
+            data = request("pay", body=TOO_LONG_TO_BUFFER[:-1], Expect="100-continue")
             head = data.index(b"\r\n\r\n") + 4
             writer.write(data[:head])
             assert b" 100 " in await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), WAIT_TIMEOUT_S)
             writer.write(data[head:])
             assert (await read_response(reader))[0] == 200
-            assert environment.sent()[0][2] == BIG[:-1]
+            assert environment.sent()[0][2] == TOO_LONG_TO_BUFFER[:-1]
             writer.close()
 
     run_scenario(scenario())
@@ -65,7 +65,7 @@
 def test_client_that_sends_slowly_or_nothing_is_disconnected(
     sent: bytes, used: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards the descriptors.  A used connection that sends nothing is at rest, and may stay.
+    # Guards the limit on file descriptors.  A used connection that sends nothing is idle and may stay.
     monkeypatch.setattr(request_deadline, "REQUEST_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
@@ -89,7 +89,7 @@
 
 
 def test_client_that_does_not_read_its_response_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards the descriptors: its connection would never be at rest.
+    # Guards the limit on file descriptors: the connection would never become idle.
     monkeypatch.setattr(client_transport, "STALL_TIMEOUT_S", 0.1)
 
     async def scenario() -> None:
@@ -122,7 +122,7 @@
 
 
 def test_connection_with_an_unread_request_is_not_idle() -> None:
-    # Guards against closing a connection under a request that was taken by the kernel, not yet by us.
+    # Guards against closing a connection whose next request is in the kernel's buffer but not read yet.
     async def scenario() -> None:
         async with running_sidecar(served) as environment:
             _, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
@@ -130,21 +130,23 @@
             connection: ClientConnection = next(iter(environment.sidecar.frontend.connections))
             assert connection.is_idle()
             peer = writer.get_extra_info("socket")
-            peer_fd = socket.socket(fileno=socket.dup(peer.fileno()))
-            peer_fd.send(request())  # within one step of the event loop
+            peer_copy = socket.socket(fileno=socket.dup(peer.fileno()))
+            peer_copy.send(request())  # within one turn of the event loop
             assert not connection.is_idle()
-            peer_fd.close()
+            peer_copy.close()
             writer.close()
 
     run_scenario(scenario())
 
 
 def test_rejection_arrives_while_the_body_is_still_being_sent() -> None:
-    # Guards against closing on unread bytes, which resets the connection and the answer with it.
+    # Guards against closing with unread input, which resets the connection and loses the response.
     async def scenario() -> None:
         async with running_sidecar(served) as environment:
             reader, writer = await asyncio.open_connection(*environment.sidecar.frontend.address)
-            writer.write(request("pay", body=BIG * 64, Content_Length=str(MAX_REQUEST_BODY_BYTES + 1)))
+            writer.write(
+                request("pay", body=TOO_LONG_TO_BUFFER * 64, Content_Length=str(MAX_REQUEST_BODY_BYTES + 1))
+            )
             with contextlib.suppress(ConnectionError):
                 await writer.drain()
             assert (await read_response(reader))[0] == 413
--- a/tests/downstream/test_client_disconnects.py
+++ b/tests/downstream/test_client_disconnects.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect: nothing is forwarded for them, and what was in flight ends at once."""
+"""Clients that disconnect: nothing more is forwarded for them, and what is in flight ends at once."""
 
 from __future__ import annotations
 
@@ -31,18 +31,18 @@
 from virtual_clock import RunScenario, stall
 
 
-@pytest.mark.parametrize("how", DISCONNECT_KINDS)
-@pytest.mark.parametrize("kind", ["look", "pay"])
+@pytest.mark.parametrize("disconnect_kind", DISCONNECT_KINDS)
+@pytest.mark.parametrize("service_class", ["look", "pay"])
 def test_request_read_together_with_its_clients_close_is_not_forwarded(
-    on_virtual_clock: RunScenario, how: str, kind: str
+    on_virtual_clock: RunScenario, disconnect_kind: str, service_class: str
 ) -> None:
     async def scenario() -> None:
         async with running_sidecar(served, served, graceful_shutdown=True) as environment:
-            assert (await environment.send_request())[0] == 200  # a connection to a server is there
+            assert (await environment.send_request())[0] == 200  # opens a connection to a server
             client = RawClient(environment)
-            client.send(request(kind, body=b"" if kind == "look" else b"x"))
-            client.disconnect(how)
-            stall(1.0)  # the sidecar stands still, or leaves it in the queue of connections
+            client.send(request(service_class, body=b"" if service_class == "look" else b"x"))
+            client.disconnect(disconnect_kind)
+            stall(1.0)  # the sidecar stalls, or leaves the client in the queue of connections
             await wait_until(lambda: len(environment.sidecar.frontend.connections) == 1)
             await wait_until(lambda: not environment.sidecar.frontend.connections)
             assert len(environment.sent()) == 1
@@ -52,8 +52,10 @@
     on_virtual_clock(scenario())
 
 
-@pytest.mark.parametrize("how", DISCONNECT_KINDS)
-def test_dial_ends_at_once_when_its_client_disconnects(on_virtual_clock: RunScenario, how: str) -> None:
+@pytest.mark.parametrize("disconnect_kind", DISCONNECT_KINDS)
+def test_dial_ends_at_once_when_its_client_disconnects(
+    on_virtual_clock: RunScenario, disconnect_kind: str
+) -> None:
     async def scenario() -> None:
         limits = {"max_attempts": 3, "may_cancel": False, "dial_timeout_us": 600_000_000}
         with unresponsive_listener() as address:
@@ -62,7 +64,7 @@
                 client = RawClient(environment)
                 client.send(request("pay", body=b"x", budget="1.9"))
                 await wait_until(lambda: environment.sidecar.endpoint_pool.open_count == 1)
-                client.disconnect(how)
+                client.disconnect(disconnect_kind)
                 await wait_until_nothing_in_flight(environment)
                 assert environment.sidecar.endpoint_pool.open_count == 0
                 client.sock.close()
@@ -70,28 +72,28 @@
     on_virtual_clock(scenario())
 
 
-@pytest.mark.parametrize("how", DISCONNECT_KINDS)
+@pytest.mark.parametrize("disconnect_kind", DISCONNECT_KINDS)
 def test_nothing_is_written_where_the_client_left_unnoticed_during_the_dial(
-    on_virtual_clock: RunScenario, how: str, monkeypatch: pytest.MonkeyPatch
+    on_virtual_clock: RunScenario, disconnect_kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        up, real = asyncio.Event(), dialing.connect
+        dial_may_end, real_connect = asyncio.Event(), dialing.connect
 
-        async def late(*given: Any) -> Any:
-            connection = await real(*given)
-            await up.wait()
+        async def delayed_connect(*args: Any) -> Any:
+            connection = await real_connect(*args)
+            await dial_may_end.wait()
             return connection
 
         async with running_sidecar(served, served, graceful_shutdown=True) as environment:
-            monkeypatch.setattr(endpoint_pool, "connect", late)
+            monkeypatch.setattr(endpoint_pool, "connect", delayed_connect)
             client = RawClient(environment)
             client.send(request())
             await wait_until(lambda: environment.sidecar.endpoint_pool.open_count == 1)
             (connection,) = environment.sidecar.frontend.connections
             assert connection._transport is not None
-            connection._transport.pause_reading()  # nothing but the dial's end can see it leave
-            client.disconnect(how)
-            up.set()
+            connection._transport.pause_reading()  # only the end of the dial can detect the disconnect
+            client.disconnect(disconnect_kind)
+            dial_may_end.set()
             await wait_until_nothing_in_flight(environment)
             assert not environment.sent()
             client.sock.close()
@@ -99,22 +101,22 @@
     on_virtual_clock(scenario())
 
 
-@pytest.mark.parametrize("how", DISCONNECT_KINDS)
-@pytest.mark.parametrize("ahead", [b"", PIPELINED_INPUT])
-@pytest.mark.parametrize("end", [http_response(503, b"", X_Rejected="1"), http_response(500, b"")])
+@pytest.mark.parametrize("disconnect_kind", DISCONNECT_KINDS)
+@pytest.mark.parametrize("pipelined_input", [b"", PIPELINED_INPUT])
+@pytest.mark.parametrize("response", [http_response(503, b"", X_Rejected="1"), http_response(500, b"")])
 def test_attempt_that_fails_as_its_client_disconnects_is_not_retried(
-    on_virtual_clock: RunScenario, how: str, ahead: bytes, end: bytes
+    on_virtual_clock: RunScenario, disconnect_kind: str, pipelined_input: bytes, response: bytes
 ) -> None:
     async def scenario() -> None:
         async with running_sidecar(hung, hung, graceful_shutdown=True) as environment:
             client = RawClient(environment)
             client.send(request())
             await wait_until(environment.sent)
-            client.send(ahead)
+            client.send(pipelined_input)
             await asyncio.sleep(0.05)
-            (there,) = [each for each in environment.servers if each.requests]
-            there.writers[-1].write(end)  # it comes first, and its client's leaving right behind
-            client.disconnect(how)
+            (server,) = [each for each in environment.servers if each.requests]
+            server.writers[-1].write(response)  # arrives first, directly followed by the disconnect
+            client.disconnect(disconnect_kind)
             await wait_until_nothing_in_flight(environment)
             assert len(environment.sent()) == 1
             client.sock.close()
@@ -122,10 +124,10 @@
     on_virtual_clock(scenario())
 
 
-@pytest.mark.parametrize("how", DISCONNECT_KINDS)
+@pytest.mark.parametrize("disconnect_kind", DISCONNECT_KINDS)
 @pytest.mark.parametrize("may_cancel", [True, False])
 def test_client_that_disconnects_while_it_is_not_read_is_noticed_in_time(
-    on_virtual_clock: RunScenario, how: str, may_cancel: bool
+    on_virtual_clock: RunScenario, disconnect_kind: str, may_cancel: bool
 ) -> None:
     async def scenario() -> None:
         limits = {"max_attempts": 3, "may_cancel": may_cancel}
@@ -134,15 +136,15 @@
             client.send(request("pay", body=b"x") + PIPELINED_INPUT)
             await wait_until(environment.sent)
             await asyncio.sleep(0.25)
-            client.disconnect(how)
+            client.disconnect(disconnect_kind)
             started_at = asyncio.get_running_loop().time()
             await wait_until(lambda: not environment.sidecar.proxy.by_client_request)
             assert asyncio.get_running_loop().time() - started_at < DISCONNECT_GRACE_S
-            (there,) = [each for each in environment.servers if each.requests]
+            (server,) = [each for each in environment.servers if each.requests]
             if may_cancel:
-                await wait_until(lambda: there.closed == 1)
-            else:  # what is whole at a server stays there, and is not repeated
-                there.writers[-1].write(http_response(503, b"", X_Rejected="1"))
+                await wait_until(lambda: server.closed == 1)
+            else:  # a request that a server has completely received is neither cancelled nor retried
+                server.writers[-1].write(http_response(503, b"", X_Rejected="1"))
             await wait_until(nothing_in_flight(environment))
             assert len(environment.sent()) == 1
             client.sock.close()
@@ -151,10 +153,11 @@
 
 
 @pytest.mark.parametrize(
-    ("how", "behind"), [("close", 0), ("half-close", 0), ("reset", 0), ("reset", 9_000_000)]
+    ("disconnect_kind", "unread_byte_count"),
+    [("close", 0), ("half-close", 0), ("reset", 0), ("reset", 9_000_000)],
 )
 def test_paused_upload_ends_when_its_client_disconnects(
-    on_virtual_clock: RunScenario, how: str, behind: int
+    on_virtual_clock: RunScenario, disconnect_kind: str, unread_byte_count: int
 ) -> None:
     async def scenario() -> None:
         async with sidecar_with_unreading_server() as (environment, server):
@@ -165,8 +168,8 @@
             while not connection._reading_paused:
                 client.send_without_blocking(bytes(65_536))
                 await asyncio.sleep(0)
-            client.send_without_blocking(bytes(behind))
-            client.disconnect(how)
+            client.send_without_blocking(bytes(unread_byte_count))
+            client.disconnect(disconnect_kind)
             await wait_until_nothing_in_flight(environment)
             server.resume_reading.set()
             await wait_until(lambda: server.ended)
@@ -175,10 +178,10 @@
     on_virtual_clock(scenario())
 
 
-def test_upload_behind_a_full_buffer_is_not_completed_after_its_client_left(
+def test_upload_behind_a_full_buffer_is_not_completed_after_its_client_disconnected(
     on_virtual_clock: RunScenario,
 ) -> None:
-    size = 8_000_000  # more than the kernel holds on the way: nobody can see yet that the client has left
+    size = 8_000_000  # more than the kernel buffers, so that the disconnect is not visible yet
 
     async def scenario() -> None:
         async with sidecar_with_unreading_server() as (environment, server):
@@ -187,7 +190,7 @@
             await wait_until(
                 lambda: any(each._reading_paused for each in environment.sidecar.frontend.connections)
             )
-            writer.close()  # once all is with the kernel
+            writer.close()  # takes effect once the kernel has all data
             server.resume_reading.set()
             await wait_until(lambda: server.ended)
             assert not b"".join(server.received).endswith(bytes(size))
@@ -197,9 +200,9 @@
     on_virtual_clock(scenario())
 
 
-@pytest.mark.parametrize("how", DISCONNECT_KINDS)
+@pytest.mark.parametrize("disconnect_kind", DISCONNECT_KINDS)
 def test_upload_whose_end_comes_with_its_clients_close_is_not_completed(
-    on_virtual_clock: RunScenario, how: str
+    on_virtual_clock: RunScenario, disconnect_kind: str
 ) -> None:
     async def scenario() -> None:
         async with sidecar_with_unreading_server() as (environment, server):
@@ -209,7 +212,7 @@
             client.send(data[:-1])
             await wait_until(lambda: server.received)
             client.send(data[-1:])
-            client.disconnect(how)
+            client.disconnect(disconnect_kind)
             await wait_until_nothing_in_flight(environment)
             await wait_until(lambda: server.ended)
             assert not b"".join(server.received).endswith(bytes(100_000))
@@ -242,14 +245,16 @@
     on_virtual_clock(scenario())
 
 
-def test_pipelined_request_is_not_forwarded_after_its_client_left(on_virtual_clock: RunScenario) -> None:
+def test_pipelined_request_is_not_forwarded_after_its_client_disconnected(
+    on_virtual_clock: RunScenario,
+) -> None:
     async def scenario() -> None:
         async with running_sidecar(hung, hung, graceful_shutdown=True) as environment:
             client = RawClient(environment)
             client.send(request() + request())
             await wait_until(environment.sent)
-            (there,) = [each for each in environment.servers if each.requests]
-            there.writers[-1].write(http_response(200, b"served"))
+            (server,) = [each for each in environment.servers if each.requests]
+            server.writers[-1].write(http_response(200, b"served"))
             client.disconnect("close")
             await wait_until_nothing_in_flight(environment)
             assert len(environment.sent()) == 1
--- a/tests/downstream/test_request.py
+++ b/tests/downstream/test_request.py
@@ -23,7 +23,7 @@
     return http_response(200, b"served")
 
 
-# Guards servers against what this sidecar could not account for: none of these may be sent on.
+# Guards servers against requests that this sidecar can't account for: none of these may be forwarded.
 @pytest.mark.parametrize(
     ("data", "status"),
     [
@@ -49,13 +49,13 @@
         async with running_sidecar(served) as environment:
             got, _, _ = await send_request(environment.sidecar.frontend.address, data)
             assert got == status
-            assert (await environment.send_request())[0] == 200  # and the sidecar goes on
+            assert (await environment.send_request())[0] == 200  # the sidecar keeps serving
             assert len(environment.sent()) == 1
 
     run_scenario(scenario())
 
 
-# Guards servers, and what is learned of them: they answer 400 to these, as if they were sick.
+# Guards servers and the state learned about them: they answer these with 400, as if they were faulty.
 @pytest.mark.parametrize(
     ("data", "status"),
     [
@@ -119,7 +119,7 @@
 }
 
 
-# Guards against a request inside the body of another: by the length it is body, by the chunks a request.
+# Guards against request smuggling: INNER is part of the body by the length, but a request by the chunks.
 @pytest.mark.parametrize("head", AMBIGUOUS.values(), ids=AMBIGUOUS)
 def test_nothing_is_read_after_a_head_with_ambiguous_framing(head: bytes) -> None:
     async def scenario() -> None:
@@ -135,7 +135,7 @@
 
 
 def test_remaining_time_is_capped_by_the_deadline_of_the_class() -> None:
-    # Guards the memory: what is kept for a request is kept as long as it claims to have.
+    # Guards the memory: the state of a request is kept for as long as the remaining time that it states.
     async def scenario() -> None:
         async with running_sidecar(served) as environment:
             events = environment.record_events()
--- a/tests/downstream/test_upload_streaming.py
+++ b/tests/downstream/test_upload_streaming.py
@@ -1,4 +1,4 @@
-"""Long request bodies over loopback: streamed within bounds, and never completed where they break."""
+"""Long request bodies over loopback: streamed in bounded memory, and never completed if they break off."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
 from sidecar_balancer.runtime.streams import MAX_BUFFERED_BODY_BYTES
 
 
-async def served_upload(reader: Reader, writer: Writer) -> None:
-    """Says of each body whether it came whole."""
+async def serve_uploads(reader: Reader, writer: Writer) -> None:
+    """Reply whether each body arrived complete."""
     while True:
         head = await read_head(reader)
         if "chunked" in head:
@@ -49,7 +49,7 @@
 @pytest.mark.parametrize("form", ["length", "chunks", "small chunks", "expect"])
 def test_long_request_body_arrives_complete_with_every_framing(form: str) -> None:
     async def scenario() -> None:
-        async with sidecar_with_raw_server(served_upload) as (environment, _):
+        async with sidecar_with_raw_server(serve_uploads) as (environment, _):
             events = environment.record_events()
             reader, writer = await connect_client(environment)
             if "chunks" in form:
@@ -65,7 +65,7 @@
             assert "200 ok" in await read_head(reader)
             assert await reader.readexactly(5) == b"whole"
             assert [each.body_open for each in events if isinstance(each, RequestReceived)] == [True]
-            writer.write(request("pay", body=LONG_BODY))  # the connection goes on
+            writer.write(request("pay", body=LONG_BODY))  # the connection is still usable
             assert "200 ok" in await read_head(reader)
             writer.close()
 
@@ -74,7 +74,7 @@
 
 def test_deadline_starts_with_the_last_byte_of_the_body() -> None:
     async def scenario() -> None:
-        async with sidecar_with_raw_server(served_upload) as (environment, _):
+        async with sidecar_with_raw_server(serve_uploads) as (environment, _):
             reader, writer = await connect_client(environment)
             data = request("pay", body=LONG_BODY)
             writer.write(data[:-1])
@@ -147,7 +147,7 @@
             events = environment.record_events()
             reader, writer = await connect_client(environment)
             writer.write(request("pay", body=LONG_BODY)[:-1])
-            # It never ran: a refusal says so, and it comes while the body is still being sent.
+            # It never ran: a rejection says so, and it comes while the body is still being sent.
             assert "503" in await read_head(reader)
             assert server.connections == 1
             ended = [each for each in events if isinstance(each, AttemptEnded)]
@@ -200,7 +200,7 @@
     monkeypatch.setattr(client_connection, "MAX_REQUEST_BODY_BYTES", 500_000)
 
     async def scenario() -> None:
-        async with sidecar_with_raw_server(served_upload) as (environment, _):
+        async with sidecar_with_raw_server(serve_uploads) as (environment, _):
             reader, writer = await connect_client(environment)
             writer.write(request("pay", Content_Length=None, Transfer_Encoding="chunked"))
             writer.write(chunked(LONG_BODY, 100_000))
@@ -221,15 +221,15 @@
             await wait_until(lambda: connection._head is not None)
             deadline = connection._deadline
             deadline.awaited_since = 100.0
-            for head_at, received, came_at, due in (
-                (100.0, 0, 100.0, 102.5),  # a head and nothing behind it
+            for counted_since, body_bytes, last_input_at, due_at in (
+                (100.0, 0, 100.0, 102.5),  # a head without a body
                 (102.0, 0, 102.0, 103.5),  # a slow head
-                (102.0, 64_000, 103.0, 105.5),  # the slowest that is owed service, with as much to spare
-                (102.0, 32_000_000, 103.0, 113.0),  # what came fast buys no long silence
+                (102.0, 64_000, 103.0, 105.5),  # the slowest client to serve, with as much time to spare
+                (102.0, 32_000_000, 103.0, 113.0),  # bytes that arrived fast don't allow a longer stall
             ):
-                deadline.body_counted_since, deadline.body_bytes = head_at, received
-                deadline.last_input_at = came_at
-                assert deadline.due_at(connection._head is not None) == due
+                deadline.body_counted_since, deadline.body_bytes = counted_since, body_bytes
+                deadline.last_input_at = last_input_at
+                assert deadline.due_at(connection._head is not None) == due_at
             writer.close()
 
     run_scenario(scenario())
--- a/tests/upstream/test_endpoint_changes.py
+++ b/tests/upstream/test_endpoint_changes.py
@@ -38,11 +38,11 @@
     async def scenario() -> None:
         async with running_sidecar(hung, served, graceful_shutdown=True) as environment:
             with unresponsive_listener() as address:
-                places = [
+                entries = [
                     environment.servers[0].entry(address=f"127.0.0.1:{address[1]}"),
                     environment.servers[1].entry(),
                 ]
-                environment.discovery.publish(42, places, snapshot=True)
+                environment.discovery.publish(42, entries, snapshot=True)
                 await wait_until(
                     lambda: environment.sidecar.endpoint_pool.endpoints["s-0"].address == address
                 )
@@ -51,17 +51,18 @@
                 response_task = asyncio.create_task(environment.send_request(service_class="pay", body=b"x"))
                 await wait_until(lambda: environment.sidecar.endpoint_pool._dial_tasks)
                 events = environment.record_events()
-                where = {"since_ms": 7} if change == "restarts" else {}
-                place = f"127.0.0.1:{address[1]}" if change == "restarts" else None
-                new_discovery = environment.servers[0].entry(**({"address": place} if place else {}), **where)
-                environment.discovery.publish(44, [new_discovery, environment.servers[1].entry()])
+                new_start = {"since_ms": 7} if change == "restarts" else {}
+                new_address = f"127.0.0.1:{address[1]}" if change == "restarts" else None
+                changed_entry = environment.servers[0].entry(
+                    **({"address": new_address} if new_address else {}), **new_start
+                )
+                environment.discovery.publish(44, [changed_entry, environment.servers[1].entry()])
                 assert (await response_task)[0] == 200
                 assert not environment.servers[0].requests
                 ended = [each for each in events if isinstance(each, AttemptEnded)]
                 assert [each.outcome for each in ended] == [Outcome.UNSENT, Outcome.DELIVERED]
-                assert (
-                    environment.sidecar.engine.balancer.servers["s-0"].consecutive_failures == 0
-                )  # it did nothing wrong
+                # The server is not at fault.
+                assert environment.sidecar.engine.balancer.servers["s-0"].consecutive_failures == 0
 
     on_virtual_clock(scenario())
 
@@ -73,8 +74,8 @@
         async with running_sidecar(served, served, served, graceful_shutdown=True) as environment:
             with unresponsive_listener() as address:
                 for _ in range(20):
-                    assert (await environment.send_request())[0] == 200  # connections to all of them are open
-                before = len(environment.sent())
+                    assert (await environment.send_request())[0] == 200  # opens connections to all of them
+                sent_before = len(environment.sent())
                 for server in environment.servers:
                     environment.sidecar.endpoint_pool.close_idle(server.name)
                     environment.sidecar.endpoint_pool.endpoints[server.name].address = address
@@ -88,7 +89,7 @@
                     42, [each.entry(status="leaving") for each in environment.servers]
                 )
                 assert (await response_task)[0] == 503
-                assert len(environment.sent()) == before
+                assert len(environment.sent()) == sent_before
                 assert environment.sidecar.proxy.in_flight == {}
 
     on_virtual_clock(scenario())
@@ -100,15 +101,14 @@
     async def scenario() -> None:
         async with running_sidecar(served, served, graceful_shutdown=True) as environment:
             events = environment.record_events()
-            real = environment.sidecar.endpoint_pool.send
+            real_send = environment.sidecar.endpoint_pool.send
 
-            def late(name: str, *given: Any) -> Exchange:
-                environment.sidecar.endpoint_pool.endpoints.pop(
-                    "s-0", None
-                )  # it went between the decision and its send
-                return real(name, *given)
+            def send_after_removal(name: str, *args: Any) -> Exchange:
+                # Removed between the decision and its send.
+                environment.sidecar.endpoint_pool.endpoints.pop("s-0", None)
+                return real_send(name, *args)
 
-            monkeypatch.setattr(environment.sidecar.endpoint_pool, "send", late)
+            monkeypatch.setattr(environment.sidecar.endpoint_pool, "send", send_after_removal)
             for _ in range(8):
                 assert (await environment.send_request(service_class="pay", body=b"x"))[0] == 200
             ended = [each.outcome for each in events if isinstance(each, AttemptEnded)]
@@ -140,10 +140,10 @@
             elif outcome == "break":
                 reset_connection(server.writers[0])
             assert (await response_task)[0] == (200 if outcome == "answer" else 500)
-            assert len(environment.sent()) == 1  # it may have run: it is not sent again
+            assert len(environment.sent()) == 1  # it may have been executed, so it is not retried
             server.script = served
             assert (await environment.send_request())[0] == 200
-            assert len(server.writers) == 2  # what was open to the one that went is not used again
+            assert len(server.writers) == 2  # connections from before the removal are not reused
 
     on_virtual_clock(scenario())
 
@@ -166,9 +166,8 @@
             await wait_until(lambda: not environment.sidecar.engine.balancer.ready_servers)
             server.writers[0].write(http_response(200, b"served"))
             assert (await response_task)[2] == b"served"
-            await wait_until(
-                lambda: environment.sidecar.endpoint_pool.open_count == 0
-            )  # it is not kept for another
+            # The connection is not kept for reuse.
+            await wait_until(lambda: environment.sidecar.endpoint_pool.open_count == 0)
             assert (await environment.send_request())[0] == 503
 
     on_virtual_clock(scenario())
@@ -227,7 +226,7 @@
 ) -> None:
     async def scenario() -> None:
         async def connect(*_: object) -> ServerConnection:
-            raise UnicodeError("label too long")  # as looking up a name of 70 letters does, in a thread
+            raise UnicodeError("label too long")  # as the lookup of a 70-letter name does, in a thread
 
         async with running_sidecar(served, graceful_shutdown=True) as environment:
             monkeypatch.setattr(endpoint_pool, "connect", connect)
@@ -264,7 +263,7 @@
         for writer in closing.writers:
             writer.close()
         await wait_until(lambda: pool.open_count == 0)
-        assert not pool.endpoints["closing"].idle  # nor is a timer left for what is over
+        assert not pool.endpoints["closing"].idle  # no closed connection or timer is left
         for _ in range(3):
             send("other")
         assert pool.open_count == 2
--- a/tests/upstream/test_load_report.py
+++ b/tests/upstream/test_load_report.py
@@ -13,8 +13,8 @@
 def test_malformed_load_reports_are_ignored() -> None:
     columns = ("util", "qps")
     assert parse_load_report("TEXT util=0.5, qps=7, other=1", columns) == {"util": 0.5, "qps": 7.0}
-    for junk in ("TEXT util=nan", "TEXT util", "BIN xyz", "", "TEXT "):
-        assert parse_load_report(junk, columns) is None
+    for malformed in ("TEXT util=nan", "TEXT util", "BIN xyz", "", "TEXT "):
+        assert parse_load_report(malformed, columns) is None
     assert parse_load_report("TEXT util=inf, qps=3", columns) == {"qps": 3.0}
     assert parse_load_report("TEXT util=0.5", ()) is None
 
--- a/tests/upstream/test_response_streaming.py
+++ b/tests/upstream/test_response_streaming.py
@@ -1,4 +1,4 @@
-"""Long responses over loopback: streamed within bounds, and visibly broken where they break."""
+"""Long responses over loopback: streamed in bounded memory, and visibly incomplete if they break off."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 
 def test_long_response_is_streamed_and_not_ended_by_its_deadline() -> None:
-    more = asyncio.Event()
+    send_rest = asyncio.Event()
 
     async def script(reader: Reader, writer: Writer) -> None:
         await read_head(reader)
         writer.write(b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n" % len(LONG_BODY) + LONG_BODY[:300_000])
-        await more.wait()
+        await send_rest.wait()
         writer.write(LONG_BODY[300_000:])
         await writer.drain()
         await reader.read()
@@ -43,20 +43,20 @@
             writer.write(request())
             assert f"content-length: {len(LONG_BODY)}" in await read_head(reader)
             got = await reader.readexactly(300_000)
-            live = next(iter(environment.sidecar.proxy.in_flight.values()))
-            attempt = live.attempts[0]
+            in_flight_request = next(iter(environment.sidecar.proxy.in_flight.values()))
+            attempt = in_flight_request.attempts[0]
             assert attempt is not None
             assert not attempt.timers
-            assert live.failsafe_timer is not None
-            assert live.failsafe_timer.cancelled()
-            more.set()
+            assert in_flight_request.failsafe_timer is not None
+            assert in_flight_request.failsafe_timer.cancelled()
+            send_rest.set()
             got += await asyncio.wait_for(reader.readexactly(len(LONG_BODY) - 300_000), WAIT_TIMEOUT_S)
             assert got == LONG_BODY
             await wait_until(lambda: any(isinstance(each, AttemptEnded) for each in events))
             assert [each.outcome for each in events if isinstance(each, AttemptEnded)] == [Outcome.DELIVERED]
             assert sum(isinstance(each, ResponseStarted) for each in events) == 1
-            writer.write(request())  # the connection goes on
-            more.clear()
+            writer.write(request())  # the connection is still usable
+            send_rest.clear()
             await read_head(reader)
             writer.close()
 
@@ -134,11 +134,11 @@
             writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65_536)
             writer.write(request())
             await wait_until(lambda: environment.sidecar.endpoint_pool._body_memory.active_streams == 1)
-            server_side = next(iter(environment.sidecar.frontend.connections))
-            await wait_until(lambda: server_side._write_blocked)
-            assert server_side._transport is not None
-            assert server_side._transport.get_write_buffer_size() <= 2 * 64 * 1024
-            assert sent < HUGE_BODY_BYTES  # the rest stays where it is
+            client_connection = next(iter(environment.sidecar.frontend.connections))
+            await wait_until(lambda: client_connection._write_blocked)
+            assert client_connection._transport is not None
+            assert client_connection._transport.get_write_buffer_size() <= 2 * 64 * 1024
+            assert sent < HUGE_BODY_BYTES  # the rest stays at the server
             got = 0
             await read_head(reader)
             async with asyncio.timeout(WAIT_TIMEOUT_S):
@@ -242,12 +242,12 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(server_connection, "_MAX_RESPONSE_BUFFERING_S", 0.05)
-    more = asyncio.Event()
+    send_rest = asyncio.Event()
 
     async def script(reader: Reader, writer: Writer) -> None:
         await read_head(reader)
         writer.write(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nbegun\r\n")
-        await more.wait()
+        await send_rest.wait()
         writer.write(b"5\r\nended\r\n0\r\n\r\n")
         await reader.read()
 
@@ -256,7 +256,7 @@
             reader, writer = await connect_client(environment)
             writer.write(request())
             await read_head(reader)
-            more.set()
+            send_rest.set()
             assert await read_chunked(reader) == b"begunended"
             writer.close()
 
--- a/tests/upstream/test_response_timing.py
+++ b/tests/upstream/test_response_timing.py
@@ -1,4 +1,4 @@
-"""Responses that come early, late, twice, slowly or behind their connection's end."""
+"""Responses that arrive early, late, twice, slowly or after the end of their connection."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
 
 
 @pytest.mark.parametrize("late_s", [0.0, 0.001, 0.009])
-@pytest.mark.parametrize("kind", ["look", "pay"])
+@pytest.mark.parametrize("service_class", ["look", "pay"])
 def test_second_response_is_never_delivered_to_another_request(
-    on_virtual_clock: RunScenario, late_s: float, kind: str
+    on_virtual_clock: RunScenario, late_s: float, service_class: str
 ) -> None:
-    body = b"" if kind == "look" else b"x"
+    body = b"" if service_class == "look" else b"x"
 
     async def scenario() -> None:
         async with running_sidecar(
@@ -47,14 +47,16 @@
         ) as environment:
             server = environment.servers[0]
             for _ in range(4):
-                assert (await environment.send_request(service_class=kind, body=body))[2] == b"first"
-                there, seen = server.writers[-1], len(server.requests)
+                assert (await environment.send_request(service_class=service_class, body=body))[2] == b"first"
+                writer, sent_before = server.writers[-1], len(server.requests)
                 server.script = hung
-                response_task = asyncio.create_task(environment.send_request(service_class=kind, body=body))
-                await wait_until(lambda seen=seen: len(server.requests) > seen)  # type: ignore[misc]
+                response_task = asyncio.create_task(
+                    environment.send_request(service_class=service_class, body=body)
+                )
+                await wait_until(lambda sent_before=sent_before: len(server.requests) > sent_before)  # type: ignore[misc]
                 await asyncio.sleep(late_s)
-                if not there.is_closing():
-                    there.write(http_response(200, b"a second answer"))
+                if not writer.is_closing():
+                    writer.write(http_response(200, b"a second answer"))
                 await asyncio.sleep(0.05)
                 for each in server.writers:
                     if not each.is_closing():
@@ -83,27 +85,31 @@
             client = RawClient(environment)
             client.send(request(budget="1.0"))
             await wait_until(environment.sent)
-            (there,), (live,) = environment.servers[0].writers, environment.sidecar.proxy.in_flight.values()
-            there.write(head + piece * 20)
-            await wait_until(lambda: live.streamed_attempt is not None)
+            (writer,), (in_flight_request,) = (
+                environment.servers[0].writers,
+                environment.sidecar.proxy.in_flight.values(),
+            )
+            writer.write(head + piece * 20)
+            await wait_until(lambda: in_flight_request.streamed_attempt is not None)
             client.disconnect("reset")
             await wait_until(lambda: not environment.sidecar.frontend.connections)
             started_at = asyncio.get_running_loop().time()
-            for _ in range(15):  # well past the time that its client gave it
+            for _ in range(15):  # well past the remaining time that its client stated
                 await asyncio.sleep(0.2)
-                there.write(piece)
-                assert environment.servers[0].closed == 0  # nothing may be cancelled
+                writer.write(piece)
+                assert environment.servers[0].closed == 0  # cancellation is disabled
             if ends:
-                there.write(b"0\r\n\r\n")
+                writer.write(b"0\r\n\r\n")
             while (
                 not nothing_in_flight(environment)() and asyncio.get_running_loop().time() < started_at + 10.0
             ):
                 await asyncio.sleep(0.2)
-                if not (ends or there.is_closing()):
-                    there.write(piece)
+                if not (ends or writer.is_closing()):
+                    writer.write(piece)
             assert nothing_in_flight(environment)()
             assert asyncio.get_running_loop().time() - started_at < (3.5 if ends else 4.5)
-            assert environment.sidecar.endpoint_pool.open_count == int(ends)  # whole, it is used again
+            # After a complete response, the connection is kept for reuse.
+            assert environment.sidecar.endpoint_pool.open_count == int(ends)
             client.sock.close()
 
     on_virtual_clock(scenario())
@@ -115,13 +121,14 @@
     async def scenario() -> None:
         async with running_sidecar(hung, graceful_shutdown=True) as environment:
             sock = socket.socket()
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)  # most of it stays with our kernel
+            # Most of the response stays in the kernel on the sidecar's side.
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
             sock.connect(environment.sidecar.frontend.address)
             sock.send(request(Connection="close"))
             await wait_until(environment.sent)
             (connection,) = environment.sidecar.frontend.connections
             assert connection._transport is not None
-            connection._transport.pause_reading()  # what it sends now is unread when its answer is written
+            connection._transport.pause_reading()  # input sent now is unread when the response is written
             sock.send(request())
             environment.servers[0].writers[0].write(http_response(200, body))
             await wait_until(nothing_in_flight(environment))
@@ -179,15 +186,15 @@
 def test_streamed_response_is_not_cut_off_by_the_hedged_request_that_it_ends(
     on_virtual_clock: RunScenario, first: str, may_cancel: bool
 ) -> None:
-    body = bytes(range(251)) * 1000  # too long to be held whole
+    body = bytes(range(251)) * 1000  # too long to be buffered
 
     async def scenario() -> None:
         limits: dict[str, Any] = {"max_attempts": 3, "may_hedge": True, "may_cancel": may_cancel}
         limits["dial_timeout_us"] = 600_000_000
         async with running_sidecar(hung, hung, graceful_shutdown=True, limits=limits) as environment:
             with unresponsive_listener() as address:
-                if first == "dialling":  # whichever is drawn first, its connection does not come up
-                    places = {
+                if first == "dialling":  # whichever is selected first, its connection is not established
+                    addresses = {
                         name: each.address
                         for name, each in environment.sidecar.endpoint_pool.endpoints.items()
                     }
@@ -196,35 +203,36 @@
                 client = RawClient(environment)
                 client.send(request(budget="5.0"))
                 await wait_until(lambda: environment.sidecar.proxy.in_flight)
-                (live,), balancer = (
+                (in_flight_request,), balancer = (
                     environment.sidecar.proxy.in_flight.values(),
                     environment.sidecar.engine.balancer,
                 )
                 (balancer_request,) = balancer.open_requests.values()
                 if first == "dialling":
                     for name, each in environment.sidecar.endpoint_pool.endpoints.items():
-                        each.address = places[name]
+                        each.address = addresses[name]
                 else:
                     await wait_until(environment.sent)
-                seen, earlier = len(environment.sent()), len(balancer.actions)
-                balancer.components.placement.place(
-                    environment.sidecar.engine.clock.now(), balancer_request
-                )  # a hedged request
-                environment.sidecar.engine.execute(balancer.actions[earlier:])
-                await wait_until(lambda: len(environment.sent()) > seen)
+                sent_before, actions_before = len(environment.sent()), len(balancer.actions)
+                # Sends a hedged request.
+                balancer.components.placement.place(environment.sidecar.engine.clock.now(), balancer_request)
+                environment.sidecar.engine.execute(balancer.actions[actions_before:])
+                await wait_until(lambda: len(environment.sent()) > sent_before)
                 name = balancer_request.attempts[1].server.name
-                (there,) = [each for each in environment.servers if each.name == name]
-                there.writers[-1].write(http_response(200, body)[: -len(body) // 2])
-                await wait_until(lambda: live.streamed_attempt == 1)
+                (server,) = [each for each in environment.servers if each.name == name]
+                server.writers[-1].write(http_response(200, body)[: -len(body) // 2])
+                await wait_until(lambda: in_flight_request.streamed_attempt == 1)
                 await asyncio.sleep(0.1)
-                assert live.attempts.keys() == ({1} if may_cancel or first == "dialling" else {0, 1})
-                assert there.closed == 0
-                there.writers[-1].write(body[-len(body) // 2 :])
+                assert in_flight_request.attempts.keys() == (
+                    {1} if may_cancel or first == "dialling" else {0, 1}
+                )
+                assert server.closed == 0
+                server.writers[-1].write(body[-len(body) // 2 :])
                 reader, writer = await asyncio.open_connection(sock=client.sock)
                 assert (await read_response(reader))[2] == body
-                for late in (*environment.servers[0].writers, *environment.servers[1].writers):
-                    if late is not there.writers[-1]:
-                        late.write(http_response(200, b"too late"))
+                for other_writer in (*environment.servers[0].writers, *environment.servers[1].writers):
+                    if other_writer is not server.writers[-1]:
+                        other_writer.write(http_response(200, b"too late"))
                 await wait_until(nothing_in_flight(environment))
                 writer.close()
 
@@ -244,7 +252,7 @@
             await wait_until(lambda: server.received)
             server.writers[0].write(http_response(200, bytes(size)))
             status, _, _ = await read_response(reader)
-            assert status == 503  # it never ran, and its body is gone
+            assert status == 503  # it was not executed, but its body can't be sent again
             ended = [each.outcome for each in events if isinstance(each, AttemptEnded)]
             assert ended == [Outcome.CONNECT_FAILED]
             writer.close()
@@ -260,7 +268,7 @@
             for _ in range(3):
                 assert (await environment.send_request(service_class="pay", body=b"x"))[0] == 200
                 environment.servers[0].writers[-1].close()
-                stall(0.05)  # the end waits unread, and the connection has rested
+                stall(0.05)  # the end is unread, and the reuse delay is over
                 assert (await environment.send_request(service_class="pay", body=b"x"))[0] == 200
             assert len(environment.sent()) == 6
 
