--- a/sidecar_balancer/admin/client.py
+++ b/sidecar_balancer/admin/client.py
@@ -47,7 +47,7 @@
         return AdminResponse(response.status, body)
 
 
-CALLS = {  # by CLI command
+CALLS = {  # calls by CLI command
     "status": AdminCall("GET", "status"),
     "servers": AdminCall("GET", "servers"),
     "members": AdminCall("GET", "members"),
--- a/sidecar_balancer/admin/drain.py
+++ b/sidecar_balancer/admin/drain.py
@@ -9,7 +9,8 @@
 
 log = logging.getLogger(__name__)
 
-IDLE_CLOSE_DELAY_S = 0.4  # until clients are accepted elsewhere, idle connections end only with a response
+# Time for which idle connections close only after a response, until clients are accepted elsewhere
+IDLE_CLOSE_DELAY_S = 0.4
 
 
 class SidecarDrain:
--- a/sidecar_balancer/admin/server.py
+++ b/sidecar_balancer/admin/server.py
@@ -21,11 +21,11 @@
 
 log = logging.getLogger(__name__)
 
-MAX_CONNECTIONS = 16  # beyond it the oldest is closed, so that idle callers do not block others
+MAX_CONNECTIONS = 16  # limit beyond which the oldest is closed, so that idle callers do not block others
 _BACKLOG = 8 * MAX_CONNECTIONS
 _REQUEST_TIMEOUT_S = 2.0
-_LINGER_S = 1.0  # how long a connection stays open after its response, so that it is delivered
-_MAX_BODY_BYTES = 4096  # of a request; no call needs a body
+_LINGER_S = 1.0  # time for which a connection stays open after its response, so that it is delivered
+_MAX_BODY_BYTES = 4096  # maximum body size of a request; no call needs a body
 _MAX_HEAD_BYTES = 16 * 1024
 _READ_BYTES = 16 * 1024
 _API_PREFIX = "/api/"
--- a/sidecar_balancer/discovery/client.py
+++ b/sidecar_balancer/discovery/client.py
@@ -25,7 +25,7 @@
 
 log = logging.getLogger(__name__)
 
-EMPTY_POLL_PAUSE_S = 0.1  # after an early, empty response; a poll over 200 ms later counts as a new watch
+EMPTY_POLL_PAUSE_S = 0.1  # pause after an early, empty poll; a poll over 200 ms later counts as a new watch
 
 
 @dataclass(frozen=True, slots=True)
--- a/sidecar_balancer/discovery/endpoint_list.py
+++ b/sidecar_balancer/discovery/endpoint_list.py
@@ -16,7 +16,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_LIST_BYTES = 8 * 1024 * 1024  # of a response body; enough for some 50,000 servers
+MAX_LIST_BYTES = 8 * 1024 * 1024  # maximum size of a response body; enough for some 50,000 servers
 # Limits that are checked before decoding: a valid list has one array and few members per object, while other
 # bodies could take many times their size in memory when decoded.
 _MAX_OTHER_ARRAYS = 16
--- a/sidecar_balancer/discovery/watch_state.py
+++ b/sidecar_balancer/discovery/watch_state.py
@@ -18,7 +18,7 @@
 # How long a watch poll asks the source to wait for a change.  The random part spreads a fleet's polls.
 MIN_WAIT_MS = 1_500
 MAX_WAIT_SPREAD_RATIO = 1_000 / 1_500
-PROBE_WAIT_MS = 100  # after a timeout or a switch of sources, to learn quickly whether the source responds
+PROBE_WAIT_MS = 100  # wait after a timeout or switch of sources, to learn quickly whether the source responds
 # How long a response may take beyond the requested wait.
 WATCH_SLACK_S = 1.0
 RESPONSE_TIMEOUT_S = 2.0  # the discovery service itself fails requests that were queued for this long
@@ -119,6 +119,6 @@
         self.version = None
 
     def reset(self) -> None:
-        """Forget the current list, whose version can't be compared with those of another service."""
+        """Discard the current list, whose version can't be compared with those of another service."""
         self.version, self.tag, self.as_of = None, None, -math.inf
         self._last_poll_timed_out = False
--- a/sidecar_balancer/lease/manager.py
+++ b/sidecar_balancer/lease/manager.py
@@ -20,7 +20,7 @@
     OutgoingLeaseMessage,
 )
 
-ISSUED_COMMANDS_RETAINED = 64  # for the admin API
+ISSUED_COMMANDS_RETAINED = 64  # number of latest commands kept for the admin API
 COMMAND_SUBJECTS_MAX = 256  # subjects whose latest command version is kept
 _INCARNATION_MASK = 0x3FFF_FFFF  # request IDs continue from the incarnation and must stay below 2**32
 
--- a/sidecar_balancer/lease/protocol.py
+++ b/sidecar_balancer/lease/protocol.py
@@ -93,12 +93,12 @@
 
     @property
     def holder_term_us(self) -> int:
-        """How long a holder may rely on a grant, counted from when its request was sent."""
+        """Time for which a holder may rely on a grant, counted from when its request was sent."""
         return self.term_us - 2 * self.skew_us
 
     @property
     def restart_wait_us(self) -> int:
-        """How long a member grants nothing after its start."""
+        """Time after its start during which a member grants nothing."""
         return self.term_us + 2 * self.skew_us
 
 
@@ -106,18 +106,18 @@
 class LeaseState:
     """State of one lease at one member, as an acceptor (`granted_*`) and as a candidate (the rest)."""
 
-    highest_epoch: int = 0  # granted by this member, or received
+    highest_epoch: int = 0  # highest epoch granted by this member, or received
     granted_to: int = NO_MEMBER
     granted_epoch: int = 0
     granted_until_us: int = 0
-    held_epoch: int = 0  # under which this member last held the lease
+    held_epoch: int = 0  # epoch under which this member last held the lease
     held_until_us: int = 0
-    request_id: int = 0  # of the open request; 0: none
+    request_id: int = 0  # number of the open request; 0: none
     request_epoch: int = 0
     request_sent_us: int = 0
     grants: frozenset[int] = frozenset()
     epoch_sources: frozenset[int] = frozenset()  # members that sent this incarnation their highest epoch
-    epochs_queried_us: int = 0  # when they were last queried; 0: not yet
+    epochs_queried_us: int = 0  # time at which the highest epochs were last queried; 0: not yet
 
 
 @dataclass(slots=True)
@@ -149,7 +149,7 @@
     states: list[LeaseState] = field(default_factory=list)
     counters: LeaseCounters = field(default_factory=LeaseCounters)
     incarnation: int = 0
-    last_request_id: int = -1  # continues from `incarnation`
+    last_request_id: int = -1  # number of the latest request, which continues from `incarnation`
 
     def __post_init__(self) -> None:
         if not 0 <= self.member < self.size or self.lease_count <= 0:
--- a/sidecar_balancer/membership/bridge.py
+++ b/sidecar_balancer/membership/bridge.py
@@ -39,11 +39,11 @@
 
 _TICK_INTERVAL_S = 0.1  # interval at which the peers' verdicts are passed to the balancer
 _TICKS_PER_RENEWAL = int(RENEWAL_INTERVAL_MS / 1000 / _TICK_INTERVAL_S)
-_TICKS_PER_EXCHANGE = 10  # of demand and relative latencies
+_TICKS_PER_EXCHANGE = 10  # ticks between two exchanges of demand and relative latencies
 _BIND_RETRY_S = 1.0
 _STATE_POLL_INTERVAL_S = 0.005  # interval at which a starting member checks for a peer's state
-_STATE_REQUESTS_MAX = 3  # per start, as datagrams may be lost
-_LATENCIES_MAX = 256  # servers whose relative latency is sent to a starting peer
+_STATE_REQUESTS_MAX = 3  # maximum number of state requests per start, as datagrams may be lost
+_LATENCIES_MAX = 256  # maximum number of servers whose relative latency is sent to a starting peer
 
 _SERVER_VERDICTS = {wire: verdict for verdict, wire in WIRE_VERDICTS.items()}
 
--- a/sidecar_balancer/membership/codec.py
+++ b/sidecar_balancer/membership/codec.py
@@ -211,7 +211,8 @@
     )
 
 
-_UPDATE_READERS: dict[tuple[int, int], Callable[[list[Any]], Update]] = {  # by tag and number of fields
+# Reader of each type of update, by tag and number of fields
+_UPDATE_READERS: dict[tuple[int, int], Callable[[list[Any]], Update]] = {
     (UpdateTag.MEMBER, 4): _read_member,
     (UpdateTag.VERDICT, 9): _read_verdict,
     (UpdateTag.LEASE, 5): _read_lease,
--- a/sidecar_balancer/membership/messages.py
+++ b/sidecar_balancer/membership/messages.py
@@ -10,8 +10,8 @@
 
 DATAGRAM_MAX_BYTES = 256  # PROTOCOL, "Between sidecars": a longer one makes the run invalid
 MEMBERS_MAX = 1024
-NAME_MAX_BYTES = 64  # of a server, zone or tenant
-UPDATES_MAX = 16  # per datagram
+NAME_MAX_BYTES = 64  # maximum length of the name of a server, zone or tenant
+UPDATES_MAX = 16  # maximum number of updates per datagram
 VERDICT_TTL_MAX_MS = 60_000
 EVIDENCE_MAX = 1 << 20
 SERVICE_CLASSES_MAX = 256
--- a/sidecar_balancer/membership/settings.py
+++ b/sidecar_balancer/membership/settings.py
@@ -26,7 +26,7 @@
     retransmit_mult: int = 4
     health_most: int = 8  # maximum of the local health score
     rejoin_every: int = 8  # one in this many probes goes to a dead member, if there is one
-    verdicts_most: int = 1024  # entries of the verdict table
+    verdicts_most: int = 1024  # maximum number of entries of the verdict table
     ban_quorum: int = 1  # live peers whose operators must have disabled a server before this member does
     ban_most: int = 4  # servers that peers may disable at once; limits the effect of a faulty peer
 
--- a/sidecar_balancer/membership/state_transfer.py
+++ b/sidecar_balancer/membership/state_transfer.py
@@ -8,8 +8,8 @@
 from sidecar_balancer.membership.messages import DatagramKind, LatencyUpdate, Message, Update
 from sidecar_balancer.membership.verdict_table import VerdictTable
 
-STATE_PARTS_MAX = 100  # datagrams per answer
-_ANSWER_INTERVAL_US = 1_000_000  # between two answers to one member
+STATE_PARTS_MAX = 100  # maximum number of datagrams per answer
+_ANSWER_INTERVAL_US = 1_000_000  # minimum time between two answers to one member
 
 
 class StateTransfer:
@@ -20,9 +20,9 @@
         self._latencies_max = latencies_max
         self._own_latencies: dict[str, int] = {}
         self._received_latencies: dict[str, int] = {}
-        self._received_parts: dict[int, set[int]] = {}  # by sender
+        self._received_parts: dict[int, set[int]] = {}  # indexes of the received parts, by sender
         self._complete = False
-        self._answered_us: dict[int, int] = {}  # by member
+        self._answered_us: dict[int, int] = {}  # time of the last answer, by member
 
     # -- Answering member -------------------------------------------------------------------------------
 
--- a/sidecar_balancer/membership/tier_view.py
+++ b/sidecar_balancer/membership/tier_view.py
@@ -11,7 +11,7 @@
 from sidecar_balancer.membership.verdict_table import VerdictTable
 
 _EXCLUDED_VERDICTS = (WireVerdict.CLEARED, WireVerdict.DISABLED, WireVerdict.DEMAND)
-_EXCLUDED_SCOPES = (VerdictScope.DISABLED_SERVER, VerdictScope.TENANT_DEMAND)  # not part of `verdicts`
+_EXCLUDED_SCOPES = (VerdictScope.DISABLED_SERVER, VerdictScope.TENANT_DEMAND)  # scopes that `verdicts` omits
 DEMAND_UNITS_PER_RPS = 100.0  # a unit of evidence is one request in 100 s
 _EJECTING_PEERS_MIN = 2
 
@@ -22,7 +22,7 @@
     subject: str
     scope: int
     verdict: WireVerdict  # the most frequent verdict
-    members: int  # how many members have a verdict
+    members: int  # number of members that have a verdict
 
 
 class TierView:
--- a/sidecar_balancer/membership/verdict_table.py
+++ b/sidecar_balancer/membership/verdict_table.py
@@ -42,7 +42,7 @@
 @dataclass(slots=True)
 class _Entry:
     update: VerdictUpdate
-    expires_us: int  # on this process's clock
+    expires_us: int  # expiry time on this process's clock
 
 
 class VerdictTable:
--- a/sidecar_balancer/persistence/store.py
+++ b/sidecar_balancer/persistence/store.py
@@ -49,7 +49,7 @@
         self._size_bytes = 0
         self._unsaved: dict[str, bytes | None] = {}
         self._log: ChangeLogWriter | None = None  # None: the next flush writes a snapshot
-        self.is_superseded = False  # a later incarnation writes to the folder, so this one stopped
+        self.is_superseded = False  # whether a later incarnation writes to the folder, so this one stopped
         self.evicted_count = 0
 
     # -- Reading ----------------------------------------------------------------------------------------
--- a/sidecar_balancer/policy/actions.py
+++ b/sidecar_balancer/policy/actions.py
@@ -98,7 +98,7 @@
     server: str
     verdict: ServerVerdict
     service_class: str | None = None  # None: all classes
-    evidence: int = 1  # number of failures, or answers, that it is based on
+    evidence: int = 1  # number of failures, or answers, that the verdict is based on
 
 
 @dataclass(slots=True)
@@ -107,7 +107,7 @@
 
     zone: str
     verdict: ZoneVerdict
-    evidence: int = 1  # number of servers whose failures it is based on
+    evidence: int = 1  # number of servers whose failures the verdict is based on
 
 
 @dataclass(slots=True)
--- a/sidecar_balancer/policy/admission.py
+++ b/sidecar_balancer/policy/admission.py
@@ -15,7 +15,7 @@
 
 PRESSURE_AT_FULL = 4.0  # pressure at a full window: one in fifty requests of middle rank is admitted
 RANK_SLOPE = 2.0  # factor on the pressure at the lowest rank, falling to almost none at the highest
-LOW_TRAFFIC_OBJECTIVES = 4.0  # with few requests, outcomes are counted over this many longest objectives
+LOW_TRAFFIC_OBJECTIVES = 4.0  # span of the counted outcomes with few requests, in longest objectives
 LOW_TRAFFIC_HEADROOM_RATIO = 1.2  # requests admitted for each one answered in time
 LOW_TRAFFIC_PRIOR_REQUESTS = 2.0  # prior count of requests answered in time: fewer outcomes are chance
 MISSED_LATENCY_RATIO = 2.0  # latency over objective recorded for an attempt without a response in time
@@ -41,7 +41,7 @@
         self._received = received
         self._stalls = stalls
         self._rng = rng
-        self._longest_remaining_us: dict[str, int] = {}  # maximum of all requests so far, by class
+        self._longest_remaining_us: dict[str, int] = {}  # longest remaining time so far, by class
         self._low_traffic_span_us = LOW_TRAFFIC_OBJECTIVES * longest_objective_us
         self._in_time = Rate(self._low_traffic_span_us)
         self._late = Rate(self._low_traffic_span_us)
--- a/sidecar_balancer/policy/discovery_schedule.py
+++ b/sidecar_balancer/policy/discovery_schedule.py
@@ -39,9 +39,9 @@
         excess_balancers = max(settings.fleet_size - CONCURRENT_CALLS, 0)
         # Simultaneous calls of the whole fleet would overload discovery.
         self._spread_us = min(SPREAD_INTERVAL_RATIO * self._poll_interval_us * excess_balancers, RETRY_MAX_US)
-        self.failed_calls = 0  # consecutive
-        self.unanswered_watches = 0  # consecutive
-        self.next_call_at: int | None = None  # None while a watch is open
+        self.failed_calls = 0  # number of consecutive failed calls
+        self.unanswered_watches = 0  # number of consecutive unanswered watches
+        self.next_call_at: int | None = None  # clock time of the next call; None while a watch is open
 
     def start(self, now: int) -> None:
         """Schedule the first call."""
--- a/sidecar_balancer/policy/endpoint_table.py
+++ b/sidecar_balancer/policy/endpoint_table.py
@@ -29,7 +29,7 @@
     """Table of servers; a removed one stays until its last attempt has ended and it is not disabled.
 
     Attributes:
-        servers: by name.
+        servers: the servers by name.
         former_names: names of servers that have left the list, the latest at the end.
     """
 
@@ -107,7 +107,7 @@
             server.disabled = entry.server in self._disabled.names
         server.zone = entry.zone or self._server_zones.get(entry.server, "")
         if server.state is ServerState.REMOVED:
-            server.relative_latency = 1.0  # until responses show it: the list does not state a server's size
+            server.relative_latency = 1.0  # assumed until responses show it: the list omits a server's size
         server.state = entry.state
         if entry.started_at is not None and entry.started_at != server.started_at:
             server.started_at = entry.started_at
--- a/sidecar_balancer/policy/events.py
+++ b/sidecar_balancer/policy/events.py
@@ -18,7 +18,7 @@
     cell: int = 0
     state: ServerState = ServerState.READY
     nominal: float = 1.0
-    started_at: int | None = None  # None: so long ago that it does not matter
+    started_at: int | None = None  # start of the server process; None: so long ago that it does not matter
 
 
 @dataclass(slots=True)
@@ -178,7 +178,7 @@
 class RestoredServer:
     """State of a server that an earlier process, or a peer, has learned."""
 
-    relative_latency: float  # relative to the baseline of all servers
+    relative_latency: float  # latency as a multiple of the baseline of all servers
     ejected_us: int = 0  # remaining time of its ejection; 0: not ejected
     started_at: int | None = None  # start of the server process that the state is about
 
@@ -188,8 +188,9 @@
     """State that an earlier process of this balancer, or its peers, had learned."""
 
     servers: Mapping[str, RestoredServer] = field(default_factory=dict)
-    baselines_us: Mapping[tuple[str, int], float] = field(default_factory=dict)  # by class and cost exponent
-    capacity_per_us: float = 0.0  # of a server for this balancer, in requests of mean cost
+    # Expected latency by class and cost exponent
+    baselines_us: Mapping[tuple[str, int], float] = field(default_factory=dict)
+    capacity_per_us: float = 0.0  # capacity of a server for this balancer, in requests of mean cost
 
 
 Event = (
--- a/sidecar_balancer/policy/latency.py
+++ b/sidecar_balancer/policy/latency.py
@@ -18,7 +18,7 @@
 SLOW_RELATIVE_LATENCY = 2.5  # above this, a server is published as slow
 SLOW_CLEARED_RELATIVE_LATENCY = 1.5  # below this, that verdict is cleared
 OVERDUE_BASELINE_RATIO = 2.5  # multiple of the expected latency after which an attempt is overdue
-OVERDUE_MIN_OBJECTIVE_RATIO = 0.1  # minimum time until then, over the objective: shorter delays are jitter
+OVERDUE_MIN_OBJECTIVE_RATIO = 0.1  # minimum time until overdue, over the objective: shorter delays are jitter
 
 
 class LatencyTracker:
--- a/sidecar_balancer/policy/load.py
+++ b/sidecar_balancer/policy/load.py
@@ -9,7 +9,7 @@
 
 SUBSET_MIN = 4.0  # size of the server subset of a balancer without traffic
 SUBSET_PER_LOAD = 1.0  # further servers for each request in flight, so that as many again may be idle
-RELIABLE_LOAD = 8.0  # with fewer in flight, noise is a large part of any measurement
+RELIABLE_LOAD = 8.0  # requests in flight; with fewer, noise is a large part of any measurement
 AVERAGING_FACTOR_MAX = 4.0
 
 
@@ -21,7 +21,7 @@
         self.pending = 0  # attempts whose response has not started
         self.pending_at_ejected = 0  # the part of `pending` at ejected servers
         self.mean = 0.0
-        self._abandoned_until: list[int] = []  # heap of clock times
+        self._abandoned_until: list[int] = []  # heap of the clock times until which abandoned attempts count
         self._averaged_at = 0
 
     def current(self, now: int) -> int:
--- a/sidecar_balancer/policy/locality.py
+++ b/sidecar_balancer/policy/locality.py
@@ -39,13 +39,14 @@
     override: ZoneOverride | None
     ready_count: int = 0  # ready servers in the zone
     failing: set[str] = field(default_factory=set)  # servers that failed and have not responded since
-    last_response_at: dict[str, int] = field(default_factory=dict)  # by server, except those in `failing`
+    # Time of the last response by server, except for those in `failing`
+    last_response_at: dict[str, int] = field(default_factory=dict)
     peers_evacuated: int = 0  # number of peers that have evacuated it
-    evacuated_at: int | None = None  # None: not evacuated
-    trials: int = 0  # consecutive evacuations and failed trials
+    evacuated_at: int | None = None  # time of the evacuation; None: not evacuated
+    trials: int = 0  # number of consecutive evacuations and failed trials
     next_trial_at: int = 0
-    successful_checks: int = 0  # consecutive, since the zone was evacuated
-    recovering_since: int | None = None  # None: no recovery ramp, it has its full weight
+    successful_checks: int = 0  # number of consecutive successes since the zone was evacuated
+    recovering_since: int | None = None  # start of the recovery ramp; None: no ramp, the weight is full
 
     def is_in_use(self) -> bool:
         """Return whether the zone is neither evacuated nor drained."""
@@ -84,7 +85,7 @@
         self._overrides: Mapping[str, ZoneOverride] = {}
         self._ejected = ejected
         self._levels: list[list[Server]] = [[], [], self.ready_servers]
-        self._shares: list[float] | None = None  # of all levels except the last; None: to be computed
+        self._shares: list[float] | None = None  # shares of all levels except the last; None: to be computed
         self._own_trials_at = 0  # no own trials before this time: the tier's health checker comes first
 
     def set_ready_zone(self, server: Server, name: str | None) -> None:
--- a/sidecar_balancer/policy/outcomes.py
+++ b/sidecar_balancer/policy/outcomes.py
@@ -53,7 +53,7 @@
         objective_us = request.service_class.latency_objective_us
         self._window.response_delivered(now, objective_us)
         if now == self._stalls.stall_ended_at:
-            return  # it arrived during the stall, at an unknown time
+            return  # the response arrived during the stall, at an unknown time
         self._latency.response_received(attempt.server, request, elapsed_us)
         if not attempt.counted_late:
             self._admission.record_latency_ratio(now, elapsed_us / objective_us)
--- a/sidecar_balancer/policy/outliers.py
+++ b/sidecar_balancer/policy/outliers.py
@@ -19,7 +19,7 @@
 EJECTION_MAX_OBJECTIVES = 16.0
 EJECTIONS_MAX_COUNTED = 8
 EJECTED_MAX_RATIO = 0.6  # maximum ejected part of the list: more would overload the rest
-UNRESPONSIVE_MAX_RATIO = 0.34  # maximum of unresponsive ones: more indicate overload, not outliers
+UNRESPONSIVE_MAX_RATIO = 0.34  # maximum unresponsive part of the list: more indicates overload, not outliers
 
 FAILURES = (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST, Outcome.CONNECT_FAILED, Outcome.APPLICATION_ERROR)
 
--- a/sidecar_balancer/policy/overdue.py
+++ b/sidecar_balancer/policy/overdue.py
@@ -13,7 +13,7 @@
 
 # Multiple of the overdue time after which a server without a response counts as unresponsive
 UNRESPONSIVE_OVERDUE_RATIO = 2.0
-UNRESPONSIVE_MIN_OBJECTIVE_RATIO = 0.5  # minimum time until then, as a part of the latency objective
+UNRESPONSIVE_MIN_OBJECTIVE_RATIO = 0.5  # minimum time to count as unresponsive, over the latency objective
 # Responses of other servers since the attempt was sent, which show that only its server does not respond
 RESPONSES_FROM_OTHERS = 4
 
@@ -50,7 +50,7 @@
 
     def check(self, now: int, request: Request, attempt: Attempt) -> OverdueFinding:
         """Examine an overdue attempt and schedule its next check."""
-        if now == self._stalls.stall_ended_at:  # its response may be among the input delayed by the stall
+        if now == self._stalls.stall_ended_at:  # the response may be among the input delayed by the stall
             self._check_again(now + self._clock_tick_us, request, attempt)
             return OverdueFinding.NOTHING
         server = attempt.server
--- a/sidecar_balancer/policy/priorities.py
+++ b/sidecar_balancer/policy/priorities.py
@@ -27,7 +27,8 @@
         self._tenants = {each.name: each for each in settings.tenants}
         self._share_sum = sum(each.share for each in settings.tenants) or 1.0
         self._over_share_weight = settings.over_share_weight
-        self._tier_demand_per_s: Mapping[str, float] = {}  # at the other balancers of the tier, by tenant
+        # Demand at the other balancers of the tier, by tenant
+        self._tier_demand_per_s: Mapping[str, float] = {}
 
     def request_received(self, now: int, flow: Flow) -> None:
         """Count a request."""
--- a/sidecar_balancer/policy/request.py
+++ b/sidecar_balancer/policy/request.py
@@ -8,7 +8,7 @@
 from sidecar_balancer.policy.settings import Idempotency, ServiceClass
 from sidecar_balancer.policy.types import Flow
 
-NO_DEADLINE = 2**62  # while a body still arrives; the data path limits how slow it may be
+NO_DEADLINE = 2**62  # deadline while a body still arrives; the data path limits how slow the body may be
 
 
 @dataclass(slots=True, eq=False)
@@ -22,7 +22,7 @@
     responses_at_send: int  # responses from all servers before the attempt was sent
     is_trial: bool = False  # whether it may end its server's ejection
     pending: bool = True
-    may_have_run: bool = True  # until an outcome proves that the server did not execute it
+    may_have_run: bool = True  # False once an outcome proves that the server did not execute it
     response_started: bool = False
     counted_late: bool = False  # whether its lateness was counted as a sign of overload
     unresponsive: bool = False  # whether it showed that its server is unresponsive
@@ -34,15 +34,15 @@
 
     request_id: int
     service_class: ServiceClass
-    answer_deadline: int  # clock time; NO_DEADLINE while its body still arrives
-    cost: float  # relative to the mean of its class
+    answer_deadline: int  # clock time in microseconds; NO_DEADLINE while the body still arrives
+    cost: float  # cost relative to the mean of its class
     flow: Flow
     cost_exponent: int  # binary exponent of the cost
     attempts: list[Attempt] = field(default_factory=list)
-    failed_servers: list[Server] = field(default_factory=list)  # including those that rejected it
+    failed_servers: list[Server] = field(default_factory=list)  # includes servers that rejected the request
     rejections: int = 0
     answered: bool = False
-    body_consumed: bool = False  # no longer buffered as a whole: it can't be sent again
+    body_consumed: bool = False  # the body is no longer buffered as a whole and can't be sent again
 
     def has_pending_attempt(self) -> bool:
         """Return whether any attempt is pending."""
--- a/sidecar_balancer/policy/settings.py
+++ b/sidecar_balancer/policy/settings.py
@@ -14,9 +14,9 @@
 class Idempotency(Enum):
     """Number of times that a request of a class may be executed."""
 
-    IDEMPOTENT = "idempotent"  # any number of times
+    IDEMPOTENT = "idempotent"  # may be executed any number of times
     IDEMPOTENCY_KEY = "idempotency_key"  # servers drop repeats of a key within a scope and a window
-    NON_IDEMPOTENT = "non_idempotent"  # at most once
+    NON_IDEMPOTENT = "non_idempotent"  # may be executed at most once
 
 
 @unique
@@ -71,7 +71,7 @@
     deadline_us: int
     latency_objective_us: int
     priority_weight: float = 1.0
-    late_priority_weight: float = 0.0  # for an answer after the latency objective
+    late_priority_weight: float = 0.0  # priority weight of an answer after the latency objective
     idempotency: Idempotency = Idempotency.NON_IDEMPOTENT
     deduplication_scope: DeduplicationScope = DeduplicationScope.CELL
     deduplication_window_us: int = 0
@@ -127,7 +127,7 @@
     message: float = 0.0
     waste: float = 0.0
     handshake: float = 0.0
-    connection: float = 0.0  # for a hundred open connections per server
+    connection: float = 0.0  # cost of a hundred open connections per server
 
 
 @dataclass(frozen=True, slots=True)
@@ -142,8 +142,8 @@
     panic_threshold: float = 0.3  # all servers are used if less than this part is healthy
     evacuation_failure_ratio: float = 0.5  # failing part of a zone's servers in use that evacuates it
     evacuation_min_failures: int = 3
-    slow_start_us: int = 0  # recovery ramp of a zone; 0: slow start of a server
-    aggression: float = 1.0  # above 1, the weight rises faster at first
+    slow_start_us: int = 0  # duration of a zone's recovery ramp; 0: that of a server's slow start
+    aggression: float = 1.0  # shape of the recovery ramp: above 1, the weight rises faster at first
     health_check_interval_us: int = 250_000
 
 
--- a/sidecar_balancer/policy/slow_start.py
+++ b/sidecar_balancer/policy/slow_start.py
@@ -31,10 +31,10 @@
         self._duration_us = rules.slow_start_us
         self._ready_servers = ready_servers
         self._load = load
-        self._received = received  # requests, regardless of their server
-        self._served_by_warm = served  # responses of warm servers, by cost
+        self._received = received  # rate of requests, regardless of their server
+        self._served_by_warm = served  # rate of the costs of warm servers' responses
         self._secondary_rng = secondary_rng
-        self.capacity_per_us = 0.0  # of a warm server, for this balancer's requests of mean cost
+        self.capacity_per_us = 0.0  # capacity of a warm server for this balancer, in requests of mean cost
         self._capacity_at = -1  # time of that estimate
 
     def start(self, now: int, server: Server, since: int) -> None:
@@ -75,7 +75,7 @@
             server.slow_start_tokens -= cost
 
     def response_received(self, now: int, server: Server, cost: float) -> None:
-        """Count the cost of a warm server's response; warming ones get light requests first."""
+        """Count the cost of a response if its server is warm, as warming ones get light requests first."""
         if server.warming_since is None or not self.is_warming_up(now, server):
             self._served_by_warm.add(now, cost)
 
--- a/sidecar_balancer/policy/stalls.py
+++ b/sidecar_balancer/policy/stalls.py
@@ -9,7 +9,7 @@
 
 
 class StallDetector:
-    """Ticks while attempts are pending; a late tick shows that the balancer did not run.
+    """Detector that ticks while attempts are pending; a late tick shows that the balancer did not run.
 
     Events that waited during a stall arrived at unknown times, so nothing is learned from them.
     """
--- a/sidecar_balancer/policy/timer_queue.py
+++ b/sidecar_balancer/policy/timer_queue.py
@@ -10,7 +10,7 @@
 from sidecar_balancer.policy.action_queue import ActionQueue
 from sidecar_balancer.policy.actions import SetTimer
 
-TIMER_TOKEN = "agenda"  # as in the simulator's protocol
+TIMER_TOKEN = "agenda"  # token of the balancer's timer, as in the simulator's protocol
 
 
 @unique
@@ -26,11 +26,11 @@
 class TimerEntry(NamedTuple):
     """An entry of the queue; entries due at the same time fire in the order they were scheduled."""
 
-    due_at: int  # clock time in microseconds
+    due_at: int  # clock time in microseconds at which the entry fires
     sequence: int
     kind: TimerKind
     request_id: int | None = None
-    attempt_index: int | None = None  # None: the request as a whole
+    attempt_index: int | None = None  # index of the attempt concerned; None: the request as a whole
 
 
 class TimerQueue:
--- a/sidecar_balancer/policy/types.py
+++ b/sidecar_balancer/policy/types.py
@@ -48,8 +48,8 @@
 
     EJECTED = "ejected"
     SLOW = "slow"
-    REJECTING = "full"  # it rejects a class
-    FAILING = "failing"  # it fails a class
+    REJECTING = "full"  # the server rejects a class of requests
+    FAILING = "failing"  # the server fails a class of requests
     CLEARED = "cleared"  # an earlier verdict no longer holds
 
 
@@ -65,8 +65,8 @@
 class ZoneOverride(Enum):
     """Operators' override of a zone."""
 
-    DRAIN = "drain"  # no new requests
-    NEVER_EVACUATE = "pin"  # stays in use, whatever fails there
+    DRAIN = "drain"  # the zone gets no new requests
+    NEVER_EVACUATE = "pin"  # the zone stays in use, whatever fails there
 
 
 class Flow(NamedTuple):
--- a/sidecar_balancer/policy/verdicts.py
+++ b/sidecar_balancer/policy/verdicts.py
@@ -10,7 +10,7 @@
 from sidecar_balancer.policy.events import PeerServerVerdict
 from sidecar_balancer.policy.types import ServerVerdict
 
-PEERS_MAX = 2  # further peers are not counted, which limits the effect of peers that lie
+PEERS_MAX = 2  # maximum number of peers counted, which limits the effect of false verdicts
 
 
 class VerdictExchange:
@@ -18,7 +18,7 @@
 
     def __init__(self, actions: ActionQueue) -> None:
         self._actions = actions
-        self.has_peer_verdicts = False  # on any server
+        self.has_peer_verdicts = False  # whether peers have a verdict on any server
 
     def publish(
         self, server: Server, service_class: str | None, verdict: ServerVerdict, evidence: int = 1
--- a/sidecar_balancer/policy/window.py
+++ b/sidecar_balancer/policy/window.py
@@ -9,15 +9,15 @@
 
 TARGET_RATIO = 0.3  # target of the median latency, over the latency objective
 TARGET_LOW_TRAFFIC_RATIO = 0.4  # the target while too few are in flight for a reliable median
-TARGET_MAX_RATIO = 0.5  # upper bound however slow an idle fleet is, or overload would pass for normal
+TARGET_MAX_RATIO = 0.5  # upper bound of the target for a slow idle fleet, or overload would count as normal
 TARGET_FLOOR_RATIO = 1.2  # the target is at least this many times the median of an idle fleet
 MEDIAN_MAX_RATIO = 1.0  # upper bound of the running median, which has to fall again from there
 MEDIAN_STEP = 0.04  # step of the running median: some 25 responses reverse it
 FLOOR_RISE_RATIO = 0.02  # rise of the floor at each response, over the median's step
 FLOOR_RISE_SHEDDING_RATIO = 0.002
-LATE_MAX_RATIO = 0.05  # a fleet is not overloaded with at most this fraction of late responses
-LATE_STEP_RATIO = 0.02  # averages over about the last fifty responses
-SHRINK_OBJECTIVES = 0.5  # at twice the target the window shrinks e-fold in this many longest objectives
+LATE_MAX_RATIO = 0.05  # maximum fraction of late responses of a fleet that is not overloaded
+LATE_STEP_RATIO = 0.02  # the late ratio averages about the last fifty responses
+SHRINK_OBJECTIVES = 0.5  # longest objectives in which the window shrinks e-fold at twice the target
 START_OBJECTIVES = 1.0  # longest objectives from the start until the window is first sized
 SIZE_MIN = 0.1  # a few requests are always admitted, so that a recovery is noticed
 UNRESTRICTED_RATIO = 0.5  # up to this fraction of the window everything is admitted, and it does not grow
@@ -38,7 +38,7 @@
         self.late_ratio = 0.0
         self.sized_at = 0
         self._load = load
-        self._has_shed = False  # since the window was last sized
+        self._has_shed = False  # whether the window has caused a rejection since it was last sized
         self._longest_objective_us = longest_objective_us
         self._floor_ratio: float | None = None  # recent minimum of the median
         self._served_objectives = Rate(longest_objective_us)  # sum of the objectives of delivered responses
@@ -90,7 +90,7 @@
         target = self._target_ratio(factor)
         excess = max(-1.0, min((self.median_ratio - target) / target, 1.0))
         if excess > 0.0 and self.late_ratio < LATE_MAX_RATIO:
-            return  # slower than the target, but in time
+            return  # responses are slower than the target, but in time
         if excess > 0.0:
             self.size = min(self.size, max(load, self._load.mean / UNRESTRICTED_RATIO))
         elif not self._has_shed:
--- a/sidecar_balancer/relay/change_log.py
+++ b/sidecar_balancer/relay/change_log.py
@@ -18,7 +18,7 @@
 
 MAX_RING_ENTRIES = 50_000  # with more than twice the full list, a delta is no smaller than a snapshot
 MAX_KNOWN_STATES = 4096  # limit of remembered tags and indexes
-MAX_CACHED_DELTAS = 64  # encoded deltas; most callers need the same ones
+MAX_CACHED_DELTAS = 64  # limit of cached encoded deltas; most callers need the same ones
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +49,7 @@
         self._ring_entries = 0
         self._max_ring_entries = max_ring_entries
         self._oldest_revision = 0  # the ring holds all changes after this revision
-        self._revisions: OrderedDict[str | int, int] = OrderedDict()  # by tag and by index
+        self._revisions: OrderedDict[str | int, int] = OrderedDict()  # revisions by tag and by index
         self._deltas: OrderedDict[int, bytes] = OrderedDict()
         self._snapshot: bytes | None = None
 
--- a/sidecar_balancer/relay/connection.py
+++ b/sidecar_balancer/relay/connection.py
@@ -38,7 +38,7 @@
         """Count a caller that did not read its response in time."""
 
     def connection_closed(self, connection: CallerConnection) -> None:
-        """Forget a connection that has ended, whichever side ended it."""
+        """Remove a connection that has ended, whichever side ended it."""
 
 
 class CallerConnection(asyncio.Protocol):
@@ -49,7 +49,7 @@
         self._h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=_MAX_HEAD_BYTES)
         self._transport: asyncio.Transport | None = None
         self._head: h11.Request | None = None
-        self._is_request_over = False  # a request was received or rejected
+        self._is_request_over = False  # whether a request was received or rejected
         self._unwritten = memoryview(b"")  # rest of the response's body
         self._deadline_timer: asyncio.TimerHandle | None = None
         self._wait_timer: asyncio.TimerHandle | None = None
--- a/sidecar_balancer/relay/requests.py
+++ b/sidecar_balancer/relay/requests.py
@@ -12,8 +12,8 @@
 
 READY_PATH = "/health/ready"
 MAX_WAIT_MS = 60_000  # longest wait of a watch in the published protocol
-_MAX_DIGITS = 18  # in a number
-_MAX_TAG_CHARACTERS = 64  # a relay's own tags are shorter
+_MAX_DIGITS = 18  # maximum number of digits in a number
+_MAX_TAG_CHARACTERS = 64  # maximum length of a tag; a relay's own tags are shorter
 
 
 class ReadinessRequest:
--- a/sidecar_balancer/relay/service.py
+++ b/sidecar_balancer/relay/service.py
@@ -21,10 +21,10 @@
 
 log = logging.getLogger(__name__)
 
-CATCH_UP_TIMEOUT_S = 1.0  # how long a caller with a newer list waits for this relay to catch up
+CATCH_UP_TIMEOUT_S = 1.0  # time for which a caller with a newer list waits for this relay to catch up
 BROADCAST_INTERVAL_S = 0.2  # changes at shorter intervals are sent together
 _STALENESS_MARGIN_S = 0.001  # ensures that the age exceeds the bound when the timer fires
-_RESPONSES_PER_ITERATION = 64  # of a broadcast, so that other callers are served in between
+_RESPONSES_PER_ITERATION = 64  # limit for a broadcast, so that other callers are served in between
 
 
 @dataclass(slots=True)
