--- a/bench/scale.py
+++ b/bench/scale.py
@@ -22,7 +22,7 @@
 TARGET_SERVERS = 22_000  # servers, each with its sidecar
 LISTED_SERVERS = [200, 2_000, 8_000, 22_000]
 MEMBERS = [64, 256, 1_000]
-RELAYS = 54  # of the planned fleet
+RELAYS = 54  # number of relays in the planned fleet
 SIDECARS = [100, 400, 1_600]
 MAX_SIDECARS_WITHOUT_RELAYS = 1_600
 
--- a/bench/scale_hollow.py
+++ b/bench/scale_hollow.py
@@ -33,7 +33,7 @@
 from sidecar_balancer.policy.types import ListKind
 
 START_SPREAD_S = 3.0  # the sidecars of a process start at random times within this span
-MAX_RETRY_DELAY_S = 3.0  # after all sources failed; the same bound as in the balancer
+MAX_RETRY_DELAY_S = 3.0  # longest wait after all sources failed; the same bound as in the balancer
 
 
 def print_json(**values: Any) -> None:
@@ -82,7 +82,7 @@
     number: int
     sources: list[Address]
     balancer: Balancer
-    applied: list[AppliedUpdate] = field(default_factory=list)  # since the last report
+    applied: list[AppliedUpdate] = field(default_factory=list)  # updates applied since the last report
     index: int = 1
     client: DiscoveryClient | None = None
 
--- a/bench/scale_request.py
+++ b/bench/scale_request.py
@@ -14,7 +14,7 @@
 from sidecar_balancer.policy.types import ListKind, Outcome
 
 TRIALS = 5
-REQUESTS = 100  # per trial
+REQUESTS = 100  # requests per trial
 ZONES = 21
 INTERVAL_US = 10_000
 LATENCY_US = 4_000
--- a/bench/zones.py
+++ b/bench/zones.py
@@ -29,7 +29,7 @@
 
 BASELINE_REVISION = "51ec53d"  # the last version without zone support
 ZONES_ON: dict[str, Any] = {"locality": {"on": True, "ramp_ms": 4000}}
-ZONES = "ab"  # of the sidecars, in order
+ZONES = "ab"  # zones of the sidecars, in order
 SERVERS_PER_ZONE = 4
 CLIENTS = 6
 WARM_UP_RESPONSES = 300
--- a/sidecar_balancer/__main__.py
+++ b/sidecar_balancer/__main__.py
@@ -5,7 +5,7 @@
 import gc
 import sys
 
-gc.disable()  # until all modules are loaded: collections would take a tenth of the CPU of startup
+gc.disable()  # disabled until all modules are loaded: collections would take a tenth of the CPU of startup
 
 from sidecar_balancer.program import main  # noqa: E402  # must follow gc.disable()
 
--- a/sidecar_balancer/config/leases.py
+++ b/sidecar_balancer/config/leases.py
@@ -19,7 +19,7 @@
     """Return the lease timing, or None if leases are off; raises ConfigurationError."""
     if raw_config.get("duties") is None:
         return None
-    from sidecar_balancer.lease.protocol import LeaseTiming  # only if configured: saves startup CPU
+    from sidecar_balancer.lease.protocol import LeaseTiming  # imported only if needed, to save startup CPU
 
     reader = ValueReader(raw_config["duties"], "duties")
     reader.reject_unknown(("on", *_FIELD_BY_KEY))
--- a/sidecar_balancer/config/loading.py
+++ b/sidecar_balancer/config/loading.py
@@ -126,7 +126,7 @@
 
 
 def _read_operators_file(path: str) -> dict[str, Any]:
-    import tomllib  # imported only if there is such a file, to save CPU at startup
+    import tomllib  # imported only if there is a TOML file, to save CPU at startup
 
     with Path(path).open("rb") as file:
         raw_config = tomllib.load(file)
--- a/sidecar_balancer/config/sidecar.py
+++ b/sidecar_balancer/config/sidecar.py
@@ -12,7 +12,7 @@
 from sidecar_balancer.observability.logs import LogConfig
 from sidecar_balancer.policy.settings import Settings
 
-if TYPE_CHECKING:  # at run time imported only if membership is configured, to save CPU at startup
+if TYPE_CHECKING:  # imported at run time only if membership is configured, to save CPU at startup
     from sidecar_balancer.lease.protocol import LeaseTiming
     from sidecar_balancer.membership.settings import MembershipSettings
 
@@ -39,11 +39,11 @@
     settings: Settings
     initial_endpoints: ListUpdate
     memory_mb: int = 64
-    overrides_folder: Path = Path()  # outlives this process
+    overrides_folder: Path = Path()  # folder of the operator overrides, which outlive this process
     admin_address: Address | None = None
     inherited_listener_fd: int | None = None  # the listening socket, if the platform holds it
     membership_address: Address | None = None  # address that receives peers' datagrams
-    member_addresses: tuple[Address, ...] = ()  # of all members including this one, indexed by member number
+    member_addresses: tuple[Address, ...] = ()  # all members, including this one, indexed by member number
     membership: MembershipSettings | None = None
     logging: LogConfig = field(default_factory=LogConfig)
     state: StateConfig | None = None
--- a/sidecar_balancer/config/state.py
+++ b/sidecar_balancer/config/state.py
@@ -12,7 +12,7 @@
 
 _KEYS = ("on", "folder", "tier_folder", "every_ms", "warm_ms")
 _BYTES_PER_MB = 1024 * 1024
-_STATE_DIVISOR = 64  # files may take the memory limit divided by this: a tmpfs counts as memory
+_STATE_DIVISOR = 64  # state files may take the memory limit divided by this, because a tmpfs counts as memory
 _DEFAULT_INTERVAL_MS = 1_000
 _MIN_INTERVAL_MS = 20
 _DEFAULT_WARM_START_TIMEOUT_MS = 500
--- a/sidecar_balancer/downstream/client_connection.py
+++ b/sidecar_balancer/downstream/client_connection.py
@@ -35,8 +35,8 @@
 log = logging.getLogger(__name__)
 
 _READINESS_PATH = b"/health/ready"
-_CLIENT_CHECK_INTERVAL_S = 0.1  # between disconnect checks of a client that is not read
-_UNREAD_INPUT_GRACE_S = 0.05  # enough to read input that waited while the event loop was late
+_CLIENT_CHECK_INTERVAL_S = 0.1  # interval between disconnect checks of a client that is not read
+_UNREAD_INPUT_GRACE_S = 0.05  # enough time to read input that waited while the event loop was late
 
 
 class ConnectionOwner(ConnectionContext, Protocol):
@@ -67,7 +67,7 @@
         self._port = 0
         self._deadline = RequestDeadline()
         self._arrival = ArrivalEstimate(sock, owner.poll_times, established_after)
-        self._upload_bytes = 0  # of the streamed body, received so far
+        self._upload_bytes = 0  # bytes of the streamed body received so far
         self._reading_paused = False
         self._client_check_timer: asyncio.TimerHandle | None = None
         self._discarded_bytes = 0
--- a/sidecar_balancer/downstream/client_transport.py
+++ b/sidecar_balancer/downstream/client_transport.py
@@ -8,8 +8,8 @@
 
 from sidecar_balancer.runtime.streams import STALL_TIMEOUT_S, BodyMemory, BufferedReceiver
 
-_LINGER_S = 1.0  # after the last byte read
-_MAX_LINGER_S = 30.0  # in total, as a long body may still be arriving
+_LINGER_S = 1.0  # duration of lingering after the last byte read
+_MAX_LINGER_S = 30.0  # limit on lingering in total, as a long body may still be arriving
 
 
 class ClientTransport(BufferedReceiver):
@@ -23,9 +23,9 @@
         """Serve an accepted socket."""
         super().__init__(body_memory)
         self._sock = sock
-        self._timer: asyncio.TimerHandle | None = None  # for the one time limit that applies now
-        self._unsent_bytes = 0  # of the last response, at the last check
-        self._linger_deadline: float | None = None  # None unless it lingers
+        self._timer: asyncio.TimerHandle | None = None  # timer of the one time limit that applies now
+        self._unsent_bytes = 0  # unsent bytes of the last response, at the last check
+        self._linger_deadline: float | None = None  # None unless the connection lingers
 
     def close(self) -> None:
         """Close once all data is written."""
--- a/sidecar_balancer/downstream/frontend.py
+++ b/sidecar_balancer/downstream/frontend.py
@@ -14,8 +14,8 @@
 from sidecar_balancer.runtime.queueing import PollTimes
 from sidecar_balancer.runtime.streams import BodyMemory
 
-_IDLE_CLOSE_INTERVAL_S = 0.02  # between a drain's checks for idle connections
-_FLUSH_POLL_S = 0.005  # between the shutdown's checks whether the last responses have been sent
+_IDLE_CLOSE_INTERVAL_S = 0.02  # interval between a drain's checks for idle connections
+_FLUSH_POLL_S = 0.005  # interval between the shutdown's checks whether the last responses have been sent
 
 
 class Frontend:
--- a/sidecar_balancer/downstream/request_deadline.py
+++ b/sidecar_balancer/downstream/request_deadline.py
@@ -4,8 +4,8 @@
 
 from sidecar_balancer.runtime.streams import STALL_TIMEOUT_S
 
-REQUEST_TIMEOUT_S = 2.5  # from the first byte of a head; slow clients take 2 s
-_BODY_START_TIMEOUT_S = 1.5  # from the head to the first byte of the body
+REQUEST_TIMEOUT_S = 2.5  # time limit that starts at the first byte of a head; slow clients take 2 s
+_BODY_START_TIMEOUT_S = 1.5  # time limit from the head to the first byte of the body
 _MIN_BODY_BYTES_PER_S = 32_000.0  # the slowest clients that must be served send twice as fast
 
 
--- a/sidecar_balancer/observability/logs.py
+++ b/sidecar_balancer/observability/logs.py
@@ -26,8 +26,8 @@
 
     level: str = "info"
     format: str = ""  # "" means plain on a terminal, else JSON
-    lines_per_s: int = 50  # all events together
-    repeats_per_s: int = 20  # of each event
+    lines_per_s: int = 50  # limit for all events together
+    repeats_per_s: int = 20  # limit for each event
 
 
 class LogRateLimiter(logging.Filter):
@@ -42,10 +42,10 @@
         self._max_lines_per_s = max_lines_per_s
         self._max_repeats_per_s = max_repeats_per_s
         self._second = 0
-        self._lines = 0  # in the current second; `_repeats` has those of each event
+        self._lines = 0  # lines in the current second; `_repeats` counts those of each event
         self._repeats = Counter[str]()
         self._unreported = Counter[str]()  # suppressed lines by event, not reported yet
-        self.suppressed = 0  # since startup
+        self.suppressed = 0  # lines suppressed since startup
 
     def filter(self, record: logging.LogRecord) -> bool:
         """Return whether to log the record; if so, add the count of its event's lines suppressed before."""
--- a/sidecar_balancer/program.py
+++ b/sidecar_balancer/program.py
@@ -27,7 +27,7 @@
 EXIT_OK = 0
 EXIT_CANNOT_SERVE = 1
 EXIT_BAD_CONFIGURATION = 2
-_MAX_CLIENT_LOG_LINES_PER_S = 10  # of the modules that face clients: malformed requests would fill the log
+_MAX_CLIENT_LOG_LINES_PER_S = 10  # limit for modules that face clients: malformed requests would fill the log
 
 
 async def serve(config: SidecarConfig, limiter: LogRateLimiter) -> None:
@@ -62,7 +62,7 @@
 
 def main() -> int:
     """Run a sidecar and return the exit code."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is a sidecar to reload
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # ignored until there is a sidecar to reload
     try:
         config = read_config(os.environ)
     except ConfigurationError as error:
--- a/sidecar_balancer/proxy/in_flight.py
+++ b/sidecar_balancer/proxy/in_flight.py
@@ -18,7 +18,7 @@
     Attributes:
         request_id: The number that identifies the request to the balancer.
         client_request: The request as received, with the writer of its response.
-        received_at: When the last byte was received; until then, when the first was.
+        received_at: When the last byte was received; before that, when the first byte was received.
         deadline: When the client stops waiting; None while the body is still arriving.
         answered: Whether the response was sent or started, or the client no longer waits for it.
         attempts_started: The number of attempts started so far.
--- a/sidecar_balancer/proxy/proxy.py
+++ b/sidecar_balancer/proxy/proxy.py
@@ -216,7 +216,7 @@
         sent_at = self._engine.clock.now()
         on_outcome = partial(self._attempt_ended, request, attempt_index, action.server, sent_at)
         upstream_request = self._upstream_request(request, attempt_index, action.server, sent_at)
-        deadline = math.inf  # until the body has ended
+        deadline = math.inf  # no deadline applies until the body has ended
         if request.deadline is not None:
             deadline_us = min(action.deadline or request.deadline, request.deadline)
             deadline = self._engine.clock.to_loop_time(deadline_us)
--- a/sidecar_balancer/proxy/request_log.py
+++ b/sidecar_balancer/proxy/request_log.py
@@ -9,7 +9,7 @@
 
 log = logging.getLogger(__name__)
 
-_MAX_LOGGED_FAILURES = 20  # between resets; logging every rejection would cost more than the rejections
+_MAX_LOGGED_FAILURES = 20  # limit between resets; logging every rejection would cost more than the rejections
 _MAX_NAME_LENGTH = 40
 
 
--- a/sidecar_balancer/runtime/clock.py
+++ b/sidecar_balancer/runtime/clock.py
@@ -29,7 +29,7 @@
         """
         if self._turn_time_us is None:
             self._turn_time_us = self.now()
-            asyncio.get_running_loop().call_soon(self._end_turn)  # before the input of the next turn
+            asyncio.get_running_loop().call_soon(self._end_turn)  # runs before the input of the next turn
         return self._turn_time_us
 
     def _end_turn(self) -> None:
--- a/sidecar_balancer/runtime/engine.py
+++ b/sidecar_balancer/runtime/engine.py
@@ -17,7 +17,7 @@
 
 log = logging.getLogger(__name__)
 
-_WAKE_AFTER_EXCEPTION_S = 0.05  # without it, actions that were due would wait for the next event
+_WAKE_AFTER_EXCEPTION_S = 0.05  # delay of the wake-up without which due actions would wait for the next event
 
 
 class Engine:
--- a/sidecar_balancer/runtime/queueing.py
+++ b/sidecar_balancer/runtime/queueing.py
@@ -16,9 +16,9 @@
 
 _IMMEDIATE_POLL_S = 0.001  # a poll that returns within this time did not wait, so its input may be older
 _LATE_RETURN_S = 0.01  # a poll that returns this long after its timeout was delayed
-_TCP_INFO_BYTES = 104  # the part of Linux' struct tcp_info that is read
-_TCP_INFO_STATE_OFFSET = 0  # of tcpi_state, one byte; 0 is not a valid state: the kernel filled in nothing
-_TCP_INFO_LAST_DATA_RECV_OFFSET = 52  # of tcpi_last_data_recv: milliseconds, 32 bits
+_TCP_INFO_BYTES = 104  # size of the part of Linux' struct tcp_info that is read
+_TCP_INFO_STATE_OFFSET = 0  # offset of tcpi_state, one byte; 0 is invalid: the kernel filled in nothing
+_TCP_INFO_LAST_DATA_RECV_OFFSET = 52  # offset of tcpi_last_data_recv: milliseconds, 32 bits
 _UINT32 = struct.Struct("=I")
 
 
@@ -81,7 +81,7 @@
 
     def __init__(self, capacity: int) -> None:
         self._capacity = capacity
-        self._oldest_arrival: float | None = None  # of the next connections; None: the backlog was emptied
+        self._oldest_arrival: float | None = None  # bound for the next connections; None: backlog emptied
         self._next_oldest_arrival = 0.0  # applies once `_to_accept` more connections are accepted
         self._to_accept = 0
 
--- a/sidecar_balancer/runtime/streams.py
+++ b/sidecar_balancer/runtime/streams.py
@@ -12,8 +12,8 @@
 
 MAX_BUFFERED_BODY_BYTES = 64 * 1024  # bodies up to this size are buffered, so that the request can be retried
 MAX_REQUEST_BODY_BYTES = 32 * 1024 * 1024
-MAX_EVENTS_PER_TURN = 200  # one read may contain thousands of tiny chunks
-STALL_TIMEOUT_S = 10.0  # slow peers may pause for seconds
+MAX_EVENTS_PER_TURN = 200  # limit on parser events, as one read may contain thousands of tiny chunks
+STALL_TIMEOUT_S = 10.0  # limit on the time without progress; slow peers may pause for seconds
 _MAX_READ_BYTES = 64 * 1024
 _MIN_READ_BYTES = 4 * 1024
 _BUFFERS_PER_STREAM = 4  # the data read, parsed and waiting to be written, and copies between these stages
@@ -54,7 +54,7 @@
         """Count the bodies of this connection in `body_memory`."""
         self.body_memory = body_memory
         self._transport: asyncio.Transport | None = None
-        self._body = bytearray()  # of the message that is being received
+        self._body = bytearray()  # body of the message that is being received
         self._parse_scheduled = False  # parsing continues in the next turn
 
     def get_buffer(self, _sizehint: int) -> memoryview:
--- a/sidecar_balancer/sidecar/membership_setup.py
+++ b/sidecar_balancer/sidecar/membership_setup.py
@@ -46,7 +46,7 @@
 def _healthy_server_latencies(balancer: Balancer) -> dict[str, float]:
     """Return relative latencies for peers that are starting up.
 
-    Only of servers that have responded, have no published verdict and are not ejected.
+    The result contains only servers that have responded, have no published verdict and are not ejected.
     """
     return {
         server.name: server.relative_latency
--- a/sidecar_balancer/sidecar/shutdown.py
+++ b/sidecar_balancer/sidecar/shutdown.py
@@ -12,10 +12,10 @@
 log = logging.getLogger(__name__)
 
 _ACCEPT_WHILE_DRAINING_S = 0.5  # clients open connections for up to 0.4 s after SIGTERM
-_UNUSED_CONNECTION_GRACE_S = 0.65  # after this, connections that have carried no request are closed too
+_UNUSED_CONNECTION_GRACE_S = 0.65  # drain time after which connections that have carried no request close too
 _MAX_DEADLINE_S = 3.0  # the platform does not wait for longer deadlines
-_DRAIN_MARGIN_S = 0.62  # after the longest deadline; the platform kills the process 0.7 s after it
-_FLUSH_TIMEOUT_S = 0.05  # after the drain, for writing the last responses
+_DRAIN_MARGIN_S = 0.62  # drain time after the longest deadline; the platform kills the process 0.7 s after it
+_FLUSH_TIMEOUT_S = 0.05  # time for writing the last responses after the drain
 _POLL_S = 0.02
 
 
--- a/sidecar_balancer/sidecar/sidecar.py
+++ b/sidecar_balancer/sidecar/sidecar.py
@@ -43,11 +43,11 @@
 
 log = logging.getLogger(__name__)
 
-_TAKEOVER_LIST_TIMEOUT_S = 2.0  # the old process still serves; a start must be ready within 6 s
-_OVERRIDES_POLL_INTERVAL_S = 0.1  # another process may have stored an override
+_TAKEOVER_LIST_TIMEOUT_S = 2.0  # wait while the old process still serves; a start must be ready within 6 s
+_OVERRIDES_POLL_INTERVAL_S = 0.1  # interval between checks for overrides that another process has stored
 _WATCH_RESTART_RATIO = 2.5  # multiple of the poll interval after which an ended watch restarts by itself
-_PUSH_RETRY_DELAY_S = 0.5  # after a failed call to the agent that pushes endpoint lists
-_RESERVED_DESCRIPTORS = 64  # for discovery, logs and the interpreter
+_PUSH_RETRY_DELAY_S = 0.5  # delay after a failed call to the agent that pushes endpoint lists
+_RESERVED_DESCRIPTORS = 64  # descriptors kept free for discovery, logs and the interpreter
 
 
 class Sidecar:
@@ -74,7 +74,8 @@
         self._timers = Timers()
         self.engine = Engine(settings, config.seed, self._timers)
         body_memory = BodyMemory(config.memory_mb)
-        max_connections = max((config.max_sockets - _RESERVED_DESCRIPTORS) // 2, 1)  # on each side
+        # The limit applies to client connections and to server connections separately.
+        max_connections = max((config.max_sockets - _RESERVED_DESCRIPTORS) // 2, 1)
         poll_times = running_poll_times()
         limits = settings.limits
         self.endpoint_pool = EndpointPool(
@@ -158,14 +159,14 @@
 
     async def _start(self, stop: asyncio.Event) -> None:
         if self.admin_server is not None:
-            # Before the first request, because overrides outlast the process that accepted them.
+            # Applied before the first request, because overrides outlast the process that accepted them.
             self._timers.call_every(_OVERRIDES_POLL_INTERVAL_S, self.admin_handlers.apply_stored_overrides)
             self.admin_server.start()
         if self._state_persistence is not None:
             self._initial_endpoints = self._state_persistence.restore(self.discovery, self._initial_endpoints)
         if self._membership is not None:
             await self._membership.start(self._on_membership_bound)
-        if not self._endpoints_received.is_set():  # it is set if a reload has already fetched a list
+        if not self._endpoints_received.is_set():  # a reload may have fetched a list already
             self.endpoint_updates.apply(ListKind.CACHED, self._initial_endpoints)
         await self._apply_restored_state(stop)
         if self._state_persistence is not None:
--- a/sidecar_balancer/simulator/messages.py
+++ b/sidecar_balancer/simulator/messages.py
@@ -53,13 +53,13 @@
 )
 
 _MIN_LISTED_SERVER_VALUES = 6
-_MAX_ERROR_LENGTH = 500  # characters
+_MAX_ERROR_LENGTH = 500  # in characters
 
 
 class EventReader(NamedTuple):
     """The reader of one kind of event."""
 
-    min_values: int  # including the message's name
+    min_values: int  # number of values, including the message's name
     read: Callable[[list[Any]], Event]
 
 
--- a/sidecar_balancer/simulator/wire.py
+++ b/sidecar_balancer/simulator/wire.py
@@ -74,5 +74,5 @@
     "revoked": Outcome.CANCELLED,
     "unused": Outcome.UNSENT,
 }
-ALL_PEERS = -1  # as the receiver of a message
-EMPTY_TENANT = 0  # no tenant, as null
+ALL_PEERS = -1  # receiver of a message that is sent to all peers
+EMPTY_TENANT = 0  # stands for no tenant, as null does
--- a/sidecar_balancer/upstream/endpoint_pool.py
+++ b/sidecar_balancer/upstream/endpoint_pool.py
@@ -22,7 +22,7 @@
 
 _UNKNOWN_ADDRESS: Address = ("127.0.0.1", 0)  # placeholder for a server that no request is sent to
 _IDLE_MARGIN_RATIO = 0.1  # the share of the idle timeout by which a connection is closed early
-_REUSE_DELAY_S = 0.01  # a malformed response may be followed by a second one
+_REUSE_DELAY_S = 0.01  # wait before a connection is reused: a second response may follow a malformed one
 _HEALTH_CHECK_DIAL_TIMEOUTS = 4.0  # a health check may take this many dial timeouts
 
 
@@ -49,7 +49,7 @@
         self._idle_timeout_s = idle_timeout_s * (1.0 - _IDLE_MARGIN_RATIO)
         self._max_connections = max_connections
         self._dial_tasks: set[asyncio.Task[None]] = set()
-        self._open: set[ServerConnection] = set()  # in use or idle
+        self._open: set[ServerConnection] = set()  # connections in use or idle, without those being dialed
         self._closed = False
         self.endpoints: dict[str, PooledEndpoint] = {}
         self._removed: dict[str, None] = {}  # removed endpoints, deleted once unused
@@ -167,7 +167,7 @@
         exchange.end(Outcome.CANCELLED)
 
     def cancel_unsent(self, exchange: Exchange) -> None:
-        """End an exchange if the last byte of its request is not written yet, so that it never will be."""
+        """End an exchange if the last byte of its request is not written yet; it is never written then."""
         if exchange.connection is None or not exchange.connection.written:
             exchange.end(Outcome.UNSENT)
 
@@ -250,7 +250,7 @@
             exchange.end(Outcome.CONNECT_FAILED)
 
     async def _dial(self, exchange: Exchange) -> None:
-        """Dial and write the request; the dial counts as open until its connection does, or until it ends."""
+        """Dial and write the request; `open_count` counts the dial until it ends or its connection opens."""
         endpoint = exchange.endpoint
         try:
             connection = await connect(endpoint.address, MAX_BUFFERED_BODY_BYTES, self._body_memory)
--- a/sidecar_balancer/upstream/request_connection.py
+++ b/sidecar_balancer/upstream/request_connection.py
@@ -36,8 +36,8 @@
         self._start_streaming: StartStreaming | None = None
         self._written = False
         self._write_buffer_full = False  # not all written data has gone to the kernel yet
-        self._request_count = 0  # including the request in flight
-        self._request_sent_at = 0.0  # on the event loop's clock
+        self._request_count = 0  # number of requests, including the one in flight
+        self._request_sent_at = 0.0  # time on the event loop's clock
         self._upload: Upload | None = None  # set while a long request body is streamed
         self._progress = 0  # grows with each byte in or out
 
--- a/sidecar_balancer/upstream/server_connection.py
+++ b/sidecar_balancer/upstream/server_connection.py
@@ -47,15 +47,15 @@
         self.on_closed: Callable[[], None] | None = None
         self._max_body_bytes = max_body_bytes
         self._response_head: h11.Response | None = None
-        self._announced_length: int | None = None  # of the response's body
+        self._announced_length: int | None = None  # length of the response's body; None: not announced
         self._sink: ResponseSink | None = None  # set while a response is streamed
-        self._unforwarded = bytearray()  # of the streamed response, parsed in this turn of the event loop
+        self._unforwarded = bytearray()  # streamed bytes that were parsed in this turn of the event loop
         self._sink_paused = False
         self._buffering_timer: asyncio.TimerHandle | None = None
         self._stall_timer: asyncio.TimerHandle | None = None
 
     def is_idle(self) -> bool:
-        """Return whether another request may be sent, which an unread end or stray byte rules out."""
+        """Return whether another request may be sent; not if a stray byte or the end of input is unread."""
         is_open = self._transport is not None and not self._transport.is_closing()
         return is_open and self.reusable and self._on_response is None and has_no_unread_input(self.sock)
 
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -259,7 +259,7 @@
     async with running_cluster(tmp_path, 3, servers, "a", membership=MEMBERSHIP_ON) as cluster:
         tier = cluster.tier
         await tier.wait_until(lambda: all_alive(tier))
-        await tier.kill(2)  # from now on the test sends in its place
+        await tier.kill(2)  # from now on, the test sends in place of member 2
         faulty_peer = tier.proxies[2].transport
         assert faulty_peer is not None
         false_verdicts = _false_verdicts(origin=2)
--- a/tests/compatibility/golden_cases.py
+++ b/tests/compatibility/golden_cases.py
@@ -12,7 +12,7 @@
 DATA = Path(__file__).parent / "data"
 ENDPOINT_LIST = endpoint_list(41, *(entry(f"s-{number}") for number in range(1, 5)))
 SETTINGS = {"lanes": SERVICE_CLASSES, "zone": "a", "discovery": "on_request", "groupSize": 4}
-SNAPSHOT_TOKEN = 9  # of the tier snapshot
+SNAPSHOT_TOKEN = 9  # token of the tier snapshot
 TRUNCATED_BYTES = 7  # bytes cut off the end of the log, so that its last record is incomplete
 
 Flushes = list[list[tuple[str, bytes | None]]]
--- a/tests/discovery/test_poll_timing.py
+++ b/tests/discovery/test_poll_timing.py
@@ -20,9 +20,9 @@
 from sidecar_balancer.policy.types import ListKind, ServerState
 from virtual_clock import RunScenario
 
-MAX_CHANGE_DELAY_S = 6.0  # from when discovery has a change and is reachable
+MAX_CHANGE_DELAY_S = 6.0  # time limit from when discovery has a change and is reachable
 RESPONSE_S = 2.0  # discovery responds to a request or fails it within this time
-MARGIN_S = 0.5  # for the sidecar's own work, and a busy machine
+MARGIN_S = 0.5  # allowance for the sidecar's own work and a busy machine
 FLEET_SIZES = [5, 60, 200, 22_000]
 FAILED_POLLS = 12
 READINESS_REQUEST = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -65,7 +65,7 @@
         driver.feed(EndpointListReceived(ListKind.FAILED))  # all watches end together as discovery goes down
         polled_at.append(seconds_to_next_poll(driver))
     busiest = max(sum(start <= at < start + 0.5 for at in polled_at) for start in polled_at)
-    assert busiest <= 35  # of 100 in any half second
+    assert busiest <= 35  # of 100 polls, in any half second
 
 
 @pytest.mark.parametrize("failures", [1, 3, 7])
--- a/tests/discovery/test_watch_recovery.py
+++ b/tests/discovery/test_watch_recovery.py
@@ -79,7 +79,7 @@
         async with running_sidecar(served, served, graceful_shutdown=True) as environment:
             await fail_discovery_calls(
                 environment, failures
-            )  # at the old address: they do not count for the new one
+            )  # failures at the old address do not count for the new one
             new_discovery = FakeDiscovery()
             await new_discovery.start()
             started_at = asyncio.get_running_loop().time()
@@ -187,7 +187,7 @@
             await wait_until(lambda: len(new_discovery.request_targets) == 3)
             assert (
                 new_discovery.called_at[-1] - started_at <= 1.5
-            )  # at most 0.5 s and 1 s, as after the first failures
+            )  # two waits of at most 0.5 s and 1 s, as after the first failures
             new_discovery.publish(7, [environment.servers[1].entry()], snapshot=True)
             await wait_until(lambda: "s-0" not in environment.sidecar.engine.balancer.servers)
             environment.move_discovery(
--- a/tests/policy/test_discovery_schedule.py
+++ b/tests/policy/test_discovery_schedule.py
@@ -57,7 +57,7 @@
         )
     for waits in (first, repeated):
         busiest = max(sum(at <= each < at + S for each in waits) for at in waits)
-        assert busiest <= 25  # of 40 in any second
+        assert busiest <= 25  # of 40 polls, in any second
     assert min(repeated) > 500 * MS
 
 
--- a/tests/policy/test_final_answers.py
+++ b/tests/policy/test_final_answers.py
@@ -1,4 +1,4 @@
-"""One final answer for each request, in time."""
+"""Each request gets one final answer in time."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -75,7 +75,7 @@
             driver.end_attempt(each)
     sent = [each.server for at, each in driver.attempts() if at >= START + 20 * S]
     per_warm_server = sum(name != warming.server for name in sent) / 5
-    weight = 0.2 + 0.8 * 7.5 / 10  # on average
+    weight = 0.2 + 0.8 * 7.5 / 10  # average weight of the warming server
     assert 1.0 < sent.count(warming.server) / (per_warm_server * weight) < 1.6
 
 
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -15,8 +15,8 @@
 from sidecar_balancer.policy.events import ListedServer
 from sidecar_balancer.policy.types import ListKind
 
-WARMING_MIN_RATIO = 0.2  # of its capacity, at its start
-WARMING_US = 10 * S  # duration of its slow start
+WARMING_MIN_RATIO = 0.2  # fraction of its capacity that a server has at its start
+WARMING_US = 10 * S  # duration of a server's slow start
 OVERLOAD_MULTIPLE = 3.0
 OVERLOAD_WINDOW_US = 2 * S
 LATENCY_US = 60 * MS
--- a/tests/policy/test_zone_evacuation.py
+++ b/tests/policy/test_zone_evacuation.py
@@ -183,7 +183,7 @@
     assert serve_zones(driver, 20) == Counter(b=20)
     assert len(driver.attempts()) == before + 20
     driver.feed(ZoneRecovered("a"))
-    assert evacuated_zones(driver) == set()  # its backoff has expired by now
+    assert evacuated_zones(driver) == set()  # the zone's backoff has expired by now
     driver.feed(ZoneRecovered("nowhere"))
     serve_zones(driver, 60)
     serve_zones(driver, 40, failing="a")
--- a/tests/runtime/test_queueing.py
+++ b/tests/runtime/test_queueing.py
@@ -16,7 +16,7 @@
 from virtual_clock import RunScenario, stall
 
 BUDGET_S = 2.0
-TOLERANCE_S = 0.05  # of a forwarded budget, as the virtual clock does not advance while the kernel works
+TOLERANCE_S = 0.05  # error of a forwarded budget: the virtual clock does not advance while the kernel works
 
 
 @pytest.fixture(autouse=True)
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -19,7 +19,7 @@
 from sidecar_balancer.policy.settings import Settings
 from sidecar_balancer.policy.types import ListKind, Outcome, ServerState
 
-MS = 1_000  # in µs, the unit of the balancer's clock
+MS = 1_000  # one millisecond in µs, the unit of the balancer's clock
 S = 1_000_000
 START = 50 * S
 
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -151,8 +151,8 @@
     def __init__(self) -> None:
         self.request_targets: list[str] = []
         self.responses: asyncio.Queue[bytes] = asyncio.Queue()
-        self.called_at: list[float] = []  # on the event loop's clock
-        self.called_after_s: list[float] = []  # from each response to the next call
+        self.called_at: list[float] = []  # times of the calls, on the event loop's clock
+        self.called_after_s: list[float] = []  # seconds from each response to the next call
         self._responded_at: float | None = None
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/support/registry.py
+++ b/tests/support/registry.py
@@ -80,7 +80,7 @@
                     wait_s = int(parameters.get("wait_ms", 0)) / 1000
                     await asyncio.wait_for(self._changed.wait(), wait_s)
             if self.is_unresponsive:
-                await reader.read()  # until the client closes the connection
+                await reader.read()  # returns when the client closes the connection
                 return
             writer.write(http_response(200, json.dumps(self._list_after(after)).encode()))
             await writer.drain()
--- a/tests/support/stub_servers.py
+++ b/tests/support/stub_servers.py
@@ -14,12 +14,12 @@
 from harness import format_address
 from sidecar_balancer.addresses import Address
 
-WARM_UP_S = 4.0  # from a restart until a server works at full speed
+WARM_UP_S = 4.0  # time from a restart until a server works at full speed
 INITIAL_SPEED_RATIO = 0.2
 OVERLOAD_WINDOW_S = 2.0
 OVERLOAD_MULTIPLE = 3.0
 WATCH_TIMEOUT_S = 20.0
-GUARANTEES = {  # as stated in the sidecars' settings
+GUARANTEES = {  # the servers' guarantees, as stated in the sidecars' settings
     "coldFrom": INITIAL_SPEED_RATIO,
     "coldUs": int(WARM_UP_S * 1e6),
     "fallMultiple": OVERLOAD_MULTIPLE,
@@ -75,7 +75,7 @@
         self.started_ms = 0  # Unix time of its last restart; 0: long ago
         self.response_count = 0
         self.attempts_by_sidecar: Counter[int] = Counter()
-        self.executions: Counter[str] = Counter()  # of non-idempotent requests, by call id
+        self.executions: Counter[str] = Counter()  # executions of non-idempotent requests, by call id
         self.peak_overload_ratio = 0.0  # highest ratio of arrivals to the overload limit while warming up
         self._work_s = work_s
         self._slots = slots
@@ -142,7 +142,7 @@
                     continue
                 self._note_request(request)
                 if self.unresponsive:
-                    await reader.read()  # until the client closes
+                    await reader.read()  # returns when the client closes
                     return
                 async with self._slot_semaphore:
                     await asyncio.sleep(self._work_s / self._speed_ratio())
--- a/tests/support/virtual_clock.py
+++ b/tests/support/virtual_clock.py
@@ -24,9 +24,9 @@
 Scenario = Coroutine[Any, Any, None]
 RunScenario = Callable[[Scenario], None]
 
-MAX_SCENARIO_S = 600.0  # on the virtual clock
+MAX_SCENARIO_S = 600.0  # longest scenario, in time of the virtual clock
 
-_KERNEL_WAIT_S = 0.001  # of real time before the clock advances, for data in the kernel to arrive
+_KERNEL_WAIT_S = 0.001  # real time to wait before the clock advances, for data in the kernel to arrive
 _CLOSING_ITERATIONS = 5  # iterations of the event loop for closed connections to end
 _MODULES_WITH_CLOCKS = (clock, status_handlers, status_log)
 
--- a/tests/upstream/test_attempt_outcomes.py
+++ b/tests/upstream/test_attempt_outcomes.py
@@ -183,7 +183,7 @@
             slow.setblocking(False)
             await asyncio.get_running_loop().sock_connect(slow, environment.sidecar.frontend.address)
             reader, writer = await asyncio.open_connection(sock=slow, limit=16)
-            writer.write(request() * 50)  # without reading any response
+            writer.write(request() * 50)  # sends requests without reading any response
             await wait_until(environment.sent)
             assert len((await environment.send_request())[2]) == 60_000
             for _ in range(3):
--- a/tools/lease_model.py
+++ b/tools/lease_model.py
@@ -25,12 +25,12 @@
 )
 
 _SUFFICIENT_EPOCH_SOURCES = frozenset(range(-9, 0))  # stands for every sufficiently large set of members
-_OPEN_REQUEST_ID = 1  # of every open request: only whether one is open matters, not its number
+_OPEN_REQUEST_ID = 1  # id of every open request: only whether one is open matters, not its number
 _REQUEST_RELATED_KINDS = (LeaseMessageKind.REQUEST, LeaseMessageKind.GRANT, LeaseMessageKind.REJECT)
 _KINDS_WITH_REPLY = (LeaseMessageKind.REQUEST, LeaseMessageKind.EPOCH_QUERY)
 
 
-DEFAULT_TIMING = LeaseTiming(term_us=4, renew_us=1, skew_us=1, retry_us=2)  # in ticks, not in µs
+DEFAULT_TIMING = LeaseTiming(term_us=4, renew_us=1, skew_us=1, retry_us=2)  # times in ticks, not in µs
 
 
 @dataclass(frozen=True)
@@ -38,7 +38,7 @@
     """The part of the state space to explore."""
 
     members: int = 3
-    ticks: int = 7  # of real time
+    ticks: int = 7  # duration in ticks of real time
     drift: int = 1
     drift_steps: int = 1
     crashes: int = 0
