--- a/bench/scale_fanout.py
+++ b/bench/scale_fanout.py
@@ -64,8 +64,8 @@
     latencies_s: list[float] = field(default_factory=list)
     missing: int = 0  # sidecars that did not apply the last change in time
     registry_calls_per_s: float = 0.0
-    relay_cpu_share: float = 0.0  # share of a core, of the busiest relay
-    sidecar_cpu_share: float = 0.0  # share of a core, mean of the hollow sidecars
+    relay_cpu_share: float = 0.0  # share of a core that the busiest relay uses
+    sidecar_cpu_share: float = 0.0  # share of a core that a hollow sidecar uses, on average
     sidecar_bytes_per_s: float = 0.0  # response bodies sent by relays, per sidecar
 
     def row(self) -> str:
--- a/bench/scale_request.py
+++ b/bench/scale_request.py
@@ -21,7 +21,7 @@
 
 
 def run(sizes: list[int]) -> list[Series]:
-    """Measure each size with priced cross-zone traffic, as in this deployment, and with free."""
+    """Measure each size with priced cross-zone traffic, as in this deployment, and with free traffic."""
     measured = []
     for cross_zone_price, name in ((0.013, "priced"), (0.0, "free")):
         costs = {size: _request_us(size, cross_zone_price) for size in sizes}
--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -42,7 +42,7 @@
             assert not first.requests
             environment.discovery.publish(
                 43, [first.entry()], snapshot=True
-            )  # removes a server that it does not list
+            )  # the snapshot removes s-1, which it does not list
             await wait_until(lambda: "s-1" not in listed)
             requests_before = len(second.requests)
             for _ in range(10):
--- a/tests/policy/test_class_rejections.py
+++ b/tests/policy/test_class_rejections.py
@@ -63,7 +63,7 @@
     driver.end_attempt(request)
     for wait_us, is_used in ((100 * MS, False), (20 * S, True)):
         driver.advance(wait_us)
-        # Each goes to the server with the lowest load.
+        # Each request goes to the server with the lowest load.
         targets = {driver.target_of(driver.request("amend")) for _ in range(4)}
         assert (rejecting in targets) is is_used
         for number in range(driver.attempts()[-1][1].request - 3, driver.attempts()[-1][1].request + 1):
--- a/tests/policy/test_overrides.py
+++ b/tests/policy/test_overrides.py
@@ -46,7 +46,7 @@
 
 def test_retries_and_trials_avoid_a_disabled_server() -> None:
     driver = driver_with_servers(2)
-    for _ in range(2):  # two failures eject the first
+    for _ in range(2):  # two failures eject the first server
         request = driver.request()
         while driver.target_of(request) != SERVERS[0]:
             driver.end_attempt(request)
@@ -137,7 +137,7 @@
     driver = driver_with_servers()
     for disabled in (True, False):
         assert not override(driver, "10.9.9.9:80", disabled)
-    driver.receive_list(SERVERS[1:])  # the first is removed and dropped
+    driver.receive_list(SERVERS[1:])  # the first server is removed and dropped
     assert SERVERS[0] not in driver.balancer.servers
     assert override(driver, SERVERS[0], True)
     driver.receive_list(SERVERS)
--- a/tests/relay/test_failover.py
+++ b/tests/relay/test_failover.py
@@ -48,7 +48,7 @@
                 tier.registry.change(entry(f"s-{number}", status="leaving"))
                 await asyncio.sleep(0.01)
             await tier.wait_until_in_force("s-99", "leaving")
-            assert counters.deltas - deltas_before <= 4 * 8  # of 400
+            assert counters.deltas - deltas_before <= 4 * 8  # instead of 400, one per change and sidecar
 
     on_virtual_clock(scenario())
 
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -228,7 +228,10 @@
     graceful_shutdown: bool = False,
     **changes: Any,
 ) -> AsyncIterator[SidecarEnvironment]:
-    """Run a sidecar with one server per script; `graceful_shutdown`: drain it on exit, nothing in flight."""
+    """Run a sidecar with one server per script.
+
+    With `graceful_shutdown`, it is shut down gracefully on exit, and then nothing may be in flight.
+    """
     servers = [FakeServer(f"s-{number}", script) for number, script in enumerate(scripts)]
     discovery = FakeDiscovery()
     for server in servers:
--- a/tools/lease_model.py
+++ b/tools/lease_model.py
@@ -90,7 +90,7 @@
     duplicates: int
     drift_steps: int
     suspicions: int
-    highest_token: int  # the highest held so far
+    highest_token: int  # highest token held so far
     highest_token_holder: int
 
 
