--- a/bench/scale_request.py
+++ b/bench/scale_request.py
@@ -14,14 +14,14 @@
 from sidecar_balancer.policy.types import ListKind, Outcome
 
 TRIALS = 5
-REQUESTS = 100  # per trial
+REQUESTS = 100  # requests per trial
 ZONES = 21
 INTERVAL_US = 10_000
 LATENCY_US = 4_000
 
 
 def run(sizes: list[int]) -> list[Series]:
-    """Measure each size with priced cross-zone traffic, as in this deployment, and with free."""
+    """Measure each size with priced cross-zone traffic, as in this deployment, and with free traffic."""
     measured = []
     for cross_zone_price, name in ((0.013, "priced"), (0.0, "free")):
         costs = {size: _request_us(size, cross_zone_price) for size in sizes}
